--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -23,119 +23,120 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// scriptCommands are what scripts may call beside testscript's own:
+// scriptCommands are the commands that scripts have in addition to those of testscript:
 //
 //	site [flags]            start a site and wait for its engines; see cmdSite
-//	ask DAEMON COMMAND      ask as the operator; the answer is on stdout
-//	await DAEMON ROWS TABLE wait until the table has so many rows
+//	ask DAEMON COMMAND      run an operator's command; stdout is the answer
+//	await DAEMON ROWS TABLE wait until the table has this number of rows
 //	chat DAEMON MODEL [stream] [tokens=N] [key=K]
-//	                        send a request and check that its answer is whole
-//	chats N DAEMON MODEL    send N chats at once; all answers must be whole
+//	                        send a request and check that its response is complete
+//	chats N DAEMON MODEL    send N chats; all responses must be complete
 //	http DAEMON METHOD PATH [BODY] [HEADER:VALUE ...]
-//	                        call; status, headers and body are on stdout
+//	                        send an HTTP request; stdout is status, headers and body
 //	sigkill | sigstop | sigcont | sigterm | restart NAME
-//	gone NAME               wait until a process has ended
-//	fault LINK JSON         switch a link's faults
-//	control WHAT JSON       switch the platform's faults
-//	leaving ENGINE          make an engine say that it is leaving
-//	remember NAME INSTANCE  note the fence that the instance is at
-//	noruns NAME SLACK       no run at that fence began later than the slack
-//	                        after remember; the slack is a promised bound
-//	load start | load stop  requests through all daemons, checked
-//	logged PROCESS REGEXP   wait until the process has logged it
+//	exited NAME             wait until a process has exited
+//	fault LINK JSON         set a link's faults
+//	control WHAT JSON       set the platform's faults
+//	leaving ENGINE          make an engine announce that it is leaving
+//	savefence NAME INSTANCE note the instance's current fence
+//	noruns NAME SLACK       check that no run with the saved fence started later than the
+//	                        slack after savefence; the slack is a documented bound
+//	load start | load stop  send requests through all daemons, and check them
+//	logged PROCESS REGEXP   wait until the process has logged a match
 //	race DAEMON COMMAND DAEMON COMMAND
-//	                        ask two at once; just one must be accepted
+//	                        run two commands at once; exactly one must be accepted
 //	bgask NAME DAEMON COMMAND, bgend NAME RESULT
-//	                        ask in the background; how it must have ended
-//	same DAEMON ...         wait until all hold the same state
-//	double                  append every record of the log once more
-//	many N DAEMON COMMAND   ask N times, %d in the command counts
-//	admin DAEMON            let lupinkeel ask speak to this daemon
+//	                        run a command in the background, and check its result
+//	samestate DAEMON ...    wait until all daemons hold the same state
+//	reappend                append every record of the log once more
+//	repeat N DAEMON COMMAND run the command N times, with %d replaced by the count
+//	admin DAEMON            make lupinkeel ask use this daemon
 //	request NAME            set $NAME to the id of the last chat
-//	order INSTANCE NAME     give the instance the load order of the fence
-//	                        that remember noted once more, late
-//	together N MODEL key=K  send the same N times at once; one runs
+//	order INSTANCE NAME     send the instance a load order with the saved fence, as a
+//	                        delayed duplicate
+//	concurrently N MODEL key=K
+//	                        send the same request N times concurrently; exactly one runs
 //	bgchat NAME DAEMON MODEL tokens=N, bgchatend NAME
-//	                        a stream in the background; it must end whole
-//	unchanged NAME INSTANCE the instance is at the remembered fence still
+//	                        read a stream in the background; it must be complete
+//	samefence NAME INSTANCE check that the instance still has the saved fence
 //	storm SEED REQUESTS LINK ...
-//	                        random faults on the links until the load has
-//	                        sent so many requests; the seed fixes the faults
-//	ready NAME ...          wait until the daemons take requests
-//	elapse DURATION         let time pass, to see that nothing happens
+//	                        inject random faults on the links until the load has sent
+//	                        this number of requests; the seed determines the faults
+//	ready NAME ...          wait until the daemons accept requests
+//	sleep DURATION          wait, to show that something doesn't happen
 var scriptCommands = map[string]func(ts *testscript.TestScript, neg bool, args []string){
-	"site":      cmdSite,
-	"ask":       cmdAsk,
-	"await":     cmdAwait,
-	"chat":      cmdChat,
-	"chats":     cmdChats,
-	"http":      cmdHTTP,
-	"sigkill":   process(func(b *bench, name string) error { return b.kill(name) }),
-	"sigstop":   process(func(b *bench, name string) error { return b.signal(name, syscall.SIGSTOP) }),
-	"sigcont":   process(func(b *bench, name string) error { return b.signal(name, syscall.SIGCONT) }),
-	"sigterm":   process(func(b *bench, name string) error { return b.signal(name, syscall.SIGTERM) }),
-	"restart":   process(func(b *bench, name string) error { return b.restart(name) }),
-	"gone":      process(awaitGone),
-	"ready":     process(awaitReady),
-	"fault":     cmdFault,
-	"control":   cmdControl,
-	"leaving":   cmdLeaving,
-	"remember":  cmdRemember,
-	"noruns":    cmdNoRuns,
-	"load":      cmdLoad,
-	"logged":    cmdLogged,
-	"together":  cmdTogether,
-	"request":   cmdRequest,
-	"order":     cmdOrder,
-	"storm":     cmdStorm,
-	"elapse":    cmdElapse,
-	"bgchat":    cmdBackgroundChat,
-	"bgchatend": cmdBackgroundChatEnd,
-	"unchanged": cmdUnchanged,
-	"admin":     cmdAdmin,
-	"race":      cmdRace,
-	"bgask":     cmdBackgroundAsk,
-	"bgend":     cmdBackgroundEnd,
-	"same":      cmdSame,
-	"double":    cmdDouble,
-	"many":      cmdMany,
+	"site":         cmdSite,
+	"ask":          cmdAsk,
+	"await":        cmdAwait,
+	"chat":         cmdChat,
+	"chats":        cmdChats,
+	"http":         cmdHTTP,
+	"sigkill":      forEachProcess(func(site *testSite, name string) error { return site.kill(name) }),
+	"sigstop":      forEachProcess(func(site *testSite, name string) error { return site.signal(name, syscall.SIGSTOP) }),
+	"sigcont":      forEachProcess(func(site *testSite, name string) error { return site.signal(name, syscall.SIGCONT) }),
+	"sigterm":      forEachProcess(func(site *testSite, name string) error { return site.signal(name, syscall.SIGTERM) }),
+	"restart":      forEachProcess(func(site *testSite, name string) error { return site.restart(name) }),
+	"exited":       forEachProcess(awaitExited),
+	"ready":        forEachProcess(awaitReady),
+	"fault":        cmdFault,
+	"control":      cmdControl,
+	"leaving":      cmdLeaving,
+	"savefence":    cmdSaveFence,
+	"noruns":       cmdNoRuns,
+	"load":         cmdLoad,
+	"logged":       cmdLogged,
+	"concurrently": cmdConcurrently,
+	"request":      cmdRequest,
+	"order":        cmdOrder,
+	"storm":        cmdStorm,
+	"sleep":        cmdSleep,
+	"bgchat":       cmdBackgroundChat,
+	"bgchatend":    cmdBackgroundChatEnd,
+	"samefence":    cmdSameFence,
+	"admin":        cmdAdmin,
+	"race":         cmdRace,
+	"bgask":        cmdBackgroundAsk,
+	"bgend":        cmdBackgroundEnd,
+	"samestate":    cmdSameState,
+	"reappend":     cmdReappend,
+	"repeat":       cmdRepeat,
 }
 
-const awaitFor = 30 * time.Second
+const awaitTimeout = 30 * time.Second
 
-func benchOf(ts *testscript.TestScript) *bench { return ts.Value(benchKey{}).(*bench) }
+func testSiteOf(ts *testscript.TestScript) *testSite { return ts.Value(testSiteKey{}).(*testSite) }
 
-func need(ts *testscript.TestScript, args []string, least int, usage string) {
-	if len(args) < least {
+func requireArgs(ts *testscript.TestScript, args []string, minimum int, usage string) {
+	if len(args) < minimum {
 		ts.Fatalf("usage: %s", usage)
 	}
 }
 
-func process(act func(*bench, string) error) func(*testscript.TestScript, bool, []string) {
+func forEachProcess(act func(*testSite, string) error) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
 		for _, name := range args {
-			ts.Check(act(benchOf(ts), name))
+			ts.Check(act(testSiteOf(ts), name))
 		}
 	}
 }
 
-func awaitGone(b *bench, name string) error {
+func awaitExited(site *testSite, name string) error {
 	select {
-	case <-b.procs[name].done:
+	case <-site.processes[name].done:
 		return nil
-	case <-time.After(awaitFor):
-		return fmt.Errorf("%s has not ended", name)
+	case <-time.After(awaitTimeout):
+		return fmt.Errorf("%s has not exited", name)
 	}
 }
 
-// awaitReady waits until a daemon takes requests: one that has just started
-// shows groups before it can show that its configuration is current.
-func awaitReady(b *bench, name string) error {
-	d, err := b.daemon(name)
+// awaitReady waits until a daemon accepts requests. A daemon that has just started shows groups
+// before it can prove that its configuration is current.
+func awaitReady(site *testSite, name string) error {
+	d, err := site.daemon(name)
 	if err != nil {
 		return err
 	}
-	return within(awaitFor, func() error {
+	return retryFor(awaitTimeout, func() error {
 		resp, err := http.Get(fmt.Sprintf("http://%s/readyz", d.callers))
 		if err != nil {
 			return err
@@ -148,18 +149,18 @@
 	})
 }
 
-// cmdSite reads -daemons N, -domain NAME:ZONE:ENGINES, -service NAME,
-// -ignore-fences, -serve FLAG and -engine FLAG.
+// cmdSite parses -daemons N, -domain NAME:ZONE:ENGINES, -service NAME, -ignore-fences, -serve FLAG
+// and -engine FLAG, and starts the site.
 func cmdSite(ts *testscript.TestScript, _ bool, args []string) {
 	spec := siteSpec{daemons: 3}
 	for len(args) > 0 {
 		flag := args[0]
 		args = args[1:]
 		if flag == "-ignore-fences" {
-			spec.ignore = true
+			spec.ignoreFences = true
 			continue
 		}
-		need(ts, args, 1, "site [-FLAG VALUE] ...")
+		requireArgs(ts, args, 1, "site [-FLAG VALUE] ...")
 		value := args[0]
 		args = args[1:]
 		switch flag {
@@ -175,19 +176,19 @@
 		case "-service":
 			spec.services = append(spec.services, value)
 		case "-serve":
-			spec.flags = append(spec.flags, value)
+			spec.daemonFlags = append(spec.daemonFlags, value)
 		case "-engine":
-			spec.engine = append(spec.engine, value)
+			spec.engineFlags = append(spec.engineFlags, value)
 		default:
 			ts.Fatalf("site: unknown flag %s", flag)
 		}
 	}
-	ts.Check(benchOf(ts).startSite(spec))
-	ts.Check(benchOf(ts).awaitEngines())
+	ts.Check(testSiteOf(ts).startSite(spec))
+	ts.Check(testSiteOf(ts).awaitEngines())
 }
 
-func (b *bench) ask(daemon, text string) (api.AskAnswer, error) {
-	d, err := b.daemon(daemon)
+func (s *testSite) ask(daemon, text string) (api.AskAnswer, error) {
+	d, err := s.daemon(daemon)
 	if err != nil {
 		return api.AskAnswer{}, err
 	}
@@ -195,13 +196,13 @@
 }
 
 func cmdAsk(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 2, "ask DAEMON COMMAND")
+	requireArgs(ts, args, 2, "ask DAEMON COMMAND")
 	var answer api.AskAnswer
 	text := strings.ReplaceAll(strings.Join(args[1:], " "), "$CALLER", api.HashToken(callerToken))
 	text = strings.ReplaceAll(text, "$ID", ts.Getenv("ID"))
-	// A daemon that is starting does not answer yet.
-	err := within(awaitFor, func() (err error) {
-		answer, err = benchOf(ts).ask(args[0], text)
+	// A daemon that is starting doesn't respond yet.
+	err := retryFor(awaitTimeout, func() (err error) {
+		answer, err = testSiteOf(ts).ask(args[0], text)
 		return err
 	})
 	ts.Check(err)
@@ -215,12 +216,12 @@
 }
 
 func cmdAwait(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "await DAEMON ROWS TABLE")
+	requireArgs(ts, args, 3, "await DAEMON ROWS TABLE")
 	want, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	var last api.AskAnswer
-	err = within(awaitFor, func() error {
-		answer, err := benchOf(ts).ask(args[0], strings.Join(args[2:], " "))
+	err = retryFor(awaitTimeout, func() error {
+		answer, err := testSiteOf(ts).ask(args[0], strings.Join(args[2:], " "))
 		last = answer
 		if err == nil && len(answer.Rows) != want {
 			err = fmt.Errorf("%s: %d rows instead of %d", args[2], len(answer.Rows), want)
@@ -231,16 +232,16 @@
 		for _, row := range last.Rows {
 			ts.Logf("%s", strings.Join(row, " | "))
 		}
-		for _, line := range benchOf(ts).ended() {
+		for _, line := range testSiteOf(ts).exitedProcesses() {
 			ts.Logf("%s", line)
 		}
 		ts.Fatalf("await %s: %v", args[0], err)
 	}
 }
 
-// parseChat reads MODEL [stream] [tokens=N] [key=K].
-func parseChat(ts *testscript.TestScript, args []string) chat {
-	r := chat{model: args[0], tokens: 8, prompt: "asked by a script", header: http.Header{}}
+// parseChat parses MODEL [stream] [tokens=N] [key=K].
+func parseChat(ts *testscript.TestScript, args []string) chatRequest {
+	r := chatRequest{model: args[0], tokens: 8, prompt: "asked by a script", header: http.Header{}}
 	for _, a := range args[1:] {
 		name, value, _ := strings.Cut(a, "=")
 		switch name {
@@ -260,32 +261,32 @@
 }
 
 func cmdChat(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 2, "chat DAEMON MODEL [stream] [tokens=N] [key=K]")
-	d, err := benchOf(ts).daemon(args[0])
+	requireArgs(ts, args, 2, "chat DAEMON MODEL [stream] [tokens=N] [key=K]")
+	d, err := testSiteOf(ts).daemon(args[0])
 	ts.Check(err)
 	r := parseChat(ts, args[1:])
 	var res result
-	ts.Check(within(awaitFor, func() error {
+	ts.Check(retryFor(awaitTimeout, func() error {
 		res = r.send(context.Background(), d.callers)
 		if !neg && res.end == endNotRun && strings.Contains(res.detail, `"code":"overloaded"`) {
-			// Beside a load a daemon may be full. A caller comes back then.
-			return fmt.Errorf("%s is full: %s", args[0], res.detail)
+			// A daemon under load may refuse a request for lack of capacity; a caller retries then.
+			return fmt.Errorf("%s is overloaded: %s", args[0], res.detail)
 		}
 		return nil
 	}))
 	fmt.Fprintf(ts.Stdout(), "%+v\n", res)
-	benchOf(ts).lastRequest = res.request
+	testSiteOf(ts).lastRequest = res.request
 	if (res.end == endWhole) == neg {
 		ts.Fatalf("chat %s %s: %+v", args[0], args[1], res)
 	}
 }
 
-// cmdChats sends requests to one daemon, a few at a time.
+// cmdChats sends N requests to one daemon, with at most four in flight.
 func cmdChats(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "chats N DAEMON MODEL")
+	requireArgs(ts, args, 3, "chats N DAEMON MODEL")
 	n, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	d, err := benchOf(ts).daemon(args[1])
+	d, err := testSiteOf(ts).daemon(args[1])
 	ts.Check(err)
 	r := parseChat(ts, args[2:])
 	results := make(chan result, n)
@@ -307,34 +308,34 @@
 }
 
 func cmdRequest(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "request NAME")
-	ts.Setenv(args[0], benchOf(ts).lastRequest)
+	requireArgs(ts, args, 1, "request NAME")
+	ts.Setenv(args[0], testSiteOf(ts).lastRequest)
 }
 
-// cmdTogether sends one request many times at once through all daemons.
-func cmdTogether(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "together N MODEL key=K")
-	b := benchOf(ts)
+// cmdConcurrently sends the same request N times concurrently through all daemons.
+func cmdConcurrently(ts *testscript.TestScript, _ bool, args []string) {
+	requireArgs(ts, args, 3, "concurrently N MODEL key=K")
+	site := testSiteOf(ts)
 	n, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	r := parseChat(ts, args[1:])
 	ends := make(chan result, n)
 	for i := range n {
-		go func() { ends <- r.send(context.Background(), b.daemons[i%len(b.daemons)].callers) }()
+		go func() { ends <- r.send(context.Background(), site.daemons[i%len(site.daemons)].callers) }()
 	}
 	var results []result
 	for range n {
 		results = append(results, <-ends)
 	}
 	if whole := countEnds(results)[endWhole]; whole != 1 {
-		ts.Fatalf("%d of %d got a whole answer", whole, n)
+		ts.Fatalf("%d of %d got a complete response", whole, n)
 	}
-	ts.Check(checkKeys(results, runCounts(b.runs())))
+	ts.Check(checkKeys(results, runCounts(site.runs())))
 }
 
 func cmdHTTP(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "http DAEMON METHOD PATH [BODY] [HEADER:VALUE ...]")
-	d, err := benchOf(ts).daemon(args[0])
+	requireArgs(ts, args, 3, "http DAEMON METHOD PATH [BODY] [HEADER:VALUE ...]")
+	d, err := testSiteOf(ts).daemon(args[0])
 	ts.Check(err)
 	body := ""
 	if len(args) > 3 {
@@ -358,119 +359,118 @@
 	text, err := io.ReadAll(resp.Body)
 	ts.Check(err)
 	fmt.Fprintf(ts.Stdout(), "status %d\n", resp.StatusCode)
-	for _, name := range slices.Sorted(mapKeys(resp.Header)) {
+	for _, name := range slices.Sorted(keysOf(resp.Header)) {
 		fmt.Fprintf(ts.Stdout(), "%s: %s\n", name, resp.Header.Get(name))
 	}
 	fmt.Fprintf(ts.Stdout(), "%s\n", text)
 }
 
 func cmdFault(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "fault LINK JSON")
-	b := benchOf(ts)
+	requireArgs(ts, args, 2, "fault LINK JSON")
+	site := testSiteOf(ts)
 	body := args[1]
-	for _, d := range b.daemons {
+	for _, d := range site.daemons {
 		body = strings.ReplaceAll(body, "@"+d.name, d.source.String())
 	}
-	ts.Check(post(fmt.Sprintf("http://%s/links/%s", b.proxy, args[0]), body))
+	ts.Check(post(fmt.Sprintf("http://%s/links/%s", site.proxy, args[0]), body))
 }
 
 func cmdControl(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "control WHAT JSON")
-	ts.Check(post(fmt.Sprintf("http://%s/control/%s", benchOf(ts).platform, args[0]), args[1]))
+	requireArgs(ts, args, 2, "control WHAT JSON")
+	ts.Check(post(fmt.Sprintf("http://%s/control/%s", testSiteOf(ts).platform, args[0]), args[1]))
 }
 
 func cmdLeaving(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "leaving ENGINE")
-	addr := benchOf(ts).engines[models.InstanceID(args[0])]
+	requireArgs(ts, args, 1, "leaving ENGINE")
+	addr := testSiteOf(ts).engines[models.InstanceID(args[0])]
 	ts.Check(post(fmt.Sprintf("http://%s/control/leaving", addr), "{}"))
 }
 
-// memory is what remember notes.
-type memory struct {
+// savedFence is a fence that savefence has noted, and when.
+type savedFence struct {
 	fence models.Fence
-	at    time.Time
+	noted time.Time
 }
 
-func (b *bench) fenceOf(instance string) (models.Fence, error) {
+func (s *testSite) fenceOf(instance string) (models.Fence, error) {
 	type status struct {
 		Fence models.Fence `json:"fence"`
 	}
-	s, err := fetch[status](fmt.Sprintf("http://%s/status", b.engines[models.InstanceID(instance)]))
-	return s.Fence, err
+	found, err := fetch[status](fmt.Sprintf("http://%s/status", s.engines[models.InstanceID(instance)]))
+	return found.Fence, err
 }
 
-// cmdOrder is a doubled order that comes late. It succeeds if the instance
-// obeys.
+// cmdOrder sends a delayed duplicate of an order. It succeeds if the instance accepts the order.
 func cmdOrder(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 2, "order INSTANCE NAME")
-	b := benchOf(ts)
+	requireArgs(ts, args, 2, "order INSTANCE NAME")
+	site := testSiteOf(ts)
 	order, err := json.Marshal(types.Order{
-		Kind: types.OrderLoad, Group: "from-the-past", Fence: b.memories[args[1]].fence, Model: "brief", Version: "v1",
+		Kind: types.OrderLoad, Group: "from-the-past", Fence: site.savedFences[args[1]].fence, Model: "brief", Version: "v1",
 	})
 	ts.Check(err)
-	err = post(fmt.Sprintf("http://%s/orders", b.engines[models.InstanceID(args[0])]), string(order))
+	err = post(fmt.Sprintf("http://%s/orders", site.engines[models.InstanceID(args[0])]), string(order))
 	if (err != nil) != neg {
 		ts.Fatalf("order to %s: %v", args[0], err)
 	}
 }
 
-func cmdUnchanged(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "unchanged NAME INSTANCE")
-	b := benchOf(ts)
-	fence, err := b.fenceOf(args[1])
+func cmdSameFence(ts *testscript.TestScript, _ bool, args []string) {
+	requireArgs(ts, args, 2, "samefence NAME INSTANCE")
+	site := testSiteOf(ts)
+	fence, err := site.fenceOf(args[1])
 	ts.Check(err)
-	if want := b.memories[args[0]].fence; fence != want {
+	if want := site.savedFences[args[0]].fence; fence != want {
 		ts.Fatalf("%s is at fence %d, it was at %d", args[1], fence, want)
 	}
 }
 
 func cmdBackgroundChat(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "bgchat NAME DAEMON MODEL [tokens=N] [key=K]")
-	b := benchOf(ts)
-	d, err := b.daemon(args[1])
+	requireArgs(ts, args, 3, "bgchat NAME DAEMON MODEL [tokens=N] [key=K]")
+	site := testSiteOf(ts)
+	d, err := site.daemon(args[1])
 	ts.Check(err)
 	end := make(chan result, 1)
-	b.chats[args[0]] = end
+	site.backgroundChats[args[0]] = end
 	r := parseChat(ts, args[2:])
 	r.prompt, r.stream = "background "+args[0], true
 	go func() { end <- r.send(context.Background(), d.callers) }()
 }
 
 func cmdBackgroundChatEnd(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "bgchatend NAME")
-	if res := <-benchOf(ts).chats[args[0]]; res.end != endWhole {
+	requireArgs(ts, args, 1, "bgchatend NAME")
+	if res := <-testSiteOf(ts).backgroundChats[args[0]]; res.end != endWhole {
 		ts.Fatalf("%s: %+v", args[0], res)
 	}
 }
 
-func cmdRemember(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "remember NAME INSTANCE")
-	b := benchOf(ts)
-	fence, err := b.fenceOf(args[1])
+func cmdSaveFence(ts *testscript.TestScript, _ bool, args []string) {
+	requireArgs(ts, args, 2, "savefence NAME INSTANCE")
+	site := testSiteOf(ts)
+	fence, err := site.fenceOf(args[1])
 	ts.Check(err)
-	b.memories[args[0]] = memory{fence: fence, at: time.Now()}
+	site.savedFences[args[0]] = savedFence{fence: fence, noted: time.Now()}
 }
 
 func cmdNoRuns(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "noruns NAME SLACK")
-	b := benchOf(ts)
+	requireArgs(ts, args, 2, "noruns NAME SLACK")
+	site := testSiteOf(ts)
 	slack, err := time.ParseDuration(args[1])
 	ts.Check(err)
-	m, ok := b.memories[args[0]]
-	if !ok || m.fence == 0 {
-		ts.Fatalf("noruns: %s was not remembered in a group", args[0])
+	saved, ok := site.savedFences[args[0]]
+	if !ok || saved.fence == 0 {
+		ts.Fatalf("noruns: %s is no saved fence of a group", args[0])
 	}
-	for _, r := range b.runs() {
-		if late := r.Started.Sub(m.at); r.Fence == m.fence && late > slack {
-			ts.Fatalf("request %s began on the old group %s after it was broken", r.Request, late)
+	for _, r := range site.runs() {
+		if delay := r.Started.Sub(saved.noted); r.Fence == saved.fence && delay > slack {
+			ts.Fatalf("request %s started on the old group %s after savefence", r.Request, delay)
 		}
 	}
 }
 
-// runs lists what the engines that answer have begun.
-func (b *bench) runs() []standin.RunReport {
+// runs returns the runs that the reachable engines have started.
+func (s *testSite) runs() []standin.RunReport {
 	var out []standin.RunReport
-	for _, addr := range b.engines {
+	for _, addr := range s.engines {
 		reports, err := fetch[[]standin.RunReport](fmt.Sprintf("http://%s/control/runs", addr))
 		if err == nil {
 			out = append(out, reports...)
@@ -480,11 +480,11 @@
 }
 
 func cmdLogged(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 2, "logged PROCESS REGEXP")
+	requireArgs(ts, args, 2, "logged PROCESS REGEXP")
 	pattern, err := regexp.Compile(args[1])
 	ts.Check(err)
 	find := func() error {
-		data, err := os.ReadFile(benchOf(ts).procs[args[0]].log)
+		data, err := os.ReadFile(testSiteOf(ts).processes[args[0]].log)
 		if err == nil && !pattern.Match(data) {
 			err = fmt.Errorf("%s has not logged %s", args[0], args[1])
 		}
@@ -496,40 +496,39 @@
 		}
 		return
 	}
-	ts.Check(within(awaitFor, find))
+	ts.Check(retryFor(awaitTimeout, find))
 }
 
 func cmdAdmin(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "admin DAEMON")
-	d, err := benchOf(ts).daemon(args[0])
+	requireArgs(ts, args, 1, "admin DAEMON")
+	d, err := testSiteOf(ts).daemon(args[0])
 	ts.Check(err)
 	ts.Setenv("LUPINKEEL_ADMIN", d.admin.String())
 }
 
-// cmdElapse lets time pass where a script has nothing to wait for: it
-// proves that something does not happen.
-func cmdElapse(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "elapse DURATION")
+// cmdSleep waits in a script that has no event to wait for: it shows that something doesn't happen.
+func cmdSleep(ts *testscript.TestScript, _ bool, args []string) {
+	requireArgs(ts, args, 1, "sleep DURATION")
 	d, err := time.ParseDuration(args[0])
 	ts.Check(err)
 	time.Sleep(d)
 }
 
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "load start|stop [model ...]")
-	b := benchOf(ts)
+	requireArgs(ts, args, 1, "load start|stop [model ...]")
+	site := testSiteOf(ts)
 	if args[0] == "start" {
 		var targets []netip.AddrPort
-		for _, d := range b.daemons {
+		for _, d := range site.daemons {
 			targets = append(targets, d.callers)
 		}
-		b.load = startLoad(targets, args[1:])
+		site.load = startLoad(targets, args[1:])
 		return
 	}
-	b.load.stop()
-	summary, err := b.load.check(b.runs())
+	site.load.stop()
+	summary, err := site.load.check(site.runs())
 	fmt.Fprintln(ts.Stdout(), summary)
 	ts.Logf("%s", summary)
-	b.load = nil
+	site.load = nil
 	ts.Check(err)
 }
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -20,27 +20,27 @@
 	"github.com/lupinkeel/lupinkeel/standin"
 )
 
-func mapKeys[K comparable, V any](m map[K]V) iter.Seq[K] { return maps.Keys(m) }
+func keysOf[K comparable, V any](m map[K]V) iter.Seq[K] { return maps.Keys(m) }
 
-// end is what a caller sees of a request.
+// end is the outcome of a request as its caller sees it.
 type end string
 
 const (
 	endWhole end = "whole"
-	// endNotRun and endMayHaveRun are what the daemon said.
+	// endNotRun and endMayHaveRun are reported by the daemon.
 	endNotRun     end = "not-run"
 	endMayHaveRun end = "may-have-run"
-	// endBroken is a connection that broke off or an error in a stream.
+	// endBroken: the connection was aborted, or the stream ended in an error event.
 	endBroken end = "broken"
-	// endSilent: the daemon itself did not answer.
-	endSilent end = "silent"
-	// endWrong is a broken promise: a short answer with a clean end, or
-	// another's answer.
+	// endNoResponse: the daemon itself did not respond.
+	endNoResponse end = "silent"
+	// endWrong violates the protocol: a truncated response without an error, or the response to
+	// another request.
 	endWrong end = "wrong"
 )
 
-// chat is one request.
-type chat struct {
+// chatRequest is one chat completion request.
+type chatRequest struct {
 	model  string
 	prompt string
 	tokens int
@@ -58,9 +58,9 @@
 	detail  string
 }
 
-func (c chat) want() string { return standin.Answer(c.prompt+"\n", c.tokens) }
+func (c chatRequest) want() string { return standin.Answer(c.prompt+"\n", c.tokens) }
 
-func (c chat) send(ctx context.Context, addr netip.AddrPort) result {
+func (c chatRequest) send(ctx context.Context, addr netip.AddrPort) result {
 	body, err := json.Marshal(map[string]any{
 		"model": c.model, "stream": c.stream, "max_tokens": c.tokens,
 		"messages": []standin.ChatMessage{{Role: "user", Content: c.prompt}},
@@ -81,7 +81,7 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return result{end: endSilent, key: c.key, detail: err.Error()}
+		return result{end: endNoResponse, key: c.key, detail: err.Error()}
 	}
 	defer resp.Body.Close()
 	res := result{status: resp.StatusCode, key: c.key, request: resp.Header.Get(api.HeaderRequest)}
@@ -92,12 +92,12 @@
 	case c.stream:
 		res.end, res.detail = c.readStream(resp.Body)
 	default:
-		res.end, res.detail = c.readWhole(resp.Body)
+		res.end, res.detail = c.readCompletion(resp.Body)
 	}
 	return res
 }
 
-func (c chat) readWhole(body io.Reader) (end, string) {
+func (c chatRequest) readCompletion(body io.Reader) (end, string) {
 	data, err := io.ReadAll(body)
 	if err != nil {
 		return endBroken, err.Error()
@@ -116,7 +116,7 @@
 	return endWhole, ""
 }
 
-func (c chat) readStream(body io.Reader) (end, string) {
+func (c chatRequest) readStream(body io.Reader) (end, string) {
 	var text strings.Builder
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -151,8 +151,8 @@
 	return endWrong, "the stream ended cleanly without its end mark"
 }
 
-// load sends requests through all daemons until it is stopped.
-type load struct {
+// loadGenerator sends requests through all daemons until it is stopped.
+type loadGenerator struct {
 	cancel  context.CancelFunc
 	workers sync.WaitGroup
 
@@ -161,58 +161,58 @@
 }
 
 const (
-	loadWorkers = 8
-	loadGap     = 20 * time.Millisecond
-	// loadTimeout is the deadline that the load sets: an upstream may stay
-	// silent on an open connection.
+	loadWorkers  = 8
+	loadInterval = 20 * time.Millisecond
+	// loadTimeout is the request timeout of the load: an upstream may stay silent on an open
+	// connection.
 	loadTimeout = "10s"
-	// keyedEvery is which of the requests, one in so many, is sent twice
-	// with one key, through two daemons.
-	keyedEvery = 5
+	// Every duplicateEvery-th request is sent twice with the same idempotency key, through two
+	// daemons.
+	duplicateEvery = 5
 )
 
-func startLoad(targets []netip.AddrPort, models []string) *load {
+func startLoad(targets []netip.AddrPort, models []string) *loadGenerator {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &load{cancel: cancel}
+	l := &loadGenerator{cancel: cancel}
 	for worker := range loadWorkers {
 		l.workers.Go(func() { l.work(ctx, worker, targets, models) })
 	}
 	return l
 }
 
-func (l *load) work(ctx context.Context, worker int, targets []netip.AddrPort, models []string) {
+func (l *loadGenerator) work(ctx context.Context, worker int, targets []netip.AddrPort, models []string) {
 	for n := 0; ctx.Err() == nil; n++ {
-		c := chat{
+		c := chatRequest{
 			model:  models[n%len(models)],
 			prompt: fmt.Sprintf("worker %d asks number %d", worker, n),
 			tokens: 5 + n%20,
 			stream: n%2 == 0,
 			header: http.Header{api.HeaderTimeout: {loadTimeout}},
 		}
-		if n%keyedEvery == 0 {
+		if n%duplicateEvery == 0 {
 			c.key = c.prompt
 			l.add(c.send(context.Background(), targets[(worker+n+1)%len(targets)]))
 		}
-		// A request in flight is allowed to end when the load stops.
+		// A request in flight may complete when the load stops.
 		res := c.send(context.Background(), targets[(worker+n)%len(targets)])
 		l.add(res)
-		time.Sleep(loadGap)
+		time.Sleep(loadInterval)
 	}
 }
 
-func (l *load) add(r result) {
+func (l *loadGenerator) add(r result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.results = append(l.results, r)
 }
 
-func (l *load) stop() {
+func (l *loadGenerator) stop() {
 	l.cancel()
 	l.workers.Wait()
 }
 
-// check compares what callers saw with what the engines ran.
-func (l *load) check(runs []standin.RunReport) (string, error) {
+// check compares the responses that callers received with the runs of the engines.
+func (l *loadGenerator) check(runs []standin.RunReport) (string, error) {
 	ran := runCounts(runs)
 	errs := []error{checkKeys(l.results, ran)}
 	for _, r := range l.results {
@@ -220,7 +220,7 @@
 		case r.end == endWrong:
 			errs = append(errs, fmt.Errorf("request %s: %s", r.request, r.detail))
 		case r.end == endNotRun && ran[r.request] > 0:
-			errs = append(errs, fmt.Errorf("request %s was said not to have run, and ran %d times", r.request, ran[r.request]))
+			errs = append(errs, fmt.Errorf("request %s was reported as not run, but ran %d times", r.request, ran[r.request]))
 		}
 	}
 	return fmt.Sprintf("requests %d: %v", len(l.results), countEnds(l.results)), errors.Join(errs...)
@@ -242,7 +242,7 @@
 	return counts
 }
 
-// checkKeys checks that of all requests with one key at most one ran, once.
+// checkKeys checks that the requests with the same key ran at most once in all.
 func checkKeys(results []result, ran map[string]int) error {
 	byKey := map[string]int{}
 	var errs []error
--- a/e2e/main_test.go
+++ b/e2e/main_test.go
@@ -1,6 +1,6 @@
-// Package e2e runs real processes on loopback behind a fault-injecting
-// proxy. Each test is a script in testdata; the commands that scripts have
-// beside the usual ones are in commands_test.go.
+// Package e2e runs real processes on loopback behind a fault-injecting proxy. Each test is a script
+// in testdata; commands_test.go lists the commands that scripts have in addition to those of
+// testscript.
 package e2e
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// binary is the program under test.
+// binary is the path of the program under test.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -32,7 +32,7 @@
 	os.Exit(code)
 }
 
-// serial runs scripts one after another: each starts many processes.
+// serial runs scripts one after another, because each starts many processes.
 type serial struct{ *testing.T }
 
 func (serial) Parallel() {}
@@ -53,9 +53,9 @@
 				return err
 			}
 			env.Setenv("ROOT", root)
-			b := newBench(env)
-			env.Values[benchKey{}] = b
-			env.Defer(b.stop)
+			site := newTestSite(env)
+			env.Values[testSiteKey{}] = site
+			env.Defer(site.stopAll)
 			return nil
 		},
 		Cmds:          scriptCommands,
--- a/e2e/norace_test.go
+++ b/e2e/norace_test.go
@@ -2,5 +2,5 @@
 
 package e2e
 
-// raceFlag builds the daemons like the tests.
+// raceFlag builds the daemons with the race detector if the tests use it.
 const raceFlag = "-race=false"
--- a/e2e/state_test.go
+++ b/e2e/state_test.go
@@ -15,11 +15,11 @@
 )
 
 func cmdRace(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 4, "race DAEMON COMMAND DAEMON COMMAND")
-	b := benchOf(ts)
+	requireArgs(ts, args, 4, "race DAEMON COMMAND DAEMON COMMAND")
+	site := testSiteOf(ts)
 	ends := make(chan string, 2)
 	for i := 0; i < 4; i += 2 {
-		go func() { ends <- b.askResult(args[i], args[i+1]) }()
+		go func() { ends <- site.askResult(args[i], args[i+1]) }()
 	}
 	first, second := <-ends, <-ends
 	accepted := strings.Count(first+second, "accepted")
@@ -30,9 +30,9 @@
 	fmt.Fprintln(ts.Stdout(), second)
 }
 
-// askResult is what became of a change, with the reason.
-func (b *bench) askResult(daemon, text string) string {
-	answer, err := b.ask(daemon, text)
+// askResult returns the result of a change, with the reason.
+func (s *testSite) askResult(daemon, text string) string {
+	answer, err := s.ask(daemon, text)
 	switch {
 	case err != nil:
 		return "silent: " + err.Error()
@@ -46,34 +46,34 @@
 }
 
 func cmdBackgroundAsk(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "bgask NAME DAEMON COMMAND")
-	b := benchOf(ts)
+	requireArgs(ts, args, 3, "bgask NAME DAEMON COMMAND")
+	site := testSiteOf(ts)
 	end := make(chan string, 1)
-	b.asks[args[0]] = end
-	go func() { end <- b.askResult(args[1], args[2]) }()
+	site.backgroundCommands[args[0]] = end
+	go func() { end <- site.askResult(args[1], args[2]) }()
 }
 
 func cmdBackgroundEnd(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "bgend NAME RESULT")
-	got := <-benchOf(ts).asks[args[0]]
+	requireArgs(ts, args, 2, "bgend NAME RESULT")
+	got := <-testSiteOf(ts).backgroundCommands[args[0]]
 	if !strings.HasPrefix(got, args[1]) {
-		ts.Fatalf("%s ended %q instead of %s", args[0], got, args[1])
+		ts.Fatalf("%s ended with %q instead of %s", args[0], got, args[1])
 	}
 	fmt.Fprintln(ts.Stdout(), got)
 }
 
-func cmdSame(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(within(awaitFor, func() error { return benchOf(ts).sameState(args) }))
+func cmdSameState(ts *testscript.TestScript, _ bool, args []string) {
+	ts.Check(retryFor(awaitTimeout, func() error { return testSiteOf(ts).sameState(args) }))
 }
 
 var errDiffer = errors.New("states differ")
 
-func (b *bench) sameState(daemons []string) error {
+func (s *testSite) sameState(daemons []string) error {
 	const applied, digest = 1, 3
 	seen := map[string]string{}
 	var first string
 	for _, d := range daemons {
-		answer, err := b.ask(d, "show state")
+		answer, err := s.ask(d, "show state")
 		if err != nil {
 			return err
 		}
@@ -95,10 +95,9 @@
 	return nil
 }
 
-// cmdDouble appends every record that the log holds once more, as a retry
-// that comes very late would.
-func cmdDouble(ts *testscript.TestScript, _ bool, _ []string) {
-	base := fmt.Sprintf("http://%s/log/%s", benchOf(ts).platform, platform.StreamState)
+// cmdReappend appends every record of the log once more, as a very late retry does.
+func cmdReappend(ts *testscript.TestScript, _ bool, _ []string) {
+	base := fmt.Sprintf("http://%s/log/%s", testSiteOf(ts).platform, platform.StreamState)
 	answer, err := fetch[platform.ReadAnswer](base + "?from=1")
 	ts.Check(err)
 	for _, e := range answer.Entries {
@@ -108,13 +107,13 @@
 	}
 }
 
-func cmdMany(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "many N DAEMON COMMAND")
+func cmdRepeat(ts *testscript.TestScript, _ bool, args []string) {
+	requireArgs(ts, args, 3, "repeat N DAEMON COMMAND")
 	n, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	for i := range n {
 		text := strings.ReplaceAll(args[2], "%d", strconv.Itoa(i))
-		answer, err := benchOf(ts).ask(args[1], text)
+		answer, err := testSiteOf(ts).ask(args[1], text)
 		ts.Check(err)
 		if answer.Change == nil || answer.Change.Result != api.ChangeAccepted {
 			ts.Fatalf("%s: %+v %+v", text, answer.Change, answer.Error)
--- a/e2e/storm_test.go
+++ b/e2e/storm_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	stormGap    = 150 * time.Millisecond
-	stormWithin = 5 * time.Minute
-	// longestCut is beyond the length of any answer of the load.
-	longestCut = 6000
+	stormInterval = 150 * time.Millisecond
+	stormTimeout  = 5 * time.Minute
+	// maxCutAfter is more than the length of any response to the load.
+	maxCutAfter = 6000
 )
 
-// randomFaults draws what happens to one link for a while. Most cuts fall
-// within the head, the body or the stream of an answer.
+// randomFaults returns random faults for a link. Most of them cut connections within the header,
+// the body or the stream of a response.
 func randomFaults(rng *rand.Rand) standin.Faults {
 	switch rng.IntN(8) {
 	case 0:
@@ -32,15 +32,15 @@
 	case 3:
 		return standin.Faults{Delay: standin.Duration(time.Duration(rng.IntN(40)) * time.Millisecond)}
 	case 4, 5, 6:
-		return standin.Faults{CutAfter: 1 + rng.IntN(longestCut)}
+		return standin.Faults{CutAfter: 1 + rng.IntN(maxCutAfter)}
 	default:
 		return standin.Faults{}
 	}
 }
 
 func cmdStorm(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "storm SEED REQUESTS LINK ...")
-	b := benchOf(ts)
+	requireArgs(ts, args, 3, "storm SEED REQUESTS LINK ...")
+	site := testSiteOf(ts)
 	seed, err := strconv.ParseUint(args[0], 10, 64)
 	ts.Check(err)
 	requests, err := strconv.Atoi(args[1])
@@ -49,16 +49,16 @@
 	set := func(link string, f standin.Faults) {
 		data, err := json.Marshal(f)
 		ts.Check(err)
-		ts.Check(post(fmt.Sprintf("http://%s/links/%s", b.proxy, link), string(data)))
+		ts.Check(post(fmt.Sprintf("http://%s/links/%s", site.proxy, link), string(data)))
 	}
-	deadline := time.Now().Add(stormWithin)
-	for b.load.count() < requests {
+	deadline := time.Now().Add(stormTimeout)
+	for site.load.count() < requests {
 		if time.Now().After(deadline) {
-			ts.Fatalf("storm: only %d of %d requests in time", b.load.count(), requests)
+			ts.Fatalf("storm: only %d of %d requests in time", site.load.count(), requests)
 		}
 		link := args[2+rng.IntN(len(args)-2)]
 		set(link, randomFaults(rng))
-		time.Sleep(stormGap)
+		time.Sleep(stormInterval)
 		if rng.IntN(2) == 0 {
 			set(link, standin.Faults{})
 		}
@@ -68,7 +68,7 @@
 	}
 }
 
-func (l *load) count() int {
+func (l *loadGenerator) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.results)
--- a/load/load.go
+++ b/load/load.go
@@ -1,6 +1,6 @@
-// Package load sends requests at a steady rate, whatever becomes of those
-// sent before, and counts what comes back. Operators use it through
-// 'lupinkeel load', the measurements directly.
+// Package load sends requests at a steady rate, without waiting for earlier ones to complete (open
+// loop), and measures the responses. Operators use it through 'lupinkeel load', the measurements
+// use it directly.
 package load
 
 import (
@@ -24,102 +24,102 @@
 	"github.com/lupinkeel/lupinkeel/router"
 )
 
-// Caller is one workspace's part of the load.
+// Caller is the caller token of one workspace and its share of the load.
 type Caller struct {
 	Token string
-	// Weight is its part of the requests against the other callers'.
+	// Weight is the caller's share of the requests, relative to the weights of the other callers.
 	Weight int
 }
 
-// Options describe a load.
+// Options configures a load.
 type Options struct {
-	// Targets are the daemons, or engines, that get the requests in turn.
+	// Targets are the daemons, or engines, that receive the requests in turn.
 	Targets []netip.AddrPort
 	Callers []Caller
 	Model   models.ModelName
-	// Rate is in requests a second.
+	// Rate is the number of requests a second.
 	Rate     float64
 	Duration time.Duration
-	// Prompt and Answer are the mean lengths, in bytes and tokens; single
-	// requests have half to one and a half times as much.
+	// Prompt and Answer are the mean lengths of prompts in bytes and of completions in tokens; the
+	// length of a single request is between half and one and a half times the mean.
 	Prompt int
 	Answer int
-	// Prefixes is how many different beginnings the prompts have; the first
-	// three quarters of a prompt are shared. 0 shares nothing.
+	// Prefixes is how many different shared prefixes the prompts have; a prefix is three quarters
+	// of the mean prompt length. 0 means that prompts share no prefix.
 	Prefixes int
 	Timeout  time.Duration
-	// Seed fixes lengths and prefixes.
+	// Seed determines the lengths and prefixes.
 	Seed uint64
-	// HeaderFor, if set, returns what is sent with a request to a target.
+	// HeaderFor, if set, returns additional headers for requests to a target.
 	HeaderFor func(netip.AddrPort) http.Header
 }
 
-// Ends of a request as its caller sees it, beside those of router.End.
+// The outcomes of a request as its caller sees them, in addition to those of router.End.
 const (
-	// EndBroken: the stream broke off, or ended in an error event.
+	// EndBroken: the stream was aborted, or ended in an error event.
 	EndBroken router.End = "broken"
 	// EndShort: the stream ended cleanly without its end mark.
 	EndShort router.End = "short"
-	// EndDoubled: events came after the end mark.
+	// EndDoubled: more events followed the end mark.
 	EndDoubled router.End = "doubled"
-	// EndSilent: there was no answer at all.
+	// EndSilent: there was no response at all.
 	EndSilent router.End = "silent"
 )
 
-// Report is what a load showed.
+// Report holds the results of a load.
 type Report struct {
 	Sent   int                `json:"sent"`
 	Ends   map[router.End]int `json:"ends"`
 	Tokens int                `json:"tokens"`
-	// Seconds is how long it took until the last answer, Sending how long
-	// requests were sent.
-	Seconds float64 `json:"seconds"`
-	Sending float64 `json:"sending_seconds"`
-	// Goodput is whole answers a second.
+	// Seconds is the time until the last response, SendingSeconds the time in which requests were
+	// sent.
+	Seconds        float64 `json:"seconds"`
+	SendingSeconds float64 `json:"sending_seconds"`
+	// Goodput is the number of complete responses a second.
 	Goodput    float64             `json:"goodput_per_second"`
 	FirstToken latency.Percentiles `json:"first_token"`
 	InterToken latency.Percentiles `json:"inter_token"`
 	Refusal    latency.Percentiles `json:"refusal"`
 }
 
-// Run sends the load and waits for the last answer. progress, if not nil, is
-// called once a second.
+// Run sends the load and waits for the last response. progress, if not nil, is called once a
+// second.
 func Run(ctx context.Context, opts Options, progress func(Report)) (Report, error) {
 	if err := opts.check(); err != nil {
 		return Report{}, err
 	}
 	r := newRunner(opts)
-	var answers sync.WaitGroup
-	gap := time.Duration(float64(time.Second) / opts.Rate)
-	second := time.NewTicker(time.Second)
-	defer second.Stop()
+	var responses sync.WaitGroup
+	interval := time.Duration(float64(time.Second) / opts.Rate)
+	progressTick := time.NewTicker(time.Second)
+	defer progressTick.Stop()
 	next := time.NewTimer(0)
 	defer next.Stop()
 	for r.started = time.Now(); ctx.Err() == nil && time.Since(r.started) < opts.Duration; {
 		select {
 		case <-ctx.Done():
-		case <-second.C:
+		case <-progressTick.C:
 			if progress != nil {
 				progress(r.report())
 			}
 		case <-next.C:
-			n := r.count()
-			req := r.draw(n)
-			answers.Go(func() { r.note(r.send(ctx, req)) })
-			next.Reset(time.Until(r.started.Add(time.Duration(n+1) * gap)))
+			n := r.nextIndex()
+			req := r.newRequest(n)
+			responses.Go(func() { r.record(r.send(ctx, req)) })
+			next.Reset(time.Until(r.started.Add(time.Duration(n+1) * interval)))
 		}
 	}
 	sending := time.Since(r.started)
-	answers.Wait()
+	responses.Wait()
 	report := r.report()
-	// What was sent in time may end much later: it counts for the time
-	// that it took.
+	// Requests that were sent within the duration may complete much later, so goodput is relative
+	// to the time until the last response.
 	report.Goodput = float64(report.Ends[router.EndWhole]) / report.Seconds
-	report.Sending = sending.Seconds()
+	report.SendingSeconds = sending.Seconds()
 	return report, nil
 }
 
-// ErrOptions is returned for a load that can't be sent.
+// ErrOptions is returned for invalid options.
 var ErrOptions = errors.New("bad load")
 
 func (o Options) check() error {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// runner is one load under way.
+// runner is the state of a running load.
 type runner struct {
 	opts    Options
 	http    *http.Client
@@ -157,60 +157,60 @@
 	refusal    latency.Times
 }
 
-const maxIdle = 1024
+const maxIdleConnsPerHost = 1024
 
 func newRunner(opts Options) *runner {
 	return &runner{
 		opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 0)), ends: map[router.End]int{},
-		http:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdle, DisableCompression: true}},
+		http:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, DisableCompression: true}},
 		firstToken: latency.New(),
 		interToken: latency.New(),
 		refusal:    latency.New(),
 	}
 }
 
-func (r *runner) count() int {
+func (r *runner) nextIndex() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent++
 	return r.sent - 1
 }
 
-// request is one request as it was drawn.
+// request is one generated request.
 type request struct {
 	target netip.AddrPort
 	token  string
 	body   []byte
 }
 
-func (r *runner) draw(n int) request {
+func (r *runner) newRequest(n int) request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return request{
 		target: r.opts.Targets[n%len(r.opts.Targets)],
-		token:  r.drawCaller(),
-		body:   r.drawBody(n),
+		token:  r.pickCaller(),
+		body:   r.newBody(n),
 	}
 }
 
-func (r *runner) drawCaller() string {
+func (r *runner) pickCaller() string {
 	total := 0
 	for _, c := range r.opts.Callers {
 		total += max(1, c.Weight)
 	}
-	at := r.rng.IntN(total)
+	pick := r.rng.IntN(total)
 	for _, c := range r.opts.Callers {
-		if at -= max(1, c.Weight); at < 0 {
+		if pick -= max(1, c.Weight); pick < 0 {
 			return c.Token
 		}
 	}
 	return r.opts.Callers[0].Token
 }
 
-func (r *runner) drawBody(n int) []byte {
-	around := func(mean int) int { return mean/2 + r.rng.IntN(mean+1) }
+func (r *runner) newBody(n int) []byte {
+	vary := func(mean int) int { return mean/2 + r.rng.IntN(mean+1) }
 	prompt := fmt.Sprintf("request %d of seed %d ", n, r.opts.Seed)
-	length := around(r.opts.Prompt)
+	length := vary(r.opts.Prompt)
 	if r.opts.Prefixes > 0 {
 		shared := fmt.Sprintf("prefix %d ", r.rng.IntN(r.opts.Prefixes))
 		prompt = strings.Repeat(shared, r.opts.Prompt*3/4/len(shared)) + prompt
@@ -219,7 +219,7 @@
 		prompt += strings.Repeat("x", missing)
 	}
 	body, err := json.Marshal(map[string]any{
-		"model": r.opts.Model, "stream": true, "max_tokens": around(r.opts.Answer),
+		"model": r.opts.Model, "stream": true, "max_tokens": vary(r.opts.Answer),
 		"messages": []map[string]string{{"role": "user", "content": prompt}},
 	})
 	if err != nil {
@@ -228,27 +228,27 @@
 	return body
 }
 
-// result is what one request showed.
+// result is the outcome of one request.
 type result struct {
 	end        router.End
 	firstToken time.Duration
-	gaps       []time.Duration
-	took       time.Duration
+	tokenGaps  []time.Duration
+	duration   time.Duration
 }
 
-func (r *runner) note(res result) {
+func (r *runner) record(res result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ends[res.end]++
 	if res.end == router.EndNotRun {
-		r.refusal.Add(res.took)
+		r.refusal.Add(res.duration)
 		return
 	}
 	if res.firstToken > 0 {
 		r.firstToken.Add(res.firstToken)
-		r.tokens += 1 + len(res.gaps)
+		r.tokens += 1 + len(res.tokenGaps)
 	}
-	for _, g := range res.gaps {
+	for _, g := range res.tokenGaps {
 		r.interToken.Add(g)
 	}
 }
@@ -285,7 +285,7 @@
 	httpReq.Header.Set("Authorization", "Bearer "+req.token)
 	resp, err := r.http.Do(httpReq)
 	if err != nil {
-		return result{end: EndSilent, took: time.Since(started)}
+		return result{end: EndSilent, duration: time.Since(started)}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -294,12 +294,12 @@
 		if end == router.EndNone {
 			end = EndBroken
 		}
-		return result{end: end, took: time.Since(started)}
+		return result{end: end, duration: time.Since(started)}
 	}
 	return readStream(resp.Body, started)
 }
 
-// readStream times the events of an answer and sees how it ends.
+// readStream measures the times between the events of a stream and determines its outcome.
 func readStream(body io.Reader, started time.Time) result {
 	res := result{end: EndShort}
 	last := started
@@ -319,7 +319,7 @@
 			if res.firstToken == 0 {
 				res.firstToken = now.Sub(started)
 			} else {
-				res.gaps = append(res.gaps, now.Sub(last))
+				res.tokenGaps = append(res.tokenGaps, now.Sub(last))
 			}
 			last = now
 		}
@@ -327,6 +327,6 @@
 	if lines.Err() != nil {
 		res.end = EndBroken
 	}
-	res.took = time.Since(started)
+	res.duration = time.Since(started)
 	return res
 }
--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -18,34 +18,33 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// CapacityOptions size the measurement of what daemons cost.
+// CapacityOptions configures the measurement of the resource usage of daemons.
 type CapacityOptions struct {
-	// Daemons and Instances are the points of the two slopes.
+	// Daemons and Instances are the numbers of daemons and of instances to measure at.
 	Daemons   []int
 	Instances []int
-	// Groups are the points of the slopes of the agreed state.
+	// Groups are the numbers of groups at which to measure the replicated state.
 	Groups []int
-	// Window is how long each point is measured.
+	// Window is the duration of each measurement.
 	Window time.Duration
 }
 
-// DaemonPoint is what one daemon costs among so many, or with so many
-// instances to watch.
+// DaemonPoint is the resource usage of one daemon in a site with this many daemons and instances.
 type DaemonPoint struct {
 	Daemons   int `json:"daemons"`
 	Instances int `json:"instances"`
-	// Bytes a second, both ways.
+	// PeerBytes, PlatformBytes and WatchBytes are sent and received bytes a second.
 	PeerBytes     float64 `json:"peer_bytes_per_second"`
 	PlatformBytes float64 `json:"platform_bytes_per_second"`
 	WatchBytes    float64 `json:"watch_bytes_per_second"`
-	// CorePercent is the processor time of a daemon in hundredths of a
-	// core. It includes an equal part of what the stand-ins took.
+	// CorePercent is the CPU time of a daemon as a percentage of one core. It includes an equal
+	// share of the CPU time of the stand-ins.
 	CorePercent float64 `json:"core_percent"`
-	// HeapBytes is a daemon's part of the live heap.
+	// HeapBytes is a daemon's share of the live heap.
 	HeapBytes float64 `json:"heap_bytes"`
 }
 
-// StatePoint is what the agreed state costs at so many groups of eight.
+// StatePoint is the cost of the replicated state with this many groups of eight.
 type StatePoint struct {
 	Groups      int     `json:"groups"`
 	Bytes       int     `json:"bytes"`
@@ -60,12 +59,12 @@
 	RecordBytes int     `json:"form_record_bytes"`
 }
 
-// Capacity measures the slopes that docs/CAPACITY.md works with.
+// Capacity measures the resource usage that docs/CAPACITY.md calculates with.
 func Capacity(ctx context.Context, opts CapacityOptions) (Report, error) {
 	table := Table{Columns: []string{"point", "peer B/s", "platform B/s", "watch B/s", "% of a core", "heap KB", "bytes", "marshal ms", "clone us", "apply us", "plan ms", "gates us"}}
 	var daemons []DaemonPoint
 	for _, n := range opts.Daemons {
-		p, err := daemonPoint(ctx, n, 0, opts.Window)
+		p, err := measureDaemons(ctx, n, 0, opts.Window)
 		if err != nil {
 			return Report{}, err
 		}
@@ -73,7 +72,7 @@
 		table.Rows = append(table.Rows, p.row())
 	}
 	for _, n := range opts.Instances {
-		p, err := daemonPoint(ctx, 3, n, opts.Window)
+		p, err := measureDaemons(ctx, 3, n, opts.Window)
 		if err != nil {
 			return Report{}, err
 		}
@@ -82,7 +81,7 @@
 	}
 	var states []StatePoint
 	for _, n := range opts.Groups {
-		p, err := statePoint(n)
+		p, err := measureState(n)
 		if err != nil {
 			return Report{}, err
 		}
@@ -108,10 +107,10 @@
 	}
 }
 
-const rosterWithin = 2 * time.Minute
+const rosterTimeout = 2 * time.Minute
 
-// daemonPoint runs a site that nobody uses and sees what it costs.
-func daemonPoint(ctx context.Context, daemons, instances int, window time.Duration) (DaemonPoint, error) {
+// measureDaemons measures the resource usage of an idle site.
+func measureDaemons(ctx context.Context, daemons, instances int, window time.Duration) (DaemonPoint, error) {
 	opts := site.Options{Daemons: daemons, Zones: []models.Zone{"zone-a", "zone-b", "zone-c"}, Log: zerolog.Nop()}
 	if instances > 0 {
 		opts.Domains = []site.Domain{{Name: "fabric-a", Zone: "zone-a", Engines: instances}}
@@ -121,7 +120,7 @@
 	if err != nil {
 		return DaemonPoint{}, err
 	}
-	ready, cancel := context.WithTimeout(ctx, rosterWithin)
+	ready, cancel := context.WithTimeout(ctx, rosterTimeout)
 	defer cancel()
 	err = s.WaitFor(ready, "a settled site", func(v *daemon.View) bool {
 		return len(v.State.Daemons) == daemons && len(v.Evidence) == instances
@@ -129,23 +128,23 @@
 	if err != nil {
 		return DaemonPoint{}, firstError(err, s.Stop())
 	}
-	before, used := siteTraffic(s), processorTime()
+	before, used := totalTraffic(s), cpuTime()
 	time.Sleep(window)
-	after, usedAfter := siteTraffic(s), processorTime()
+	after, usedAfter := totalTraffic(s), cpuTime()
 	heap := liveHeap()
-	per := func(b, a uint64) float64 { return float64(a-b) / window.Seconds() / float64(daemons) }
+	rate := func(b, a uint64) float64 { return float64(a-b) / window.Seconds() / float64(daemons) }
 	p := DaemonPoint{
 		Daemons: daemons, Instances: instances,
-		PeerBytes:     per(before.Peers, after.Peers),
-		PlatformBytes: per(before.Platform, after.Platform),
-		WatchBytes:    per(before.Watch, after.Watch),
+		PeerBytes:     rate(before.Peers, after.Peers),
+		PlatformBytes: rate(before.Platform, after.Platform),
+		WatchBytes:    rate(before.Watch, after.Watch),
 		CorePercent:   100 * (usedAfter - used).Seconds() / window.Seconds() / float64(daemons),
 		HeapBytes:     float64(heap) / float64(daemons),
 	}
 	return p, s.Stop()
 }
 
-func siteTraffic(s *site.Site) daemon.Traffic {
+func totalTraffic(s *site.Site) daemon.Traffic {
 	var total daemon.Traffic
 	for _, n := range s.Nodes {
 		t := n.Daemon.Traffic()
@@ -168,10 +167,10 @@
 	auditCount = 1000
 )
 
-// statePoint folds so many groups and times what a daemon does with them.
-func statePoint(groups int) (StatePoint, error) {
+// measureState builds a state with this many groups and measures the daemon's operations on it.
+func measureState(groups int) (StatePoint, error) {
 	before := liveHeap()
-	s, err := stateOf(groups)
+	s, err := buildState(groups)
 	if err != nil {
 		return StatePoint{}, err
 	}
@@ -181,15 +180,15 @@
 		return p, err
 	}
 	p.Bytes = len(data)
-	p.MarshalMS = timeEach(5, func() { _, err = s.Marshal() }).Seconds() * 1e3
-	p.RestoreMS = timeEach(5, func() { _, err = state.Restore(s.Applied, data) }).Seconds() * 1e3
-	p.CloneUS = timeEach(20, func() { s.Clone() }).Seconds() * 1e6
+	p.MarshalMS = averageTime(5, func() { _, err = s.Marshal() }).Seconds() * 1e3
+	p.RestoreMS = averageTime(5, func() { _, err = state.Restore(s.Applied, data) }).Seconds() * 1e3
+	p.CloneUS = averageTime(20, func() { s.Clone() }).Seconds() * 1e6
 	if err != nil {
 		return p, err
 	}
 	in := planInput(s)
-	p.PlanMS = timeEach(10, func() { planner.Plan(in) }).Seconds() * 1e3
-	p.GatesUS = timeEach(10, func() {
+	p.PlanMS = averageTime(10, func() { planner.Plan(in) }).Seconds() * 1e3
+	p.GatesUS = averageTime(10, func() {
 		for _, g := range s.Groups {
 			planner.GateOf(g, in.Evidence, time.Second)
 		}
@@ -206,7 +205,7 @@
 	return p, firstError(err, encodeErr)
 }
 
-func timeEach(times int, f func()) time.Duration {
+func averageTime(times int, f func()) time.Duration {
 	started := time.Now()
 	for range times {
 		f()
@@ -214,13 +213,13 @@
 	return time.Since(started) / time.Duration(times)
 }
 
-// stateOf folds a model and so many groups of it.
-func stateOf(groups int) (*state.State, error) {
+// buildState applies the records of a model and of this many of its groups.
+func buildState(groups int) (*state.State, error) {
 	s := state.New()
 	change := state.ChangeConfig{Operator: "op", Ops: []state.Op{state.PutModel{Model: models.Model{
 		Name: "brief", Version: "v1", Members: groupSize, Replicas: min(groups, models.MaxReplicas),
 	}}}}
-	data, err := state.Encode(state.Record{ID: newID(0), Author: "daemon-1", Body: change})
+	data, err := state.Encode(state.Record{ID: recordID(0), Author: "daemon-1", Body: change})
 	if err != nil {
 		return nil, err
 	}
@@ -240,7 +239,7 @@
 	return s, nil
 }
 
-func newID(n int) models.RecordID {
+func recordID(n int) models.RecordID {
 	return models.RecordID(fmt.Sprintf("00000000-0000-4000-8000-%012d", n))
 }
 
@@ -255,7 +254,7 @@
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(n >> 8), byte(n), byte(m)}), 8000), Accelerators: 1, ChecksFences: true,
 		})
 	}
-	return state.Encode(state.Record{ID: newID(n), Author: "daemon-1", Body: state.FormGroup{Group: g, ModelRevision: revision, Reason: "its model wants more replicas"}})
+	return state.Encode(state.Record{ID: recordID(n), Author: "daemon-1", Body: state.FormGroup{Group: g, ModelRevision: revision, Reason: "its model wants more replicas"}})
 }
 
 func addAudit(s *state.State) error {
@@ -264,7 +263,7 @@
 			Operator: "duty", Note: "night shift", Text: "limit workspace observatory concurrent 40",
 			Ops: []state.Op{state.PutPolicy{Base: s.Policy.Revision, Policy: models.Policy{Downtime: n % 9, Stranded: 1}}},
 		}
-		data, err := state.Encode(state.Record{ID: newID(1_000_000 + n), Author: "daemon-1", At: time.Unix(int64(n), 0), Body: change})
+		data, err := state.Encode(state.Record{ID: recordID(1_000_000 + n), Author: "daemon-1", At: time.Unix(int64(n), 0), Body: change})
 		if err != nil {
 			return err
 		}
@@ -276,7 +275,7 @@
 	return nil
 }
 
-// planInput gives every member fresh evidence that it serves.
+// planInput returns planner input in which every member was just seen serving.
 func planInput(s *state.State) planner.Input {
 	now := time.Now()
 	in := planner.Input{
--- a/measure/config.go
+++ b/measure/config.go
@@ -20,13 +20,13 @@
 	"github.com/lupinkeel/lupinkeel/standin"
 )
 
-// ConfigOptions size the measurement of configuration changes.
+// ConfigOptions configures the measurement of configuration changes.
 type ConfigOptions struct {
 	Daemons int
 	Changes int
 }
 
-// ConfigFigures are what one system showed.
+// ConfigFigures are the results of one system.
 type ConfigFigures struct {
 	Changes  int `json:"changes"`
 	Accepted int `json:"accepted"`
@@ -34,47 +34,48 @@
 	// Late counts accepted changes that were not in force everywhere within
 	// lateAfter.
 	Late int `json:"late"`
-	// InForce is the time from asking until in force on every daemon.
+	// InForce is the time from the request for a change until the change is in force on every
+	// daemon.
 	InForce latency.Percentiles `json:"in_force"`
-	// Reverts counts daemons that went back to an older value.
+	// Reverts counts how often a daemon reverted to an older value.
 	Reverts          int     `json:"reverts"`
 	AppendsPerSecond float64 `json:"appends_per_second"`
-	// BytesPerSecond is a daemon's control traffic, both ways.
+	// BytesPerSecond is the control traffic of one daemon, sent and received.
 	BytesPerSecond float64 `json:"bytes_per_second"`
 }
 
 const (
-	lateAfter   = 10 * time.Second
-	changeEvery = 200 * time.Millisecond
-	sampleEvery = 2 * time.Millisecond
-	valueName   = "measured"
+	lateAfter      = 10 * time.Second
+	changeInterval = 200 * time.Millisecond
+	sampleInterval = 2 * time.Millisecond
+	modelName      = "measured"
 )
 
-// configSystem is a system whose configuration is one number.
+// configSystem is a system under test whose configuration is a single number.
 type configSystem interface {
-	// change asks one daemon for a value and tells whether it was accepted.
+	// change asks a daemon to set the value and reports whether it accepted.
 	change(ctx context.Context, daemon, value int) bool
-	// values are what the daemons have in force.
+	// values returns the value in force on each daemon.
 	values() []int
-	// replace puts a new daemon in one's place.
+	// replace replaces a daemon by a new one.
 	replace(daemon int) error
 	platform() *standin.Platform
 	link() *standin.Link
-	// bytes is the control traffic of all daemons so far.
-	bytes() uint64
-	// late appends once more what stood on the log for an older value.
-	late(ctx context.Context) error
+	// controlBytes returns the control traffic of all daemons so far.
+	controlBytes() uint64
+	// reappendOld appends an older record of the log again.
+	reappendOld(ctx context.Context) error
 }
 
-// Config measures how long changes take until they are in force everywhere,
-// under faults, and whether any reverts.
+// Config measures the time until changes are in force on every daemon, under faults, and whether
+// any daemon reverts to an older value.
 func Config(ctx context.Context, opts ConfigOptions) (Report, error) {
 	realSystem, err := newRealConfig(ctx, opts)
 	if err != nil {
 		return Report{}, err
 	}
 	realFigures, err := runConfig(ctx, realSystem, opts)
-	if err := firstError(err, realSystem.s.Stop()); err != nil {
+	if err := firstError(err, realSystem.site.Stop()); err != nil {
 		return Report{}, err
 	}
 	naive, err := newNaiveConfig(ctx, opts)
@@ -108,33 +109,33 @@
 	return nil
 }
 
-// runConfig makes changes at a steady pace, with the same faults at the same
-// changes for every system.
+// runConfig makes changes at a steady rate, with the same faults at the same changes for every
+// system.
 func runConfig(ctx context.Context, s configSystem, opts ConfigOptions) (ConfigFigures, error) {
 	figures := ConfigFigures{Changes: opts.Changes}
-	t := &tracker{inForce: latency.New(), newest: make([]int, opts.Daemons)}
+	t := &inForceTracker{inForce: latency.New(), newest: make([]int, opts.Daemons)}
 	sampling, stop := context.WithCancel(ctx)
 	sampler := task.Start(sampling, "sampler", func(ctx context.Context) error { return t.run(ctx, s) })
-	started, bytes := time.Now(), s.bytes()
+	started, bytes := time.Now(), s.controlBytes()
 	appends := s.platform().Log.Counts().Appends
 	var faultErr error
 	for n := 1; n <= opts.Changes && ctx.Err() == nil && faultErr == nil; n++ {
-		faultErr = configFault(s, n, opts)
-		asked := time.Now()
+		faultErr = injectFault(s, n, opts)
+		requested := time.Now()
 		if s.change(ctx, n%opts.Daemons, n) {
 			figures.Accepted++
-			t.add(n, asked)
+			t.add(n, requested)
 		} else {
 			figures.Refused++
 		}
 		if n%10 == 7 {
-			faultErr = firstError(faultErr, s.late(ctx))
+			faultErr = firstError(faultErr, s.reappendOld(ctx))
 		}
-		time.Sleep(time.Until(asked.Add(changeEvery)))
+		time.Sleep(time.Until(requested.Add(changeInterval)))
 	}
-	took := time.Since(started).Seconds()
-	figures.AppendsPerSecond = float64(s.platform().Log.Counts().Appends-appends) / took
-	figures.BytesPerSecond = float64(s.bytes()-bytes) / took / float64(opts.Daemons)
+	elapsed := time.Since(started).Seconds()
+	figures.AppendsPerSecond = float64(s.platform().Log.Counts().Appends-appends) / elapsed
+	figures.BytesPerSecond = float64(s.controlBytes()-bytes) / elapsed / float64(opts.Daemons)
 	t.settle(ctx)
 	stop()
 	err := firstError(faultErr, task.Wait(sampler), ctx.Err())
@@ -142,8 +143,8 @@
 	return figures, err
 }
 
-// tracker samples what the daemons have in force.
-type tracker struct {
+// inForceTracker samples which values the daemons have in force.
+type inForceTracker struct {
 	mu      sync.Mutex
 	pending []pendingChange
 	inForce latency.Times
@@ -153,18 +154,18 @@
 }
 
 type pendingChange struct {
-	value int
-	asked time.Time
+	value     int
+	requested time.Time
 }
 
-func (t *tracker) add(value int, asked time.Time) {
+func (t *inForceTracker) add(value int, asked time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.pending = append(t.pending, pendingChange{value, asked})
 }
 
-func (t *tracker) run(ctx context.Context, s configSystem) error {
-	tick := time.NewTicker(sampleEvery)
+func (t *inForceTracker) run(ctx context.Context, s configSystem) error {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -176,10 +177,9 @@
 	}
 }
 
-// sample counts a change as in force once every daemon has its value or that
-// of a later change. A daemon that was replaced and knows nothing yet shows
-// 0, which is no revert.
-func (t *tracker) sample(now time.Time, values []int) {
+// sample counts a change as in force once every daemon has its value or that of a later change. A
+// replaced daemon that has no configuration yet reports 0, which doesn't count as a revert.
+func (t *inForceTracker) sample(now time.Time, values []int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, v := range values {
@@ -190,42 +190,42 @@
 			t.newest[i] = v
 		}
 	}
-	least := slices.Min(values)
+	oldest := slices.Min(values)
 	t.pending = slices.DeleteFunc(t.pending, func(p pendingChange) bool {
-		took := now.Sub(p.asked)
-		if p.value > least && took < lateAfter {
+		elapsed := now.Sub(p.requested)
+		if p.value > oldest && elapsed < lateAfter {
 			return false
 		}
-		if p.value > least {
+		if p.value > oldest {
 			t.late++
 		}
-		t.inForce.Add(took)
+		t.inForce.Add(elapsed)
 		return true
 	})
 }
 
 // settle waits until every change is in force or late.
-func (t *tracker) settle(ctx context.Context) {
+func (t *inForceTracker) settle(ctx context.Context) {
 	for ctx.Err() == nil {
 		t.mu.Lock()
-		left := len(t.pending)
+		remaining := len(t.pending)
 		t.mu.Unlock()
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
-		time.Sleep(sampleEvery)
+		time.Sleep(sampleInterval)
 	}
 }
 
-// configFault switches the faults that belong before the nth change. One
-// daemon in the first, second and last tenth of the run is cut off from the
-// log but not from its peers, by a closed and by a frozen connection.
-func configFault(s configSystem, n int, opts ConfigOptions) error {
+// injectFault changes the faults before the nth change. The last daemon is cut off from the log,
+// but not from its peers: in the second tenth of the run its connections are closed, in the fourth
+// they are frozen.
+func injectFault(s configSystem, n int, opts ConfigOptions) error {
 	tenth := opts.Changes / 10
 	victim := opts.Daemons - 1
-	only := []netip.Addr{site.Source(victim)}
+	only := []netip.Addr{site.SourceAddr(victim)}
 	lose, down, delay := 1, true, standin.Duration(150*time.Millisecond)
-	var up bool
+	var notDown bool
 	var noDelay standin.Duration
 	switch n {
 	case tenth:
@@ -239,7 +239,7 @@
 	case 5 * tenth:
 		s.platform().Log.Control(standin.LogControl{Down: &down})
 	case 5*tenth + 2:
-		s.platform().Log.Control(standin.LogControl{Down: &up})
+		s.platform().Log.Control(standin.LogControl{Down: &notDown})
 	case 6 * tenth:
 		return s.replace(1)
 	case 7 * tenth:
@@ -248,23 +248,23 @@
 		s.platform().Log.Control(standin.LogControl{Delay: &noDelay})
 	}
 	if n%10 == 5 {
-		s.platform().Log.Control(standin.LogControl{LoseAnswers: &lose})
+		s.platform().Log.Control(standin.LogControl{LoseResponses: &lose})
 	}
 	return nil
 }
 
-// realConfig is lupinkeel itself; the value is a model's replicas.
+// realConfig is lupinkeel; the value is the number of replicas of a model.
 type realConfig struct {
-	mu sync.Mutex
-	s  *site.Site
-	// gone is the traffic of daemons that were replaced.
-	gone uint64
+	mu   sync.Mutex
+	site *site.Site
+	// replacedBytes is the traffic of the daemons that were replaced.
+	replacedBytes uint64
 }
 
 func newRealConfig(ctx context.Context, opts ConfigOptions) (*realConfig, error) {
 	s, err := site.Start(ctx, site.Options{
-		Daemons: opts.Daemons, Zones: []models.Zone{"zone-a", "zone-b", "zone-c"}, Apart: true, Log: zerolog.Nop(),
-		Tune: func(c *config.Serve) { c.CheckpointEvery = 100 },
+		Daemons: opts.Daemons, Zones: []models.Zone{"zone-a", "zone-b", "zone-c"}, OwnSourceAddrs: true, Log: zerolog.Nop(),
+		AdjustSettings: func(c *config.Serve) { c.CheckpointEvery = 100 },
 	})
 	if err != nil {
 		return nil, err
@@ -273,25 +273,25 @@
 	defer cancel()
 	err = s.WaitFor(ready, "all daemons on the roster", func(v *daemon.View) bool { return len(v.State.Daemons) == opts.Daemons })
 	if err == nil {
-		_, err = s.Ask(ctx, 0, fmt.Sprintf("set model %s version v1 replicas 0", valueName))
+		_, err = s.Ask(ctx, 0, fmt.Sprintf("set model %s version v1 replicas 0", modelName))
 	}
 	if err != nil {
 		return nil, firstError(err, s.Stop())
 	}
-	return &realConfig{s: s}, nil
+	return &realConfig{site: s}, nil
 }
 
 func (r *realConfig) change(ctx context.Context, daemon, value int) bool {
-	answer, err := r.s.Ask(ctx, daemon, fmt.Sprintf("set model %s replicas %d", valueName, value))
+	answer, err := r.site.Ask(ctx, daemon, fmt.Sprintf("set model %s replicas %d", modelName, value))
 	return err == nil && answer.Change != nil && (answer.Change.Result == api.ChangeAccepted || answer.Change.Result == api.ChangeRecorded)
 }
 
 func (r *realConfig) values() []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make([]int, 0, len(r.s.Nodes))
-	for _, n := range r.s.Nodes {
-		out = append(out, n.Daemon.View().State.Models[valueName].Replicas)
+	out := make([]int, 0, len(r.site.Nodes))
+	for _, n := range r.site.Nodes {
+		out = append(out, n.Daemon.View().State.Models[modelName].Replicas)
 	}
 	return out
 }
@@ -299,25 +299,25 @@
 func (r *realConfig) replace(daemon int) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.s.Nodes[daemon].Daemon.Traffic()
-	r.gone += t.Peers + t.Platform
-	return r.s.Replace(daemon)
+	t := r.site.Nodes[daemon].Daemon.Traffic()
+	r.replacedBytes += t.Peers + t.Platform
+	return r.site.Replace(daemon)
 }
 
-func (r *realConfig) platform() *standin.Platform { return r.s.Platform }
-func (r *realConfig) link() *standin.Link         { return r.s.Link }
+func (r *realConfig) platform() *standin.Platform { return r.site.Platform }
+func (r *realConfig) link() *standin.Link         { return r.site.Link }
 
-func (r *realConfig) bytes() uint64 {
+func (r *realConfig) controlBytes() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	total := r.gone
-	for _, n := range r.s.Nodes {
+	total := r.replacedBytes
+	for _, n := range r.site.Nodes {
 		t := n.Daemon.Traffic()
 		total += t.Peers + t.Platform
 	}
 	return total
 }
 
-func (r *realConfig) late(ctx context.Context) error {
-	return appendAgain(ctx, r.s.PlatformAddr, "state")
+func (r *realConfig) reappendOld(ctx context.Context) error {
+	return reappend(ctx, r.site.PlatformAddr, "state")
 }
--- a/measure/groups.go
+++ b/measure/groups.go
@@ -12,19 +12,18 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// GroupFigures are what one planner showed on one trace.
+// GroupFigures are the results of one planner on one trace.
 type GroupFigures struct {
 	Trace   string `json:"trace"`
 	Planner string `json:"planner"`
-	// Downtime is the time for which fewer groups served than were wanted,
-	// in group-seconds; its limit counts, at each time, the groups that the
-	// instances that are up can't make, and for each event the detection
-	// and one load.
+	// Downtime sums up the groups that were wanted but not serving, in group-seconds. Its limit is
+	// a lower bound: at each time, the groups that can't be formed from the instances that are up,
+	// plus the detection time and one load for each lost member.
 	Downtime      float64 `json:"downtime_group_seconds"`
 	DowntimeLimit float64 `json:"downtime_limit_group_seconds"`
-	// Stranded is the time for which accelerators were up and served
-	// nobody, in accelerator-seconds; its limit is what the best packing
-	// leaves over.
+	// Stranded sums up the accelerators that were up but in no serving group, in
+	// accelerator-seconds. Its limit is a lower bound: the accelerators that the best packing
+	// leaves unused.
 	Stranded      float64 `json:"stranded_accelerator_seconds"`
 	StrandedLimit float64 `json:"stranded_limit_accelerator_seconds"`
 	Loads         int     `json:"loads"`
@@ -32,32 +31,32 @@
 	PlanMS        float64 `json:"plan_ms"`
 }
 
-// The site of the traces: about 60 replicas of eight and 3 of four, in
-// domains with a few instances to spare.
+// The site of the traces: about 60 replicas of eight members and 3 of four, in domains with a few
+// spare instances.
 const (
-	traceDomains  = 15
-	domainEngines = 36
-	mainReplicas  = 58
-	mainMembers   = 8
-	smallReplicas = 3
-	smallMembers  = 4
-	traceLoad     = 20 * time.Second
-	traceLoadRate = 8.0
-	settleFor     = 3 * time.Minute
-	traceSeed     = 20261202
-	loadDetection = planDetection + traceLoad
-	planDetection = time.Second
+	traceDomains         = 15
+	enginesPerDomain     = 36
+	mainReplicas         = 58
+	mainMembers          = 8
+	smallReplicas        = 3
+	smallMembers         = 4
+	traceLoadTime        = 20 * time.Second
+	traceLoadsPerSecond  = 8.0
+	settleTime           = 3 * time.Minute
+	traceSeed            = 20261202
+	detectionAndLoadTime = detectionTime + traceLoadTime
+	detectionTime        = time.Second
 )
 
-// trace is a list of events that happen to a world.
+// trace is a sequence of events in a simulation.
 type trace struct {
 	name   string
 	length time.Duration
-	// events is the number of members that are lost for good or for long,
-	// for the limit of the downtime.
+	// lost is the number of members that are lost permanently or for a long time; the lower bound
+	// of the downtime counts them.
 	lost int
-	// play makes what happens at a step from the start.
-	play func(w *world, step int)
+	// apply applies the events of a step, counted from the start of the trace.
+	apply func(sim *simulation, step int)
 }
 
 func engineID(domain, n int) models.InstanceID {
@@ -66,11 +65,11 @@
 
 func domainName(domain int) models.Domain { return models.Domain(fmt.Sprintf("f%02d", domain)) }
 
-func at(step int, t time.Duration) bool { return step == int(t/worldStep) }
+func isStep(step int, t time.Duration) bool { return step == int(t/simulationStep) }
 
-// singleDeaths kills one member every minute and brings a new
-// instance in its place five minutes later.
-func singleDeaths() trace {
+// singleFailures stops one member every minute and replaces it by a new instance five minutes
+// later.
+func singleFailures() trace {
 	const deaths = 10
 	rng := rand.New(rand.NewPCG(traceSeed, 1))
 	victims := make([]models.InstanceID, deaths)
@@ -79,87 +78,86 @@
 		d := rng.IntN(traceDomains)
 		victims[i], domains[i] = engineID(d, rng.IntN(mainMembers*4)), domainName(d)
 	}
-	return trace{"single deaths", 17 * time.Minute, deaths, func(w *world, step int) {
+	return trace{"single deaths", 17 * time.Minute, deaths, func(sim *simulation, step int) {
 		for i := range victims {
 			died := time.Duration(i) * time.Minute
-			if at(step, died) {
-				w.set(victims[i], false)
+			if isStep(step, died) {
+				sim.setUp(victims[i], false)
 			}
-			if at(step, died+5*time.Minute) {
-				w.remove(victims[i])
-				w.add(models.InstanceID(fmt.Sprintf("new-%02d", i)), domains[i])
+			if isStep(step, died+5*time.Minute) {
+				sim.remove(victims[i])
+				sim.add(models.InstanceID(fmt.Sprintf("new-%02d", i)), domains[i])
 			}
 		}
 	}}
 }
 
-// darkDomain takes a whole domain away for five minutes.
-func darkDomain() trace {
-	return trace{"domain dark", 15 * time.Minute, 4, func(w *world, step int) {
-		for n := range domainEngines {
-			if at(step, time.Minute) {
-				w.set(engineID(3, n), false)
+// domainOutage takes a whole domain down for five minutes.
+func domainOutage() trace {
+	return trace{"domain dark", 15 * time.Minute, 4, func(sim *simulation, step int) {
+		for n := range enginesPerDomain {
+			if isStep(step, time.Minute) {
+				sim.setUp(engineID(3, n), false)
 			}
-			if at(step, 6*time.Minute) {
-				w.set(engineID(3, n), true)
+			if isStep(step, 6*time.Minute) {
+				sim.setUp(engineID(3, n), true)
 			}
 		}
 	}}
 }
 
-// rolling replaces 160 instances, one every five seconds: it leaves, is gone
-// after a minute, and another comes half a minute later.
-func rolling() trace {
+// rollingReplacement replaces 160 instances, one every five seconds: an instance is marked as
+// leaving, is removed a minute later, and a new one is added half a minute after that.
+func rollingReplacement() trace {
 	const replaced = 160
 	victim := func(i int) (models.InstanceID, models.Domain) {
 		d := i % traceDomains
 		return engineID(d, i/traceDomains*3), domainName(d)
 	}
-	return trace{"rolling replacement", 18 * time.Minute, replaced, func(w *world, step int) {
+	return trace{"rolling replacement", 18 * time.Minute, replaced, func(sim *simulation, step int) {
 		for i := range replaced {
 			id, d := victim(i)
 			leaves := time.Duration(i) * 5 * time.Second
 			switch {
-			case at(step, leaves):
-				w.leave(id)
-			case at(step, leaves+time.Minute):
-				w.remove(id)
-			case at(step, leaves+90*time.Second):
-				w.add(models.InstanceID(fmt.Sprintf("roll-%03d", i)), d)
+			case isStep(step, leaves):
+				sim.markLeaving(id)
+			case isStep(step, leaves+time.Minute):
+				sim.remove(id)
+			case isStep(step, leaves+90*time.Second):
+				sim.add(models.InstanceID(fmt.Sprintf("roll-%03d", i)), d)
 			}
 		}
 	}}
 }
 
-// flapping lets one member of each of five domains go away for three
-// seconds in every ten.
+// flapping takes one member of each of five domains down for three seconds in every ten.
 func flapping() trace {
 	const flappers, period, away = 5, 10 * time.Second, 3 * time.Second
-	return trace{"flapping", 10 * time.Minute, flappers, func(w *world, step int) {
-		in := time.Duration(step) * worldStep % period
+	return trace{"flapping", 10 * time.Minute, flappers, func(sim *simulation, step int) {
+		in := time.Duration(step) * simulationStep % period
 		for d := range flappers {
-			w.set(engineID(d, 2), in >= away)
+			sim.setUp(engineID(d, 2), in >= away)
 		}
 	}}
 }
 
-// player is one planner with its weights.
-type player struct {
+// plannerVariant is a planner with a policy.
+type plannerVariant struct {
 	name   string
 	naive  bool
 	policy models.Policy
 }
 
-// Groups drives the naive planner and the real one, with the weights of both
-// users, through the same traces.
+// Groups runs the naive planner, and the real planner with the policies of both users, through the
+// same traces.
 func Groups(ctx context.Context) (Report, error) {
-	players := []player{
+	players := []plannerVariant{
 		{"naive", true, models.Policy{Downtime: 1, Stranded: 1}},
 		{"mtkvari", false, models.Policy{Downtime: 9, Stranded: 1}},
 		{"bangkok", false, models.Policy{Downtime: 1, Stranded: 9}},
 	}
 	table := Table{Columns: []string{"trace", "planner", "downtime group-s", "limit", "stranded acc-s", "limit", "loads", "records", "plan ms"}}
-	all, err := playAll(ctx, []trace{singleDeaths(), darkDomain(), rolling(), flapping()}, players)
+	all, err := runTraces(ctx, []trace{singleFailures(), domainOutage(), rollingReplacement(), flapping()}, players)
 	if err != nil {
 		return Report{}, err
 	}
@@ -178,15 +176,15 @@
 	return Report{Table: table, Figures: map[string]any{"measure": "groups", "traces": all, "plan_ms_at_2500_instances": cost}}, nil
 }
 
-// playAll plays every trace with every player, side by side: their time is
-// made up, so they do not disturb one another.
-func playAll(ctx context.Context, traces []trace, players []player) ([]GroupFigures, error) {
+// runTraces runs every trace with every planner, in parallel: the time is simulated, so that the
+// runs don't affect each other.
+func runTraces(ctx context.Context, traces []trace, players []plannerVariant) ([]GroupFigures, error) {
 	out := make([]GroupFigures, len(traces)*len(players))
 	var tasks []task.Task
 	for i, t := range traces {
 		for j, p := range players {
 			tasks = append(tasks, task.Start(ctx, t.name+", "+p.name, func(ctx context.Context) (err error) {
-				out[i*len(players)+j], err = playTrace(ctx, t, p)
+				out[i*len(players)+j], err = runTrace(ctx, t, p)
 				return err
 			}))
 		}
@@ -194,47 +192,47 @@
 	return out, task.Wait(tasks...)
 }
 
-func traceWorld(p player) (*world, error) {
-	w := newWorld(worldOptions{Load: traceLoad, LoadsPerSecond: traceLoadRate, Naive: p.naive, ReplaceAfter: planDetection})
+func traceSimulation(p plannerVariant) (*simulation, error) {
+	sim := newSimulation(simulationOptions{Load: traceLoadTime, LoadsPerSecond: traceLoadsPerSecond, Naive: p.naive, ReplaceAfter: detectionTime})
 	for d := range traceDomains {
-		for n := range domainEngines {
-			w.add(engineID(d, n), domainName(d))
+		for n := range enginesPerDomain {
+			sim.add(engineID(d, n), domainName(d))
 		}
 	}
-	return w, w.configure(
+	return sim, sim.configure(
 		state.PutModel{Model: models.Model{Name: "brief", Version: "v1", Members: mainMembers, Replicas: mainReplicas}},
 		state.PutModel{Model: models.Model{Name: "digest", Version: "v1", Members: smallMembers, Replicas: smallReplicas}},
 		state.PutPolicy{Policy: p.policy},
 	)
 }
 
-// playTrace lets a site settle, plays the trace and sums the measures up.
-func playTrace(ctx context.Context, t trace, p player) (GroupFigures, error) {
+// runTrace lets a site settle, runs the trace and sums up the results.
+func runTrace(ctx context.Context, t trace, p plannerVariant) (GroupFigures, error) {
 	f := GroupFigures{Trace: t.name, Planner: p.name}
-	w, err := traceWorld(p)
+	sim, err := traceSimulation(p)
 	if err != nil {
 		return f, err
 	}
-	for range int(settleFor / worldStep) {
-		if err := w.step(); err != nil {
+	for range int(settleTime / simulationStep) {
+		if err := sim.step(); err != nil {
 			return f, err
 		}
 	}
-	loads, records := w.loads, w.records
-	w.planned, w.rounds = 0, 0
+	loads, records := sim.loads, sim.records
+	sim.planTime, sim.planRounds = 0, 0
 	const wanted = mainReplicas + smallReplicas
-	seconds := worldStep.Seconds()
-	// A lost member costs one group its detection and, at best, no load.
-	f.DowntimeLimit = float64(t.lost) * loadDetection.Seconds()
-	for step := range int(t.length / worldStep) {
-		t.play(w, step)
-		if err := firstError(w.step(), ctx.Err()); err != nil {
+	seconds := simulationStep.Seconds()
+	// A lost member costs one group the time of its detection and at best no load.
+	f.DowntimeLimit = float64(t.lost) * detectionAndLoadTime.Seconds()
+	for step := range int(t.length / simulationStep) {
+		t.apply(sim, step)
+		if err := firstError(sim.step(), ctx.Err()); err != nil {
 			return f, err
 		}
-		groups, used := w.serving()
-		bestGroups, bestUsed := w.mostUsable()
+		groups, used := sim.serving()
+		bestGroups, bestUsed := sim.optimum()
 		up := 0
-		for _, m := range w.machines {
+		for _, m := range sim.machines {
 			if m.up {
 				up++
 			}
@@ -244,19 +242,19 @@
 		f.Stranded += float64(up-used) * seconds
 		f.StrandedLimit += float64(up-bestUsed) * seconds
 	}
-	f.Loads, f.Records = w.loads-loads, w.records-records
-	f.PlanMS = w.planned.Seconds() * 1e3 / float64(w.rounds)
+	f.Loads, f.Records = sim.loads-loads, sim.records-records
+	f.PlanMS = sim.planTime.Seconds() * 1e3 / float64(sim.planRounds)
 	return f, nil
 }
 
-// planCost is the time of one round of planning at 2,500 instances.
+// planCost measures the time of one planning round at 2,500 instances.
 func planCost() (float64, error) {
 	const groups = 2500 / groupSize
-	s, err := stateOf(groups)
+	s, err := buildState(groups)
 	if err != nil {
 		return 0, err
 	}
 	in := planInput(s)
 	in.Rules = planner.DefaultRules(time.Second, time.Second)
-	return timeEach(20, func() { planner.Plan(in) }).Seconds() * 1e3, nil
+	return averageTime(20, func() { planner.Plan(in) }).Seconds() * 1e3, nil
 }
--- a/measure/naive_config.go
+++ b/measure/naive_config.go
@@ -20,15 +20,15 @@
 const (
 	naiveStream = "naive"
 	naivePoll   = time.Second
-	// lateDistance is how far back the record lies that comes once more.
-	lateDistance = 6
+	// staleDistance is how many records before the end of the stream the record to append again
+	// lies.
+	staleDistance = 6
 )
 
-// appendAgain appends once more a record that stands some way back on the
-// stream, as a retry does that was held up.
-func appendAgain(ctx context.Context, addr netip.AddrPort, stream string) error {
+// reappend appends an older record of the stream again, as a delayed retry does.
+func reappend(ctx context.Context, addr netip.AddrPort, stream string) error {
 	c := platform.NewClient(addr, addr, dial.Dialer{})
-	entries, err := c.ReadTail(ctx, stream, lateDistance)
+	entries, err := c.ReadTail(ctx, stream, staleDistance)
 	if errors.Is(err, platform.ErrRefused) || len(entries) == 0 {
 		return nil
 	}
@@ -42,18 +42,18 @@
 	return err
 }
 
-// naiveConfig is the naive system: each daemon polls the log once a second
-// and takes the last writer; an append is tried until it is answered.
+// naiveConfig is the naive system: each daemon polls the log once a second and applies the last
+// write; an append is retried until it is acknowledged.
 type naiveConfig struct {
-	p       *standin.Platform
-	l       *standin.Link
-	addr    netip.AddrPort
-	daemons []*naiveDaemon
-	stopAll context.CancelFunc
-	ctx     context.Context
-	tasks   []task.Task
-	mu      sync.Mutex
-	sent    atomic.Uint64
+	standins *standin.Platform
+	proxy    *standin.Link
+	addr     netip.AddrPort
+	daemons  []*naiveDaemon
+	cancel   context.CancelFunc
+	ctx      context.Context
+	tasks    []task.Task
+	mu       sync.Mutex
+	traffic  atomic.Uint64
 }
 
 type naiveDaemon struct {
@@ -65,19 +65,19 @@
 
 func newNaiveConfig(ctx context.Context, opts ConfigOptions) (*naiveConfig, error) {
 	ctx, stop := context.WithCancel(ctx)
-	n := &naiveConfig{p: standin.NewPlatform(), ctx: ctx, stopAll: stop}
-	server, err := standin.Listen(netip.MustParseAddrPort("127.0.0.1:0"), n.p.Handler())
+	n := &naiveConfig{standins: standin.NewPlatform(), ctx: ctx, cancel: stop}
+	server, err := standin.Listen(netip.MustParseAddrPort("127.0.0.1:0"), n.standins.Handler())
 	if err != nil {
 		stop()
 		return nil, err
 	}
 	n.addr = server.Addr
 	n.tasks = append(n.tasks, task.Start(ctx, "platform", server.Run))
-	if n.l, err = standin.NewLink(netip.MustParseAddrPort("127.0.0.1:0"), server.Addr); err != nil {
+	if n.proxy, err = standin.NewLink(netip.MustParseAddrPort("127.0.0.1:0"), server.Addr); err != nil {
 		stop()
 		return nil, err
 	}
-	n.tasks = append(n.tasks, task.Start(ctx, "link", n.l.Run))
+	n.tasks = append(n.tasks, task.Start(ctx, "link", n.proxy.Run))
 	for i := range opts.Daemons {
 		n.daemons = append(n.daemons, n.newDaemon(i))
 	}
@@ -86,9 +86,9 @@
 
 func (n *naiveConfig) newDaemon(i int) *naiveDaemon {
 	ctx, stop := context.WithCancel(n.ctx)
-	count := func(sent, received int) { n.sent.Add(uint64(sent + received)) }
+	count := func(sent, received int) { n.traffic.Add(uint64(sent + received)) }
 	d := &naiveDaemon{
-		client: platform.NewClient(n.l.Addr, n.l.Addr, dial.Dialer{Source: site.Source(i), Count: count}), stop: stop,
+		client: platform.NewClient(n.proxy.Addr, n.proxy.Addr, dial.Dialer{Source: site.SourceAddr(i), Count: count}), stop: stop,
 	}
 	d.task = task.Start(ctx, "naive", d.run)
 	return d
@@ -152,14 +152,16 @@
 	return err
 }
 
-func (n *naiveConfig) platform() *standin.Platform { return n.p }
-func (n *naiveConfig) link() *standin.Link         { return n.l }
-func (n *naiveConfig) bytes() uint64               { return n.sent.Load() }
+func (n *naiveConfig) platform() *standin.Platform { return n.standins }
+func (n *naiveConfig) link() *standin.Link         { return n.proxy }
+func (n *naiveConfig) controlBytes() uint64        { return n.traffic.Load() }
 
-func (n *naiveConfig) late(ctx context.Context) error { return appendAgain(ctx, n.addr, naiveStream) }
+func (n *naiveConfig) reappendOld(ctx context.Context) error {
+	return reappend(ctx, n.addr, naiveStream)
+}
 
 func (n *naiveConfig) stop() error {
-	n.stopAll()
+	n.cancel()
 	for _, d := range n.daemons {
 		n.tasks = append(n.tasks, d.task)
 	}
--- a/measure/naive_planner.go
+++ b/measure/naive_planner.go
@@ -11,26 +11,25 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// naiveTimeout is the fixed time after which the naive planner gives a
-// member up.
+// naiveTimeout is the fixed time after which the naive planner considers a silent member lost.
 const naiveTimeout = 10 * time.Second
 
-// naivePlan ends a group whose member is away or leaving, after a fixed
-// timeout, and forms new groups from free instances, first fit.
+// naivePlan ends a group that has a lost member, and forms new groups from free instances that
+// aren't leaving, first fit.
 func naivePlan(in planner.Input) []planner.Proposal {
 	var out []planner.Proposal
-	have := map[models.ModelName]int{}
-	away := func(id models.InstanceID) bool {
+	serving := map[models.ModelName]int{}
+	lost := func(id models.InstanceID) bool {
 		e, known := in.Evidence[id]
 		return !known || (!e.SilentSince.IsZero() && e.Away(in.Now) > naiveTimeout)
 	}
 	for _, id := range slices.Sorted(maps.Keys(in.State.Groups)) {
 		g := in.State.Groups[id]
-		if slices.ContainsFunc(g.Members, func(m models.Member) bool { return away(m.ID) }) {
+		if slices.ContainsFunc(g.Members, func(m models.Member) bool { return lost(m.ID) }) {
 			out = append(out, planner.Proposal{Body: state.EndGroup{Group: state.GroupRef{ID: g.ID, Fence: g.Fence}, Reason: "a member is away"}})
 			continue
 		}
-		have[g.Model]++
+		serving[g.Model]++
 	}
 	free := map[models.Domain][]models.Member{}
 	for _, id := range slices.Sorted(maps.Keys(in.Instances)) {
@@ -43,14 +42,14 @@
 	for _, name := range slices.Sorted(maps.Keys(in.State.Models)) {
 		m := in.State.Models[name]
 		for _, d := range slices.Sorted(maps.Keys(free)) {
-			for have[name] < m.Replicas && len(free[d]) >= m.Members {
+			for serving[name] < m.Replicas && len(free[d]) >= m.Members {
 				n++
 				g := models.Group{
 					ID: models.GroupID(fmt.Sprintf("%s-%d.%d", name, in.State.Applied+1, n)), Model: name, Version: m.Version,
 					Zone: "z", Domain: d, Members: free[d][:m.Members],
 				}
 				free[d] = free[d][m.Members:]
-				have[name]++
+				serving[name]++
 				out = append(out, planner.Proposal{Body: state.FormGroup{Group: g, ModelRevision: m.Revision}})
 			}
 		}
--- a/measure/naive_router.go
+++ b/measure/naive_router.go
@@ -13,8 +13,8 @@
 	"github.com/lupinkeel/lupinkeel/worker/upstream"
 )
 
-// naiveRouter sends requests to the groups' first members in turn, tries the
-// next one once if that fails, and refuses nothing.
+// naiveRouter sends requests to the groups' first members in turn, retries once on the next group
+// if that fails, and has no admission control.
 type naiveRouter struct {
 	groups []models.Group
 	next   atomic.Uint64
@@ -32,21 +32,21 @@
 		return
 	}
 	id := models.RequestID(uuid.NewString())
-	const tries = 2
-	for range tries {
+	const maxAttempts = 2
+	for range maxAttempts {
 		g := n.groups[int(n.next.Add(1))%len(n.groups)]
-		answer, err := n.client.Do(r.Context(), callTo(g.Members[0].Addr, g, id, body))
+		answer, err := n.client.Do(r.Context(), newCall(g.Members[0].Addr, g, id, body))
 		if err != nil {
 			continue
 		}
 		defer answer.Body.Close()
-		pass(w, answer)
+		copyResponse(w, answer)
 		return
 	}
 	http.Error(w, "no upstream", http.StatusBadGateway)
 }
 
-func callTo(addr netip.AddrPort, g models.Group, id models.RequestID, body []byte) upstream.Call {
+func newCall(addr netip.AddrPort, g models.Group, id models.RequestID, body []byte) upstream.Call {
 	return upstream.Call{
 		Addr: addr, Method: http.MethodPost, Path: "/v1/chat/completions", Body: body,
 		Header:  http.Header{"Content-Type": {"application/json"}},
@@ -54,8 +54,8 @@
 	}
 }
 
-// pass copies an answer as it comes.
-func pass(w http.ResponseWriter, answer *upstream.Answer) {
+// copyResponse streams the response to the client.
+func copyResponse(w http.ResponseWriter, answer *upstream.Answer) {
 	w.WriteHeader(answer.Status)
 	flush := http.NewResponseController(w).Flush
 	buf := make([]byte, 32<<10)
--- a/measure/requests.go
+++ b/measure/requests.go
@@ -20,28 +20,27 @@
 	"github.com/lupinkeel/lupinkeel/standin"
 )
 
-// RequestOptions size the measurement of requests.
+// RequestOptions configures the measurement of requests.
 type RequestOptions struct {
-	// Window is how long each load is sent.
+	// Window is the duration of each load.
 	Window time.Duration
-	// Factors are the loads, in parts of the capacity.
+	// Factors are the offered loads, as multiples of the capacity.
 	Factors []float64
 }
 
-// RequestFigures are what one system showed under one load.
+// RequestFigures are the results of one system under one load.
 type RequestFigures struct {
 	System string  `json:"system"`
 	Factor float64 `json:"load_factor"`
-	// Offered is in requests a second.
+	// Offered is the request rate, in requests a second.
 	Offered float64     `json:"offered_per_second"`
 	Report  load.Report `json:"report"`
-	// PrefixHits is the part of prompt bytes that engines had cached.
+	// PrefixHits is the fraction of prompt bytes that the engines had cached.
 	PrefixHits float64 `json:"prefix_hits"`
 }
 
-// The site of the measurement: groups whose engines run so many requests at
-// once, each of which takes a prompt's time, if it is not cached, and a gap
-// for each token.
+// The site of the measurement: groups whose engines run requestSlots requests at once. A request
+// takes the prefill time of the uncached part of its prompt, and requestGap for each token.
 const (
 	requestDomains = 4
 	requestSlots   = 8
@@ -53,25 +52,25 @@
 	cachedPrefixes = 48
 	requestDaemons = 3
 	requestTimeout = 10 * time.Second
-	readyWithin    = 20 * time.Second
+	readyTimeout   = 20 * time.Second
 )
 
-// What runs on one machine showed: so much of a prompt is not cached, and so
-// long the gap between two tokens really is.
+// Measured in runs on one machine: the fraction of prompt bytes that isn't cached, and the actual
+// time between two tokens.
 const (
-	uncachedPart = 0.7
-	realGap      = 5 * time.Millisecond
+	uncachedFraction = 0.7
+	measuredTokenGap = 5 * time.Millisecond
 )
 
-// capacity is about how many requests a second the engines finish.
+// capacity estimates how many requests a second the engines can complete.
 func capacity() float64 {
-	prompt := uncachedPart * requestPrefill.Seconds() * promptBytes / 1000
-	each := prompt + answerTokens*realGap.Seconds()
+	prompt := uncachedFraction * requestPrefill.Seconds() * promptBytes / 1000
+	each := prompt + answerTokens*measuredTokenGap.Seconds()
 	return requestDomains * requestSlots / each
 }
 
-// Requests compares the routing of requests with a naive router's under the
-// same loads, and measures what a daemon adds to the time to a first token.
+// Requests compares lupinkeel's routing with a naive router under the same loads, and measures the
+// latency that a daemon adds to the first token.
 func Requests(ctx context.Context, opts RequestOptions) (Report, error) {
 	table := Table{Columns: []string{
 		"system", "load", "offered/s", "goodput/s", "whole", "not run", "other", "first p50 ms", "p95", "p99", "gap p95", "refusal p99", "prefix hits",
@@ -133,7 +132,7 @@
 	}
 	used, total := 0, 0
 	for _, e := range s.Engines {
-		u, t := e.CacheUse()
+		u, t := e.CacheUsage()
 		used, total = used+u, total+t
 	}
 	if total > 0 {
@@ -156,7 +155,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ready, cancel := context.WithTimeout(ctx, readyWithin)
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := configureRequests(ready, s); err != nil {
 		return nil, firstError(err, s.Stop())
@@ -203,19 +202,19 @@
 	}, nil
 }
 
-// RequestCost is what a daemon adds.
+// RequestCost is the latency and CPU time that a daemon adds.
 type RequestCost struct {
-	// Added to the time to a first token, against going straight to the
-	// engine in the same run.
+	// AddedP50 and AddedP99 are added to the time to the first token, compared with requests sent
+	// directly to the engines of the same site.
 	AddedP50 float64 `json:"added_first_token_p50_ms"`
 	AddedP99 float64 `json:"added_first_token_p99_ms"`
-	// CPU of the whole process (load, daemons, engines) with daemons less
-	// that without, for each request.
+	// CPUPerRequest is the CPU time of the whole process (load, daemons, engines) for each request,
+	// less that of a load sent directly to the engines.
 	CPUPerRequest float64 `json:"cpu_per_request_us"`
 }
 
-// requestCost sends the same load straight to the engines and through the
-// daemons, at half of the capacity.
+// requestCost sends the same load directly to the engines and through the daemons, at half of the
+// capacity.
 func requestCost(ctx context.Context) (RequestCost, error) {
 	s, err := requestSite(ctx)
 	if err != nil {
@@ -226,11 +225,11 @@
 		Callers: []load.Caller{{Token: site.CallerToken, Weight: 1}}, Model: "brief", Rate: capacity() / 2,
 		Duration: 6 * time.Second, Prompt: 200, Answer: answerTokens, Timeout: requestTimeout, Seed: traceSeed,
 	}
-	var directs []netip.AddrPort
+	var engines []netip.AddrPort
 	for _, g := range view.State.Groups {
-		directs = append(directs, g.Members[0].Addr)
+		engines = append(engines, g.Members[0].Addr)
 	}
-	straight, straightCPU, err := loadCPU(ctx, opts, directs, view.State.Groups)
+	direct, directCPU, err := runLoad(ctx, opts, engines, view.State.Groups)
 	if err != nil {
 		return RequestCost{}, firstError(err, s.Stop())
 	}
@@ -238,21 +237,20 @@
 	for _, n := range s.Nodes {
 		daemons = append(daemons, n.Server.Addr())
 	}
-	through, throughCPU, err := loadCPU(ctx, opts, daemons, nil)
+	routed, routedCPU, err := runLoad(ctx, opts, daemons, nil)
 	cost := RequestCost{
-		AddedP50: through.FirstToken.P50 - straight.FirstToken.P50,
-		AddedP99: through.FirstToken.P99 - straight.FirstToken.P99,
+		AddedP50: routed.FirstToken.P50 - direct.FirstToken.P50,
+		AddedP99: routed.FirstToken.P99 - direct.FirstToken.P99,
 	}
-	if through.Sent > 0 && straight.Sent > 0 {
-		cost.CPUPerRequest = 1e6 * (throughCPU.Seconds()/float64(through.Sent) - straightCPU.Seconds()/float64(straight.Sent))
+	if routed.Sent > 0 && direct.Sent > 0 {
+		cost.CPUPerRequest = 1e6 * (routedCPU.Seconds()/float64(routed.Sent) - directCPU.Seconds()/float64(direct.Sent))
 	}
 	return cost, firstError(err, s.Stop())
 }
 
-// loadCPU sends a load and returns what the process spent meanwhile. Engines
-// that are asked directly need no fence here: their stand-ins take any
-// request that names the group's.
-func loadCPU(ctx context.Context, opts load.Options, targets []netip.AddrPort, groups map[models.GroupID]models.Group) (load.Report, time.Duration, error) {
+// runLoad sends a load and returns the CPU time that the process used meanwhile. Requests sent
+// directly to an engine carry the fence of its group, which the stand-in checks.
+func runLoad(ctx context.Context, opts load.Options, targets []netip.AddrPort, groups map[models.GroupID]models.Group) (load.Report, time.Duration, error) {
 	opts.Targets = targets
 	opts.HeaderFor = func(addr netip.AddrPort) http.Header {
 		for _, g := range groups {
@@ -264,7 +262,7 @@
 		}
 		return nil
 	}
-	before := processorTime()
+	start := cpuTime()
 	report, err := load.Run(ctx, opts, nil)
-	return report, processorTime() - before, err
+	return report, cpuTime() - start, err
 }
--- a/site/site.go
+++ b/site/site.go
@@ -1,6 +1,6 @@
-// Package site runs a whole site on loopback in one process: the platform,
-// engines, plain services and daemons. The demo and the measurements use it;
-// tests of failures run real processes instead.
+// Package site runs a whole site on loopback in one process: the platform, engines, plain services
+// and daemons. The demo and the measurements use it; tests of failures run separate processes
+// instead.
 package site
 
 import (
@@ -20,7 +20,8 @@
 	"github.com/lupinkeel/lupinkeel/standin"
 )
 
-// Tokens that work on every site.
+// OperatorToken is the bootstrap token of the daemons of every site. CallerToken is the token that
+// callers use once it is configured for a workspace.
 const (
 	OperatorToken = "site-operator"
 	CallerToken   = "site-caller"
@@ -33,26 +34,26 @@
 	Engines int
 }
 
-// Options describe a site.
+// Options configures a site.
 type Options struct {
 	Daemons int
-	// Zones are given to the daemons in turn.
+	// Zones are assigned to the daemons in turn.
 	Zones    []models.Zone
 	Domains  []Domain
 	Services []models.ServiceName
-	// Engine is copied for each engine; its ID and Platform are filled in.
+	// Engine configures each engine; its ID and Platform are filled in.
 	Engine standin.EngineOptions
-	// Accelerators is how many each engine has.
+	// Accelerators is the number of accelerators of each engine.
 	Accelerators int
-	// Apart gives each daemon a loopback address of its own to leave from,
-	// and puts a link with faults before the platform.
-	Apart bool
-	// Tune may change the settings of a daemon before it starts.
-	Tune func(*config.Serve)
-	Log  zerolog.Logger
+	// OwnSourceAddrs gives each daemon its own loopback source address, and puts a fault-injecting
+	// link in front of the platform.
+	OwnSourceAddrs bool
+	// AdjustSettings, if set, may change the settings of a daemon before it starts.
+	AdjustSettings func(*config.Serve)
+	Log            zerolog.Logger
 }
 
-// Node is one daemon of a site.
+// Node is one daemon of a site with its API server.
 type Node struct {
 	Daemon *daemon.Daemon
 	Server *api.Server
@@ -64,8 +65,7 @@
 type Site struct {
 	Platform     *standin.Platform
 	PlatformAddr netip.AddrPort
-	// Link stands before the platform's log and list if the daemons are
-	// apart.
+	// Link is in front of the platform's log and list if OwnSourceAddrs is set.
 	Link    *standin.Link
 	Engines map[models.InstanceID]*standin.Engine
 	Nodes   []*Node
@@ -78,7 +78,7 @@
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// Start starts everything. Stop ends it.
+// Start starts all parts of a site. Stop ends them.
 func Start(ctx context.Context, opts Options) (*Site, error) {
 	ctx, stop := context.WithCancel(ctx)
 	s := &Site{
@@ -98,7 +98,7 @@
 	}
 	s.PlatformAddr = server.Addr
 	s.run("platform", server.Run)
-	if s.opts.Apart {
+	if s.opts.OwnSourceAddrs {
 		if s.Link, err = standin.NewLink(loopback, server.Addr); err != nil {
 			return err
 		}
@@ -183,12 +183,12 @@
 		}
 		settings.Peers = append(settings.Peers, other.Daemon.PeerAddr())
 	}
-	if s.opts.Apart {
-		settings.Source = Source(n)
+	if s.opts.OwnSourceAddrs {
+		settings.Source = SourceAddr(n)
 		settings.Log, settings.List = s.Link.Addr, s.Link.Addr
 	}
-	if s.opts.Tune != nil {
-		s.opts.Tune(&settings)
+	if s.opts.AdjustSettings != nil {
+		s.opts.AdjustSettings(&settings)
 	}
 	d, err := daemon.New(settings, s.opts.Log)
 	if err != nil {
@@ -204,14 +204,13 @@
 	return node, nil
 }
 
-// Source is the address that the nth daemon leaves from, from 0.
-func Source(n int) netip.Addr {
+// SourceAddr is the source address of the nth daemon, counted from 0.
+func SourceAddr(n int) netip.Addr {
 	const perBlock = 250
 	return netip.AddrFrom4([4]byte{127, 0, byte(1 + n/perBlock), byte(1 + n%perBlock)})
 }
 
-// Replace ends the nth daemon and starts another in its place, under the
-// same name and at another address.
+// Replace stops the nth daemon and starts a new one under the same name at another address.
 func (s *Site) Replace(n int) error {
 	if err := s.Nodes[n].Stop(); err != nil {
 		return err
@@ -224,13 +223,13 @@
 	return nil
 }
 
-// Stop ends the daemon.
+// Stop stops the daemon and its API server.
 func (n *Node) Stop() error {
 	n.stop()
 	return task.Wait(n.tasks...)
 }
 
-// Stop ends everything.
+// Stop stops all parts of the site.
 func (s *Site) Stop() error {
 	s.stop()
 	var errs []error
@@ -240,26 +239,26 @@
 	return errors.Join(append(errs, task.Wait(s.tasks...))...)
 }
 
-// ErrNotReady is returned by WaitFor when its time is up.
+// ErrNotReady is returned by WaitFor if the condition doesn't hold in time.
 var ErrNotReady = errors.New("not ready in time")
 
 // WaitFor waits until the condition holds on every daemon.
-func (s *Site) WaitFor(ctx context.Context, what string, holds func(*daemon.View) bool) error {
+func (s *Site) WaitFor(ctx context.Context, description string, holds func(*daemon.View) bool) error {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
-		if s.everywhere(holds) {
+		if s.holdsOnAll(holds) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%w: %s", ErrNotReady, what)
+			return fmt.Errorf("%w: %s", ErrNotReady, description)
 		case <-tick.C:
 		}
 	}
 }
 
-func (s *Site) everywhere(holds func(*daemon.View) bool) bool {
+func (s *Site) holdsOnAll(holds func(*daemon.View) bool) bool {
 	for _, n := range s.Nodes {
 		if !holds(n.Daemon.View()) {
 			return false
--- a/soak/crash_test.go
+++ b/soak/crash_test.go
@@ -13,56 +13,56 @@
 )
 
 const (
-	// contact is how long all daemons may take to learn what one of them saw.
-	contact = 3 * time.Second
-	// mostAfter is how often a request may still be sent to instances once it has
-	// ended three of them and contact is over.
-	mostAfter = 3
-	// mostEnded is how many instances one request may end in all.
-	mostEnded = 6
-	// askEvery is how often the caller of a request that crashes instances comes back,
-	// askFor for how long.
-	askEvery = 300 * time.Millisecond
-	askFor   = 9 * time.Second
-	// backAfter is when another instance takes the place of one that crashed.
-	backAfter = 2 * time.Second
-	// allKilled is the case in which others' requests are lost with the daemons.
-	allKilled = "all_daemons_killed_twice"
-	// fewLeft is the case of a service that has two instances.
-	fewLeft = "plain_of_two_instances"
-	// morePlain is how many plain instances there are beside those of other soaks.
-	morePlain = 6
+	// propagationTime is how long it may take until all daemons know what one of them has observed.
+	propagationTime = 3 * time.Second
+	// maxSentAfterDetection is how often a poison request may still be sent to instances once it
+	// has crashed three of them and propagationTime has passed.
+	maxSentAfterDetection = 3
+	// maxCrashes is how many instances one request may crash in all.
+	maxCrashes = 6
+	// retryInterval is the interval at which a caller retries a poison request, retryDuration for
+	// how long it does.
+	retryInterval = 300 * time.Millisecond
+	retryDuration = 9 * time.Second
+	// replaceAfter is the time after which a new instance replaces a crashed one.
+	replaceAfter = 2 * time.Second
+	// allDaemonsKilled is the case in which other callers' requests are lost with the daemons.
+	allDaemonsKilled = "all_daemons_killed_twice"
+	// twoInstances is the case of a service that has only two instances.
+	twoInstances = "plain_of_two_instances"
+	// extraPlainInstances is the number of plain instances in addition to those of TestSoak.
+	extraPlainInstances = 6
 )
 
-// One caller's request ended nineteen instances, one after the other, and took the
-// requests of all others on them along: each daemon sent it to two instances, forgot
-// it, and the caller came back with another id at another daemon. All that any of them
-// told was 'unexpected EOF', ten times each 0.3 s, and 'too many requests are being
-// repeated' to those who could have been served elsewhere.
+// TestCrashingRequest guards against a request that crashes every instance that runs it. If each
+// daemon retries the request and then forgets it, a caller that comes back with a new id at another
+// daemon crashes one instance after the other (nineteen in one incident). Other callers' requests
+// on these instances fail with 'unexpected EOF', and requests that other instances could serve are
+// refused with 'too many requests are being repeated'.
 //
-// So a caller comes back every 0.3 s, each time at another daemon, with a request that
-// ends each instance 40 ms after it begins to run it, while others ask as usual. Once
-// three instances have ended under it, and daemons had 3 s to tell each other, no more
-// than three more may be sent it.
+// Here a caller retries such a request every 0.3 s, each time at another daemon, while others send
+// their requests as usual. The request crashes an instance 40 ms after the instance begins to run
+// it. Once it has crashed three instances and the daemons had 3 s to tell each other, it may be
+// sent at most three more times.
 func TestCrashingRequest(t *testing.T) {
 	bin := binary(t)
 	for _, test := range []struct {
 		name  string
 		kinds []kind
-		// beside, if set, is what else happens meanwhile.
-		beside func(*site)
+		// disturb, if set, injects other faults meanwhile.
+		disturb func(*site)
 	}{
 		{"stream", []kind{kindStream}, nil},
-		{"plain", []kind{kindAgain}, nil},
-		{"once", []kind{kindOnce}, nil},
-		{fewLeft, []kind{kindAgain}, nil},
-		{"two_at_once_beside_other_crashes", []kind{kindStream, kindStream}, (*site).crashOthers},
-		{allKilled, []kind{kindStream}, (*site).killAllTwice},
+		{"plain", []kind{kindIdempotent}, nil},
+		{"once", []kind{kindNonIdempotent}, nil},
+		{twoInstances, []kind{kindIdempotent}, nil},
+		{"two_at_once_beside_other_crashes", []kind{kindStream, kindStream}, (*site).crashRandomEngines},
+		{allDaemonsKilled, []kind{kindStream}, (*site).killAllDaemonsTwice},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := startSite(t, bin, t.TempDir())
-			for range morePlain {
-				if test.name != fewLeft {
+			for range extraPlainInstances {
+				if test.name != twoInstances {
 					s.add("plain", "")
 				}
 			}
@@ -72,35 +72,35 @@
 			var poisons []*poisonCaller
 			for n, k := range test.kinds {
 				p := &poisonCaller{s: s, kind: k, body: fmt.Sprintf("crashes %d", n)}
-				s.fabric.CrashOn(p.body, backAfter)
+				s.pool.CrashOn(p.body, replaceAfter)
 				poisons = append(poisons, p)
 				wg.Go(p.run)
 			}
-			if test.beside != nil {
-				test.beside(s)
+			if test.disturb != nil {
+				test.disturb(s)
 			}
 			wg.Wait()
 			c.stop()
-			problems := append(s.fabric.Broken(), c.problems()...)
+			violations := append(s.pool.Violations(), c.violations()...)
 			for _, p := range poisons {
-				problems = append(problems, p.problems()...)
+				violations = append(violations, p.violations()...)
 			}
-			whole, all := c.whole()
-			t.Logf("others: %s", c.summary())
-			if test.name != allKilled && float64(whole) < served*float64(all) {
-				problems = append(problems, fmt.Sprintf("only %s of the others' requests", c.summary()))
+			completed, total := c.completed()
+			t.Logf("other callers: %s", c.summary())
+			if test.name != allDaemonsKilled && float64(completed) < minServedFraction*float64(total) {
+				violations = append(violations, fmt.Sprintf("only %s of the other callers' requests", c.summary()))
 			}
-			qt.Check(t, problems, qt.HasLen, 0, qt.Commentf("%s", strings.Join(problems, "\n")))
+			qt.Check(t, violations, qt.HasLen, 0, qt.Commentf("%s", strings.Join(violations, "\n")))
 		})
 	}
 }
 
-// crashOthers ends some engines that no request made crash.
-func (s *site) crashOthers() {
+// crashRandomEngines crashes some engines independently of any request.
+func (s *site) crashRandomEngines() {
 	r := rand.New(rand.NewPCG(39, 1))
 	for range 4 {
-		time.Sleep(askFor / 5)
-		instances := s.fabric.Instances()
+		time.Sleep(retryDuration / 5)
+		instances := s.pool.Instances()
 		i := instances[r.IntN(len(instances))]
 		if i.Domain == "" {
 			continue
@@ -110,11 +110,11 @@
 	}
 }
 
-// killAllTwice kills all daemons at once, after the request was found and once more:
-// nothing of what they knew outlasts them but what the store holds.
-func (s *site) killAllTwice() {
+// killAllDaemonsTwice kills all daemons at once, after the poison request was detected and once
+// more: only what the store holds about the request survives.
+func (s *site) killAllDaemonsTwice() {
 	for range 2 {
-		time.Sleep(contact + time.Second/2)
+		time.Sleep(propagationTime + time.Second/2)
 		for _, d := range s.daemons {
 			d.kill()
 		}
@@ -124,7 +124,7 @@
 	}
 }
 
-// poisonCaller is a caller whose request crashes instances.
+// poisonCaller is a caller that retries a poison request.
 type poisonCaller struct {
 	s       *site
 	kind    kind
@@ -132,37 +132,37 @@
 	replies map[int]int
 }
 
-// run asks again and again, each time another daemon.
+// run sends the request again and again, each time to another daemon.
 func (p *poisonCaller) run() {
 	p.replies = map[int]int{}
 	client := &http.Client{Timeout: 4 * time.Second}
 	defer client.CloseIdleConnections()
 	n := 0
-	for end := time.Now().Add(askFor); time.Now().Before(end); time.Sleep(askEvery) {
+	for end := time.Now().Add(retryDuration); time.Now().Before(end); time.Sleep(retryInterval) {
 		r := newRequest(p.kind, "")
 		if p.kind == kindStream {
 			r = newRequest(kindStream, "small")
 		}
 		r.body = p.body
 		n++
-		p.replies[ask(client, p.s.daemons[n%len(p.s.daemons)].addr, r).status]++
+		p.replies[send(client, p.s.daemons[n%len(p.s.daemons)].addr, r).status]++
 	}
 }
 
-// problems tells what must not come of the request.
-func (p *poisonCaller) problems() []string {
-	sent := p.s.fabric.Poison(p.body)
-	p.s.t.Logf("%s %q: sent %d times, ended %d instances, replies %v", p.kind, p.body, len(sent.Sent), len(sent.Crashes), p.replies)
+// violations returns the bounds that the request exceeded.
+func (p *poisonCaller) violations() []string {
+	sent := p.s.pool.Poison(p.body)
+	p.s.t.Logf("%s %q: sent %d times, crashed %d instances, replies %v", p.kind, p.body, len(sent.Sent), len(sent.Crashes), p.replies)
 	const many = 3
 	if len(sent.Crashes) < many {
-		return []string{fmt.Sprintf("%q ended %d instances only: nothing is shown", p.body, len(sent.Crashes))}
+		return []string{fmt.Sprintf("%q crashed only %d instances: the test is inconclusive", p.body, len(sent.Crashes))}
 	}
 	var out []string
-	if after := sent.SentAfter(sent.Crashes[many-1].Add(contact)); after > mostAfter {
-		out = append(out, fmt.Sprintf("%s %q was sent to instances %d times more, %v after it had ended three", p.kind, p.body, after, contact))
+	if after := sent.SentAfter(sent.Crashes[many-1].Add(propagationTime)); after > maxSentAfterDetection {
+		out = append(out, fmt.Sprintf("%s %q was sent to instances %d more times later than %v after it had crashed three", p.kind, p.body, after, propagationTime))
 	}
-	if len(sent.Crashes) > mostEnded {
-		out = append(out, fmt.Sprintf("%s %q ended %d instances", p.kind, p.body, len(sent.Crashes)))
+	if len(sent.Crashes) > maxCrashes {
+		out = append(out, fmt.Sprintf("%s %q crashed %d instances", p.kind, p.body, len(sent.Crashes)))
 	}
 	return out
 }
--- a/soak/limit_test.go
+++ b/soak/limit_test.go
@@ -14,115 +14,118 @@
 )
 
 const (
-	// limitedFor is how long instances name a limit, contact included.
-	limitedFor = 11 * time.Second
-	// usedPart is the part of a limit that is to be used where callers ask for more.
-	usedPart = 0.8
-	// endedRush is how many requests may come to an instance in the second after its limit
-	// has ended: it has just recovered.
-	endedRush = 12
+	// limitDuration is how long instances advertise a limit, propagationTime included.
+	limitDuration = 11 * time.Second
+	// minUsedFraction is the fraction of a limit that must be used if callers send more requests
+	// than the limit allows.
+	minUsedFraction = 0.8
+	// maxAfterLimit is how many requests may reach an instance in the second after its limit has
+	// ended: the instance has just recovered.
+	maxAfterLimit = 12
 )
 
-// limitCase is a way in which instances name limits.
+// limitCase is one scenario with instances that advertise limits.
 type limitCase struct {
 	name    string
 	service models.ServiceName
-	// part is the part of the service's instances that name the limit.
-	part float64
-	rate float64
-	// then is what else happens once the limits are named, to those that name them.
-	then func(*site, []*replica.Instance)
-	// ends tells that the limit ends midway.
-	ends bool
-	// disturbed tells that the daemons are, so that requests are lost with them.
-	disturbed bool
+	// fraction is the fraction of the service's instances that advertise the limit.
+	fraction float64
+	rate     float64
+	// disturb, if set, changes the limits or injects faults once the limits are advertised.
+	disturb func(*site, []*replica.Instance)
+	// limitEnds tells that the limit ends during the test.
+	limitEnds bool
+	// daemonsDisturbed tells that daemons are killed and frozen, so that requests are lost with
+	// them.
+	daemonsDisturbed bool
 }
 
-// Two instances in need had named a limit of some requests a second. Each daemon went on
-// sending them as many as before: nothing read the limit, and the instances got half as many
-// again as they were to get at most.
-func TestLimitedInstanceGetsMoreThanItsLimit(t *testing.T) {
+// TestAdvertisedLimitIsKept guards against daemons that ignore the request rate limit that an
+// overloaded instance advertises: such instances received half as many requests again as their
+// limits allowed.
+func TestAdvertisedLimitIsKept(t *testing.T) {
 	bin := binary(t)
 	for _, test := range []limitCase{
-		{name: "half_of_plain", service: "plain", part: 0.5, rate: 1.5},
-		{name: "all_plain", service: "plain", part: 1, rate: 2},
-		{name: "half_of_engines", service: "engines", part: 0.5, rate: 1.5},
-		{name: "all_engines", service: "engines", part: 1, rate: 3},
-		{name: "falls", service: "plain", part: 0.5, rate: 6, then: fall},
-		{name: "ends", service: "plain", part: 1, rate: 2, then: end, ends: true},
-		{name: "daemons_killed_and_frozen", service: "plain", part: 0.5, rate: 2, then: disturb, disturbed: true},
+		{name: "half_of_plain", service: "plain", fraction: 0.5, rate: 1.5},
+		{name: "all_plain", service: "plain", fraction: 1, rate: 2},
+		{name: "half_of_engines", service: "engines", fraction: 0.5, rate: 1.5},
+		{name: "all_engines", service: "engines", fraction: 1, rate: 3},
+		{name: "falls", service: "plain", fraction: 0.5, rate: 6, disturb: lowerLimits},
+		{name: "ends", service: "plain", fraction: 1, rate: 2, disturb: endLimits, limitEnds: true},
+		{name: "daemons_killed_and_frozen", service: "plain", fraction: 0.5, rate: 2, disturb: disturbDaemonsInTurn, daemonsDisturbed: true},
 	} {
 		t.Run(test.name, func(t *testing.T) { test.run(t, bin) })
 	}
 }
 
 func (test limitCase) run(t *testing.T, bin string) {
-	s, c := startBusy(t, bin)
-	limited := s.part(test.service, test.part)
+	s, c := startLoadedSite(t, bin)
+	limited := s.selectInstances(test.service, test.fraction)
 	for _, i := range limited {
-		i.NameLimit(test.rate)
+		i.AdvertiseLimit(test.rate)
 	}
-	began := time.Now()
-	if test.then != nil {
-		test.then(s, limited)
+	started := time.Now()
+	if test.disturb != nil {
+		test.disturb(s, limited)
 	}
-	time.Sleep(limitedFor - time.Since(began))
-	problems := append(s.fabric.Broken(), test.problems(t, limited)...)
+	time.Sleep(limitDuration - time.Since(started))
+	violations := append(s.pool.Violations(), test.violations(t, limited)...)
 	c.stop()
-	problems = append(problems, c.problems()...)
-	whole, all := c.whole()
+	violations = append(violations, c.violations()...)
+	completed, total := c.completed()
 	t.Logf("all requests: %s", c.summary())
-	if test.part < 1 && !test.disturbed && float64(whole) < served*float64(all) {
-		problems = append(problems, fmt.Sprintf("only %s of all requests", c.summary()))
+	if test.fraction < 1 && !test.daemonsDisturbed && float64(completed) < minServedFraction*float64(total) {
+		violations = append(violations, fmt.Sprintf("only %s of all requests", c.summary()))
 	}
-	qt.Check(t, problems, qt.HasLen, 0, qt.Commentf("%s", strings.Join(problems, "\n")))
+	qt.Check(t, violations, qt.HasLen, 0, qt.Commentf("%s", strings.Join(violations, "\n")))
 }
 
-// problems tells what must not come of instances that name a limit.
-func (test limitCase) problems(t *testing.T, limited []*replica.Instance) []string {
+// violations returns the limits that were exceeded, or not used.
+func (test limitCase) violations(t *testing.T, limited []*replica.Instance) []string {
 	var out []string
-	allowed, sent, most := 0.0, 0, 0
+	allowed, sent, maxAfterEnd := 0.0, 0, 0
 	for _, i := range limited {
-		got := i.Limited(contact)
-		if got.Broken != "" {
-			out = append(out, got.Broken)
+		got := i.CheckLimit(propagationTime)
+		if got.Violation != "" {
+			out = append(out, got.Violation)
 		}
 		if got.Sent > 0 {
-			// Engines that head no group get none.
+			// Engines that head no group receive no requests.
 			allowed += got.Allowed
 		}
 		sent += got.Sent
-		most = max(most, i.RushAfter(time.Second))
+		maxAfterEnd = max(maxAfterEnd, i.RequestsAfterLimit(time.Second))
 	}
-	t.Logf("%d instances with a limit: %d requests once it was known, %.1f allowed; %d in the second after its end", len(limited), sent, allowed, most)
-	if test.part == 1 && !test.ends && float64(sent) < usedPart*allowed {
-		out = append(out, fmt.Sprintf("%d requests of %.1f that the limits allow", sent, allowed))
+	t.Logf("%d instances with a limit: %d requests once the limit was known, %.1f allowed; at most %d in the second after its end", len(limited), sent, allowed, maxAfterEnd)
+	if test.fraction == 1 && !test.limitEnds && float64(sent) < minUsedFraction*allowed {
+		out = append(out, fmt.Sprintf("only %d requests although the limits allow %.1f", sent, allowed))
 	}
-	if test.ends && most > endedRush {
-		out = append(out, fmt.Sprintf("%d requests in the second after the limit ended", most))
+	if test.limitEnds && maxAfterEnd > maxAfterLimit {
+		out = append(out, fmt.Sprintf("%d requests in the second after the limit ended", maxAfterEnd))
 	}
 	return out
 }
 
-// fall has the limits fall to a quarter.
-func fall(_ *site, limited []*replica.Instance) {
-	time.Sleep(limitedFor / 2)
+// lowerLimits reduces the limits to a quarter.
+func lowerLimits(_ *site, limited []*replica.Instance) {
+	time.Sleep(limitDuration / 2)
 	for _, i := range limited {
-		i.NameLimit(1.5)
+		i.AdvertiseLimit(1.5)
 	}
 }
 
-// end has the limits end.
-func end(_ *site, limited []*replica.Instance) {
-	time.Sleep(limitedFor - 4*time.Second)
+// endLimits ends the limits.
+func endLimits(_ *site, limited []*replica.Instance) {
+	time.Sleep(limitDuration - 4*time.Second)
 	for _, i := range limited {
-		i.NameLimit(models.NoLimit)
+		i.AdvertiseLimit(models.NoLimit)
 	}
 }
 
-// disturb kills one daemon after the other, and freezes them, while instances name limits.
-func disturb(s *site, _ []*replica.Instance) {
-	time.Sleep(contact)
+// disturbDaemonsInTurn kills and freezes one daemon after the other while instances advertise
+// limits.
+func disturbDaemonsInTurn(s *site, _ []*replica.Instance) {
+	time.Sleep(propagationTime)
 	for _, d := range s.daemons {
 		d.kill()
 		d.start(s.t)
--- a/soak/outage_test.go
+++ b/soak/outage_test.go
@@ -10,25 +10,23 @@
 	"github.com/lupinkeel/lupinkeel/standin/store"
 )
 
-// TestKeysInOutage plays an outage of the store that lasts longer than the bound
-// for taken keys, in the course of which the operator takes a key away. Strict
-// daemons refuse every key once the bound is over. The others go on serving, the
-// caller of the key that was taken away as well, until the store is back or the
-// proof is older than they may bear.
+// TestKeysInOutage checks API keys during an outage of the store that lasts longer than the bound
+// for revoked keys. A key is revoked during the outage. With strict keys, daemons refuse every key
+// once the bound has passed. Otherwise they go on serving, also with the revoked key, until the
+// store is back or their proof of the keys is older than --stale-keys allows.
 func TestKeysInOutage(t *testing.T) {
 	bin := binary(t)
 	const (
-		long = keysBound + time.Second
-		// underWay is how long an answer of the store may be under way when the
-		// outage begins.
-		underWay = 500 * time.Millisecond
+		outage = keysBound + time.Second
+		// inFlight is how long responses of the store may be in flight when the outage begins.
+		inFlight = 500 * time.Millisecond
 	)
 	for _, test := range []struct {
-		name  string
-		flags []string
-		taken bool
-		// during and after are the answers to a known key in the outage and
-		// once the store is back.
+		name    string
+		flags   []string
+		revoked bool
+		// during and after are the expected statuses for a valid key during the outage and once the
+		// store is back.
 		during, after int
 	}{
 		{"strict", []string{"--strict-keys=true"}, false, http.StatusServiceUnavailable, http.StatusOK},
@@ -41,50 +39,49 @@
 			s := startSite(t, bin, t.TempDir(), test.flags...)
 			s.waitServing()
 			s.store.Misbehave(store.Faults{Busy: true})
-			time.Sleep(underWay)
-			if test.taken {
+			time.Sleep(inFlight)
+			if test.revoked {
 				s.configureKeys("k2")
 			}
-			time.Sleep(long - underWay)
-			s.expect("during the outage", test.during)
+			time.Sleep(outage - inFlight)
+			s.expectStatus("during the outage", test.during)
 			s.store.Misbehave(store.Faults{})
 			time.Sleep(2 * time.Second)
 			if test.after == http.StatusUnauthorized {
-				s.expectRefused("after it")
+				s.expectKeyRejected("after the outage")
 				return
 			}
-			s.expect("after it", test.after)
+			s.expectStatus("after the outage", test.after)
 		})
 	}
 }
 
-// proofRenewed is how long it may take until the proof is renewed that a key is not known:
-// the daemons' bound for it is shorter here.
-const proofRenewed = 1500 * time.Millisecond
+// proofRenewalTime is how long a daemon may take to renew its proof that a key is unknown. The
+// daemons' bound in this test is shorter.
+const proofRenewalTime = 1500 * time.Millisecond
 
-// expectRefused asks every daemon again and again with the key that the site begins with: it
-// must be refused each time, and told as unknown before long. Meanwhile a daemon whose proof
-// is just being renewed may ask the caller to come back.
-func (s *site) expectRefused(when string) {
+// expectKeyRejected sends requests with the first key to every daemon: each must be refused, and
+// before long with status 401. Until then a daemon that is renewing its proof may respond with 503.
+func (s *site) expectKeyRejected(when string) {
 	client := &http.Client{Timeout: 2 * time.Second}
 	for _, d := range s.daemons {
 		unknown := false
-		for end := time.Now().Add(proofRenewed); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-			r := ask(client, d.addr, newRequest(kindAgain, ""))
+		for end := time.Now().Add(proofRenewalTime); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+			r := send(client, d.addr, newRequest(kindIdempotent, ""))
 			unknown = unknown || r.status == http.StatusUnauthorized
 			if r.status != http.StatusUnauthorized && r.status != http.StatusServiceUnavailable {
 				s.t.Errorf("%s: %s: status %d", d.name, when, r.status)
 			}
 		}
-		qt.Check(s.t, unknown, qt.IsTrue, qt.Commentf("%s: %s: the key is not told as unknown", d.name, when))
+		qt.Check(s.t, unknown, qt.IsTrue, qt.Commentf("%s: %s: the key is not refused as unknown", d.name, when))
 	}
 }
 
-// expect asks every daemon with the key that the site begins with.
-func (s *site) expect(when string, status int) {
+// expectStatus sends a request with the first key to every daemon.
+func (s *site) expectStatus(when string, status int) {
 	client := &http.Client{Timeout: 2 * time.Second}
 	for _, d := range s.daemons {
-		r := ask(client, d.addr, newRequest(kindAgain, ""))
+		r := send(client, d.addr, newRequest(kindIdempotent, ""))
 		qt.Check(s.t, r.status, qt.Equals, status, qt.Commentf("%s: %s", d.name, when))
 	}
 }
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -22,23 +22,23 @@
 	"github.com/lupinkeel/lupinkeel/standin/store"
 )
 
-// profile has the shape of the users' engines with times a tenth as long.
+// profile resembles the users' engines, with times a tenth as long.
 var profile = replica.Profile{
 	Models: []models.ModelProfile{
 		{Name: "big", Size: 3, Share: 0.5, Pace: 1, Load: 1200 * time.Millisecond, Warm: 200 * time.Millisecond},
 		{Name: "small", Size: 2, Share: 0.5, Pace: 0.6, Load: 900 * time.Millisecond, Warm: 150 * time.Millisecond},
 	},
-	FormTime: 60 * time.Millisecond, Stall: time.Second, EventEvery: 15 * time.Millisecond, Events: 12,
-	Heartbeat: 200 * time.Millisecond, Slots: 8,
+	OpenTime: 60 * time.Millisecond, StallTimeout: time.Second, EventInterval: 15 * time.Millisecond, Events: 12,
+	HeartbeatInterval: 200 * time.Millisecond, Slots: 8,
 }
 
 const (
-	perDomain = 7
-	daemons   = 3
-	host      = "api.example"
-	// keysBound is the daemons' bound for taken keys; they use eight tenths.
+	enginesPerDomain = 7
+	daemons          = 3
+	host             = "api.example"
+	// keysBound is the daemons' bound for revoked keys; they use eight tenths of it.
 	keysBound = 3 * time.Second
-	// firstKey is the key that the callers have.
+	// firstKey is the API key of the callers.
 	firstKey = "k1"
 )
 
@@ -50,12 +50,12 @@
 "Models":[{"Name":"big","size":3,"share":0.5,"pace":1,"load_s":1.2,"WarmS":0.2},{"Name":"small","size":2,"share":0.5,"pace":0.6,"load_s":0.9,"WarmS":0.15}]}}],
 "Limits":{"MaxBodyBytes":100000},"Tenants":[{"Name":"ws","ApiKeys":[%q]}]}`
 
-// site is a store, instances, and daemons as processes of their own.
+// site is a store, a pool of instances, and daemons as separate processes.
 type site struct {
 	t       *testing.T
 	store   *store.Store
-	front   *httptest.Server
-	fabric  *replica.Fabric
+	server  *httptest.Server
+	pool    *replica.Pool
 	daemons []*daemon
 	version int
 	logs    string
@@ -65,8 +65,8 @@
 	name    string
 	flags   []string
 	addr    string
-	process *exec.Cmd
-	log     *os.File
+	cmd     *exec.Cmd
+	logFile *os.File
 }
 
 func binary(t *testing.T) string {
@@ -78,20 +78,20 @@
 
 func startSite(t *testing.T, bin, logs string, flags ...string) *site {
 	s := &site{t: t, store: store.New(), logs: logs}
-	s.front = httptest.NewServer(s.store)
-	t.Cleanup(s.front.Close)
-	s.fabric = replica.NewFabric(profile, s.store)
+	s.server = httptest.NewServer(s.store)
+	t.Cleanup(s.server.Close)
+	s.pool = replica.NewPool(profile, s.store)
 	s.configure()
 	for _, domain := range []models.Domain{"a", "b", "c", "d"} {
-		for range perDomain {
+		for range enginesPerDomain {
 			s.add("engines", domain)
 		}
 	}
 	s.add("plain", "")
 	s.add("plain", "")
 	t.Cleanup(func() {
-		for _, i := range s.fabric.Instances() {
-			// Whether it ends well is of no interest any more.
+		for _, i := range s.pool.Instances() {
+			// The test is over; errors no longer matter.
 			_ = i.Stop()
 		}
 	})
@@ -107,21 +107,21 @@
 
 func (s *site) configure() { s.configureKeys(firstKey) }
 
-// configureKeys has the operator leave the workspace with just this key.
+// configureKeys writes a configuration in which the workspace has only this key.
 func (s *site) configureKeys(key string) {
 	s.version++
 	s.store.Put("op", "config", fmt.Appendf(nil, configText, s.version, key))
 }
 
 func (s *site) add(service models.ServiceName, domain models.Domain) {
-	_, err := s.fabric.Add(service, models.Zone("z"+string(domain)), domain)
+	_, err := s.pool.Add(service, models.Zone("z"+string(domain)), domain)
 	qt.Assert(s.t, err, qt.IsNil)
 }
 
-// startBusy starts a site with more plain instances, and callers.
-func startBusy(t *testing.T, bin string, flags ...string) (*site, *load) {
+// startLoadedSite starts a site with extra plain instances, and callers.
+func startLoadedSite(t *testing.T, bin string, flags ...string) (*site, *callerLoad) {
 	s := startSite(t, bin, t.TempDir(), flags...)
-	for range morePlain {
+	for range extraPlainInstances {
 		s.add("plain", "")
 	}
 	s.waitServing()
@@ -130,28 +130,28 @@
 	return s, c
 }
 
-// part lists a part of the instances of a service, the first of each few.
-func (s *site) part(service models.ServiceName, part float64) []*replica.Instance {
+// selectInstances selects a fraction of a service's instances, spread evenly.
+func (s *site) selectInstances(service models.ServiceName, fraction float64) []*replica.Instance {
 	var out []*replica.Instance
-	of := 0
-	for _, i := range s.fabric.Instances() {
+	total := 0
+	for _, i := range s.pool.Instances() {
 		if i.Service != service {
 			continue
 		}
-		of++
-		if float64(len(out)) < part*float64(of) {
+		total++
+		if float64(len(out)) < fraction*float64(total) {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// nextPort is the port that freeAddr tries next. It begins at random, below
-// the ports that the system gives to connections, and never goes back: the
-// system's own choice gave the same port twice (seed 119).
+// nextPort is the last port that freeAddr tried. It starts at a random port below the ephemeral
+// port range and only counts up: ports chosen by the operating system were given to two listeners
+// (seed 119).
 var nextPort = 20000 + rand.IntN(8000)
 
-// freeAddr finds an address that nothing listens on.
+// freeAddr returns an address with a free port.
 func freeAddr(t *testing.T) string {
 	for range 100 {
 		nextPort++
@@ -170,57 +170,57 @@
 	d := &daemon{name: fmt.Sprintf("daemon-%d", n+1), addr: freeAddr(s.t)}
 	d.flags = []string{
 		bin, "gateway", "--id", d.name, "--zone", "z", "--listen", d.addr, "--ready", freeAddr(s.t), "--metrics", freeAddr(s.t),
-		"--peer", freeAddr(s.t), "--store", strings.TrimPrefix(s.front.URL, "http://"), "--lease-min", "300ms",
-		"--instance-heartbeat", profile.Heartbeat.String(), "--keys-bound", keysBound.String(), "--config-bound", "1s",
+		"--peer", freeAddr(s.t), "--store", strings.TrimPrefix(s.server.URL, "http://"), "--lease-min", "300ms",
+		"--instance-heartbeat", profile.HeartbeatInterval.String(), "--keys-bound", keysBound.String(), "--config-bound", "1s",
 		"--stop-grace", "3s", "--retry-slack", "1000",
 	}
-	log, err := os.OpenFile(filepath.Join(s.logs, d.name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	logFile, err := os.OpenFile(filepath.Join(s.logs, d.name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	qt.Assert(s.t, err, qt.IsNil)
-	s.t.Cleanup(func() { log.Close() })
-	d.log = log
+	s.t.Cleanup(func() { logFile.Close() })
+	d.logFile = logFile
 	return d
 }
 
 func (d *daemon) start(t *testing.T) {
-	d.process = exec.Command(d.flags[0], d.flags[1:]...)
-	d.process.Stdout, d.process.Stderr = d.log, d.log
-	qt.Assert(t, d.process.Start(), qt.IsNil)
+	d.cmd = exec.Command(d.flags[0], d.flags[1:]...)
+	d.cmd.Stdout, d.cmd.Stderr = d.logFile, d.logFile
+	qt.Assert(t, d.cmd.Start(), qt.IsNil)
 }
 
-// signal sends a signal to the daemon's own process.
+// signal sends a signal to the daemon's process.
 func (d *daemon) signal(sig syscall.Signal) {
-	// A process that has ended needs no signal.
-	_ = d.process.Process.Signal(sig)
+	// The process may already have exited.
+	_ = d.cmd.Process.Signal(sig)
 }
 
-// kill ends the daemon's process and waits for it.
+// kill kills the daemon's process and waits for it.
 func (d *daemon) kill() {
 	d.signal(syscall.SIGCONT)
 	d.signal(syscall.SIGKILL)
-	// It was killed, and says so.
-	_ = d.process.Wait()
+	// The error only reports that the process was killed.
+	_ = d.cmd.Wait()
 }
 
-// stop asks the daemon to end and waits for it.
+// stop stops the daemon gracefully and waits for it.
 func (d *daemon) stop() error {
 	d.signal(syscall.SIGTERM)
-	err := d.process.Wait()
+	err := d.cmd.Wait()
 	var exit *exec.ExitError
 	if errors.As(err, &exit) && !exit.Exited() {
-		return fmt.Errorf("%s was ended by a signal: %w", d.name, err)
+		return fmt.Errorf("%s was terminated by a signal: %w", d.name, err)
 	}
 	return err
 }
 
-// waitServing waits until all models have groups and a daemon serves them.
+// waitServing waits until all models have serving groups and a daemon serves them.
 func (s *site) waitServing() {
 	client := &http.Client{Timeout: time.Second}
 	for range 300 {
 		time.Sleep(100 * time.Millisecond)
-		if s.fabric.Serving("big") == 0 || s.fabric.Serving("small") == 0 {
+		if s.pool.ServingGroups("big") == 0 || s.pool.ServingGroups("small") == 0 {
 			continue
 		}
-		if r := ask(client, s.daemons[0].addr, newRequest(kindStream, "big")); r.whole {
+		if r := send(client, s.daemons[0].addr, newRequest(kindStream, "big")); r.complete {
 			return
 		}
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -1,5 +1,5 @@
-// Package soak runs daemons as processes of their own against stand-ins,
-// injects faults from outside, and checks what callers and instances see.
+// Package soak runs daemons as separate processes against stand-ins, injects faults from outside,
+// and checks what callers and instances observe.
 package soak
 
 import (
@@ -24,21 +24,22 @@
 
 // regressions are seeds that once failed, with the cause.
 var regressions = []uint64{
-	119, // the soak gave two listeners of one daemon the same port
+	119, // freeAddr returned the same port for two listeners of one daemon
 }
 
 const (
 	callers = 8
-	// faultsFor is how long faults come, healFor how long the site then has
-	// to serve as before.
-	faultsFor = 8 * time.Second
-	healFor   = 12 * time.Second
-	// served is the part of requests that must be served once it is healed.
-	served = 0.9
+	// faultDuration is how long faults are injected, recoveryTimeout how long the site may then
+	// take to recover.
+	faultDuration   = 8 * time.Second
+	recoveryTimeout = 12 * time.Second
+	// minServedFraction is the fraction of requests that must be served once the site has
+	// recovered.
+	minServedFraction = 0.9
 )
 
-// TestSoak plays each seed of LUPINKEEL_SOAK_SEEDS (a count, counted from
-// LUPINKEEL_SOAK_FIRST), or one.
+// TestSoak runs the regressions, and as many seeds as LUPINKEEL_SOAK_SEEDS says (1 by default),
+// counting from LUPINKEEL_SOAK_FIRST.
 func TestSoak(t *testing.T) {
 	bin := binary(t)
 	seeds := append([]uint64{}, regressions...)
@@ -57,11 +58,11 @@
 		seeds = append(seeds, first+uint64(n))
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { soak(t, bin, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, bin, seed) })
 	}
 }
 
-func soak(t *testing.T, bin string, seed uint64) {
+func runSeed(t *testing.T, bin string, seed uint64) {
 	logs := filepath.Join(os.TempDir(), fmt.Sprintf("lupinkeel-soak-%d-%d", os.Getpid(), seed))
 	qt.Assert(t, os.MkdirAll(logs, 0o755), qt.IsNil)
 	s := startSite(t, bin, logs)
@@ -69,30 +70,30 @@
 	c := startCallers(s)
 	r := rand.New(rand.NewPCG(seed, 7))
 	var injected []string
-	for end := time.Now().Add(faultsFor); time.Now().Before(end); {
-		injected = append(injected, s.fault(r))
+	for end := time.Now().Add(faultDuration); time.Now().Before(end); {
+		injected = append(injected, s.injectFault(r))
 		time.Sleep(time.Duration(100+r.IntN(900)) * time.Millisecond)
 	}
-	s.heal()
-	healed := c.waitHealed()
+	s.clearFaults()
+	recovered := c.waitRecovered()
 	c.stop()
-	// Late runs of what was refused would show by now.
+	// A refused request that still runs late must show up before the check.
 	time.Sleep(300 * time.Millisecond)
-	problems := append(s.fabric.Broken(), c.problems()...)
-	if !healed {
-		problems = append(problems, fmt.Sprintf("less than %g of the requests are served %s after the faults", served, healFor))
+	violations := append(s.pool.Violations(), c.violations()...)
+	if !recovered {
+		violations = append(violations, fmt.Sprintf("less than %g of the requests are served %s after the faults", minServedFraction, recoveryTimeout))
 	}
-	if len(problems) > 0 {
-		t.Fatalf("seed %d, logs in %s\nfaults: %s\n%s", seed, logs, strings.Join(injected, ", "), strings.Join(problems, "\n"))
+	if len(violations) > 0 {
+		t.Fatalf("seed %d, logs in %s\nfaults: %s\n%s", seed, logs, strings.Join(injected, ", "), strings.Join(violations, "\n"))
 	}
 	t.Logf("seed %d: %s; %s", seed, c.summary(), strings.Join(injected, ", "))
 	os.RemoveAll(logs)
 }
 
-// fault injects one fault and names it.
-func (s *site) fault(r *rand.Rand) string {
+// injectFault injects a random fault and returns its name.
+func (s *site) injectFault(r *rand.Rand) string {
 	d := s.daemons[r.IntN(len(s.daemons))]
-	instances := s.fabric.Instances()
+	instances := s.pool.Instances()
 	i := instances[r.IntN(len(instances))]
 	engine := i.Service == "engines"
 	switch r.IntN(10) {
@@ -115,27 +116,27 @@
 		s.store.Misbehave(store.Faults{Busy: true})
 		time.Sleep(time.Duration(200+r.IntN(1500)) * time.Millisecond)
 		s.store.Misbehave(store.Faults{})
-		return "store busy"
+		return "store unavailable"
 	case 4:
 		s.store.Misbehave(store.Faults{LoseAnswers: 0.4, Delay: 30 * time.Millisecond})
-		return "store slow, answers lost"
+		return "store slow, responses lost"
 	case 5:
 		s.store.Forget("keyed.servers")
 		s.store.Deal("lupinkeel-planner")
-		return "store forgets and deals anew"
+		return "store expires records and drops assignments"
 	case 6:
 		s.configure()
-		return "configuration"
+		return "change configuration"
 	case 7:
 		d.signal(syscall.SIGHUP)
-		return "settings " + d.name
+		return "reload settings of " + d.name
 	case 8:
 		if !engine {
 			return "nothing"
 		}
-		i.GoDark()
+		i.Hang()
 		s.add("engines", i.Domain)
-		return "dark " + string(i.ID)
+		return "hang " + string(i.ID)
 	default:
 		if !engine {
 			return "nothing"
@@ -146,7 +147,7 @@
 	}
 }
 
-func (s *site) heal() {
+func (s *site) clearFaults() {
 	s.store.Misbehave(store.Faults{})
 	for _, d := range s.daemons {
 		d.signal(syscall.SIGCONT)
@@ -156,9 +157,9 @@
 type kind string
 
 const (
-	kindOnce   kind = "once"
-	kindAgain  kind = "again"
-	kindStream kind = "stream"
+	kindNonIdempotent kind = "once"
+	kindIdempotent    kind = "again"
+	kindStream        kind = "stream"
 )
 
 type request struct {
@@ -169,37 +170,37 @@
 }
 
 var (
-	ids     uint64
-	idsLock sync.Mutex
+	lastRequestID uint64
+	requestIDLock sync.Mutex
 )
 
 func newRequest(k kind, model string) request {
-	idsLock.Lock()
-	defer idsLock.Unlock()
-	ids++
-	id := fmt.Sprintf("%016x", ids)
+	requestIDLock.Lock()
+	defer requestIDLock.Unlock()
+	lastRequestID++
+	id := fmt.Sprintf("%016x", lastRequestID)
 	return request{id: id, kind: k, model: model, body: "body of " + id}
 }
 
-// reply is what came of a request.
+// reply is the outcome of a request.
 type reply struct {
 	request
-	status int
-	whole  bool
-	// wrong tells what must never be seen.
-	wrong string
+	status   int
+	complete bool
+	// violation describes a response that must never occur.
+	violation string
 }
 
-// ask sends a request with the key that the site begins with.
-func ask(client *http.Client, addr string, r request) reply {
-	return askWith(client, addr, r, firstKey)
+// send sends a request with the first key.
+func send(client *http.Client, addr string, r request) reply {
+	return sendWithKey(client, addr, r, firstKey)
 }
 
-func askWith(client *http.Client, addr string, r request, key string) reply {
+func sendWithKey(client *http.Client, addr string, r request, key string) reply {
 	out := reply{request: r}
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/"+string(r.kind)+"/x", strings.NewReader(r.body))
 	if err != nil {
-		out.wrong = err.Error()
+		out.violation = err.Error()
 		return out
 	}
 	req.GetBody = nil
@@ -220,68 +221,68 @@
 	out.status = resp.StatusCode
 	switch {
 	case resp.StatusCode >= 400 && resp.StatusCode < 500:
-		out.wrong = fmt.Sprintf("status %d", resp.StatusCode)
+		out.violation = fmt.Sprintf("status %d", resp.StatusCode)
 	case resp.StatusCode != http.StatusOK:
 	case r.kind == kindStream:
-		out.wrong = checkEvents(string(body), r.id, err == nil)
-		out.whole = err == nil && out.wrong == ""
+		out.violation = checkEvents(string(body), r.id, err == nil)
+		out.complete = err == nil && out.violation == ""
 	case err != nil:
-		out.wrong = "a plain answer was cut"
+		out.violation = "a plain response was truncated"
 	case string(body) != "answer to "+r.id:
-		out.wrong = fmt.Sprintf("the answer is %q", body)
+		out.violation = fmt.Sprintf("the response is %q", body)
 	default:
-		out.whole = true
+		out.complete = true
 	}
 	return out
 }
 
-// checkEvents checks that events come in order, each once, all of this
-// request, and that a stream that ends well is whole.
-func checkEvents(body, id string, whole bool) string {
+// checkEvents checks that the events are in order, without duplicates and all of this request, and
+// that a stream that ends without an error is complete.
+func checkEvents(body, id string, complete bool) string {
 	events := strings.Split(body, "\n\n")
 	for n, event := range events[:len(events)-1] {
 		if want := fmt.Sprintf("id: %d\ndata: %s", n+1, id); event != want {
 			return fmt.Sprintf("event %d is %q", n+1, event)
 		}
 	}
-	if whole && (len(events)-1 != profile.Events || events[len(events)-1] != "") {
-		return fmt.Sprintf("a stream ended well after %d events", len(events)-1)
+	if complete && (len(events)-1 != profile.Events || events[len(events)-1] != "") {
+		return fmt.Sprintf("a stream ended without an error after %d events", len(events)-1)
 	}
 	return ""
 }
 
-// load are callers that keep asking.
-type load struct {
+// callerLoad is a set of callers that keep sending requests.
+type callerLoad struct {
 	s    *site
 	done chan struct{}
 	wg   sync.WaitGroup
 
 	mu      sync.Mutex
 	replies []reply
-	// asked tells which daemon each request was sent to, and when.
-	asked map[models.RequestID]asking
+	// sent holds, for each request, the daemon that it was sent to, and when.
+	sent map[models.RequestID]sentRequest
 }
 
-// asking is a request on its way to a daemon.
-type asking struct {
+// sentRequest is the daemon that a request was sent to, and when.
+type sentRequest struct {
 	daemon string
 	at     time.Time
 }
 
-func startCallers(s *site) *load {
-	c := &load{s: s, done: make(chan struct{}), asked: map[models.RequestID]asking{}}
+func startCallers(s *site) *callerLoad {
+	c := &callerLoad{s: s, done: make(chan struct{}), sent: map[models.RequestID]sentRequest{}}
 	for n := range callers {
 		c.wg.Add(1)
-		go c.call(n)
+		go c.run(n)
 	}
 	return c
 }
 
-func (c *load) call(n int) {
+func (c *callerLoad) run(n int) {
 	defer c.wg.Done()
 	client := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	kinds := []kind{kindStream, kindStream, kindOnce, kindAgain}
+	kinds := []kind{kindStream, kindStream, kindNonIdempotent, kindIdempotent}
 	for at := n; ; at++ {
 		select {
 		case <-c.done:
@@ -294,39 +295,39 @@
 		}
 		d, request := c.s.daemons[(n+at/16)%len(c.s.daemons)], newRequest(k, model)
 		c.mu.Lock()
-		c.asked[models.RequestID(request.id)] = asking{d.name, time.Now()}
+		c.sent[models.RequestID(request.id)] = sentRequest{d.name, time.Now()}
 		c.mu.Unlock()
-		r := ask(client, d.addr, request)
+		r := send(client, d.addr, request)
 		c.mu.Lock()
 		c.replies = append(c.replies, r)
 		c.mu.Unlock()
 	}
 }
 
-// sender tells which daemon a request was sent to, and when.
-func (c *load) sender(id models.RequestID) (daemon string, at time.Time) {
+// sender returns the daemon that a request was sent to, and when.
+func (c *callerLoad) sender(id models.RequestID) (daemon string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := c.asked[id]
+	a := c.sent[id]
 	return a.daemon, a.at
 }
 
-// waitHealed waits until the last hundred requests are served as they should.
-func (c *load) waitHealed() bool {
+// waitRecovered waits until minServedFraction of the last hundred requests are served.
+func (c *callerLoad) waitRecovered() bool {
 	const last = 100
 	c.mu.Lock()
 	from := len(c.replies)
 	c.mu.Unlock()
-	for end := time.Now().Add(healFor); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(recoveryTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		c.mu.Lock()
-		whole := 0
+		complete := 0
 		recent := c.replies[max(from, len(c.replies)-last):]
 		for _, r := range recent {
-			if r.whole {
-				whole++
+			if r.complete {
+				complete++
 			}
 		}
-		enough := len(recent) == last && float64(whole) >= served*last
+		enough := len(recent) == last && float64(complete) >= minServedFraction*last
 		c.mu.Unlock()
 		if enough {
 			return true
@@ -335,48 +336,48 @@
 	return false
 }
 
-func (c *load) stop() {
+func (c *callerLoad) stop() {
 	close(c.done)
 	c.wg.Wait()
 }
 
-// problems lists what no caller may see.
-func (c *load) problems() []string {
+// violations returns the invariants that requests violated.
+func (c *callerLoad) violations() []string {
 	var out []string
 	for _, r := range c.replies {
-		runs := c.s.fabric.Runs(models.RequestID(r.id))
+		runs := c.s.pool.RunCount(models.RequestID(r.id))
 		switch {
-		case r.wrong != "":
-			out = append(out, fmt.Sprintf("%s %s: %s", r.kind, r.id, r.wrong))
-		case r.kind == kindOnce && runs > 1:
-			out = append(out, fmt.Sprintf("%s was run %d times", r.id, runs))
-		case r.kind == kindOnce && r.status == http.StatusServiceUnavailable && runs > 0:
-			out = append(out, r.id+" was refused as not run, and was run")
-		case r.whole && runs == 0:
-			out = append(out, r.id+" was answered and never run")
+		case r.violation != "":
+			out = append(out, fmt.Sprintf("%s %s: %s", r.kind, r.id, r.violation))
+		case r.kind == kindNonIdempotent && runs > 1:
+			out = append(out, fmt.Sprintf("%s ran %d times", r.id, runs))
+		case r.kind == kindNonIdempotent && r.status == http.StatusServiceUnavailable && runs > 0:
+			out = append(out, r.id+" was refused as not run, but ran")
+		case r.complete && runs == 0:
+			out = append(out, r.id+" was completed but never ran")
 		}
 	}
 	return out
 }
 
-// wholeSoFar is whole while requests still come.
-func (c *load) wholeSoFar() (whole, all int) {
+// completedSoFar is like completed, for use while requests are still being sent.
+func (c *callerLoad) completedSoFar() (complete, total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.whole()
+	return c.completed()
 }
 
-// whole is how many requests were answered whole, of how many.
-func (c *load) whole() (whole, all int) {
+// completed returns how many requests were completed, and how many were sent.
+func (c *callerLoad) completed() (complete, total int) {
 	for _, r := range c.replies {
-		if r.whole {
-			whole++
+		if r.complete {
+			complete++
 		}
 	}
-	return whole, len(c.replies)
+	return complete, len(c.replies)
 }
 
-func (c *load) summary() string {
-	whole, all := c.whole()
-	return fmt.Sprintf("%d of %d whole", whole, all)
+func (c *callerLoad) summary() string {
+	complete, total := c.completed()
+	return fmt.Sprintf("%d of %d complete", complete, total)
 }
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -10,33 +10,32 @@
 	"time"
 )
 
-// prefixBlock is the length of the prompt blocks that are cached, in bytes.
-const prefixBlock = 256
+// prefixBlockBytes is the size of the prompt blocks that are cached.
+const prefixBlockBytes = 256
 
 const (
-	// eventDelay is how late cache events are published.
-	eventDelay = 500 * time.Millisecond
-	// eventGap is which of the cache events, one in so many, is never
-	// published.
-	eventGap = 16
+	// eventPublishDelay is the delay between a cache change and the publication of its event.
+	eventPublishDelay = 500 * time.Millisecond
+	// Every droppedEventInterval-th cache event is never published.
+	droppedEventInterval = 16
 )
 
-// CacheEvent tells that a prompt prefix came into or left the cache.
+// CacheEvent reports that a prompt prefix was added to the cache or evicted from it.
 type CacheEvent struct {
-	Seq    int    `json:"seq"`
-	Prefix uint64 `json:"prefix"`
-	Gone   bool   `json:"gone,omitempty"`
+	Seq     int    `json:"seq"`
+	Prefix  uint64 `json:"prefix"`
+	Evicted bool   `json:"gone,omitempty"`
 }
 
-// prefixCache remembers the prompt prefixes used last.
+// prefixCache is an LRU cache of the hashes of prompt prefixes.
 type prefixCache struct {
-	mu    sync.Mutex
-	size  int
-	order []uint64
-	// used and total are the bytes of prompts that were cached, and all.
-	used, total int
-	events      []timedEvent
-	seq         int
+	mu   sync.Mutex
+	size int
+	lru  []uint64
+	// cachedBytes and totalBytes count the prompt bytes that were cached, and all prompt bytes.
+	cachedBytes, totalBytes int
+	events                  []timedEvent
+	seq                     int
 }
 
 type timedEvent struct {
@@ -46,52 +45,52 @@
 
 func newPrefixCache(size int) *prefixCache { return &prefixCache{size: size} }
 
-// Prefixes returns a hash for each whole block that the prompt begins with;
-// each hash covers all blocks before it.
-func Prefixes(prompt string) []uint64 {
+// PrefixHashes returns a hash for each whole block at the beginning of the prompt; each hash covers
+// all blocks before it.
+func PrefixHashes(prompt string) []uint64 {
 	h := fnv.New64a()
 	var out []uint64
-	for len(prompt) >= prefixBlock {
-		h.Write([]byte(prompt[:prefixBlock]))
+	for len(prompt) >= prefixBlockBytes {
+		h.Write([]byte(prompt[:prefixBlockBytes]))
 		out = append(out, h.Sum64())
-		prompt = prompt[prefixBlock:]
+		prompt = prompt[prefixBlockBytes:]
 	}
 	return out
 }
 
-// use puts the prompt's prefixes into the cache and returns how many bytes
-// of it were not there.
-func (c *prefixCache) use(prompt string) int {
+// add adds the prompt's prefixes to the cache and returns how many bytes of the prompt were not
+// cached.
+func (c *prefixCache) add(prompt string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	fresh := len(prompt)
-	for _, p := range Prefixes(prompt) {
-		if i := slices.Index(c.order, p); i >= 0 {
-			fresh -= prefixBlock
-			c.order = slices.Delete(c.order, i, i+1)
+	uncached := len(prompt)
+	for _, p := range PrefixHashes(prompt) {
+		if i := slices.Index(c.lru, p); i >= 0 {
+			uncached -= prefixBlockBytes
+			c.lru = slices.Delete(c.lru, i, i+1)
 		} else {
 			c.publish(p, false)
 		}
-		c.order = append(c.order, p)
+		c.lru = append(c.lru, p)
 	}
-	c.used += len(prompt) - fresh
-	c.total += len(prompt)
-	for len(c.order) > c.size {
-		c.publish(c.order[0], true)
-		c.order = c.order[1:]
+	c.cachedBytes += len(prompt) - uncached
+	c.totalBytes += len(prompt)
+	for len(c.lru) > c.size {
+		c.publish(c.lru[0], true)
+		c.lru = c.lru[1:]
 	}
-	return fresh
+	return uncached
 }
 
-const keptEvents = 4096
+const maxKeptEvents = 4096
 
-func (c *prefixCache) publish(prefix uint64, gone bool) {
+func (c *prefixCache) publish(prefix uint64, evicted bool) {
 	c.seq++
-	if c.seq%eventGap == 0 {
+	if c.seq%droppedEventInterval == 0 {
 		return
 	}
-	c.events = append(c.events, timedEvent{at: time.Now(), event: CacheEvent{Seq: c.seq, Prefix: prefix, Gone: gone}})
-	if len(c.events) > keptEvents {
+	c.events = append(c.events, timedEvent{at: time.Now(), event: CacheEvent{Seq: c.seq, Prefix: prefix, Evicted: evicted}})
+	if len(c.events) > maxKeptEvents {
 		c.events = c.events[1:]
 	}
 }
@@ -105,7 +104,7 @@
 	out := []CacheEvent{}
 	c.mu.Lock()
 	for _, e := range c.events {
-		if e.event.Seq > after && time.Since(e.at) >= eventDelay {
+		if e.event.Seq > after && time.Since(e.at) >= eventPublishDelay {
 			out = append(out, e.event)
 		}
 	}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -14,67 +14,67 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// EngineOptions sets how an engine behaves.
+// EngineOptions configures the behaviour of an engine.
 type EngineOptions struct {
 	ID models.InstanceID
-	// Platform is where the weight store is.
+	// Platform is the address of the platform's weight store.
 	Platform netip.AddrPort
-	// IgnoreFences makes the engine obey every order and request.
+	// IgnoreFences makes the engine accept every order and request, whatever its fence.
 	IgnoreFences bool
-	// Load is how long it takes to load weights once they are fetched.
+	// Load is the time to load weights once they are fetched.
 	Load time.Duration
-	// Prefill is how long 1,000 bytes of prompt take that are not cached.
+	// Prefill is the time to process 1,000 uncached bytes of a prompt.
 	Prefill time.Duration
-	// TokenGap is the time between two tokens.
+	// TokenGap is the time between two generated tokens.
 	TokenGap time.Duration
-	// Slots is how many requests run at once.
+	// Slots is the number of requests that run concurrently.
 	Slots int
-	// ReportLag is how old the reported load is.
+	// ReportLag is the age of the reported load.
 	ReportLag time.Duration
-	// CachePrefixes is how many prompt prefixes the cache holds.
+	// CachePrefixes is the maximum number of cached prompt prefixes.
 	CachePrefixes int
 }
 
-// Engine is one member of a replica. The member of rank 0 answers requests
-// while all other members are there.
+// Engine is one member of a replica. The member of rank 0 answers requests while all other members
+// are loaded for the same group.
 type Engine struct {
-	opts  EngineOptions
-	slots *slotQueue
-	cache *prefixCache
-	http  *http.Client
+	opts   EngineOptions
+	slots  *slotQueue
+	cache  *prefixCache
+	client *http.Client
 
-	mu          sync.Mutex
-	status      types.EngineStatus
-	reported    []reportedLoad
-	members     []netip.AddrPort
-	rank        int
-	newestFence models.Fence
-	membersOK   bool
-	stopLoad    context.CancelFunc
-	loading     weights
-	runs        map[string]*run
-	history     []RunReport
-	orders      int
+	mu            sync.Mutex
+	status        types.EngineStatus
+	loadSamples   []loadSample
+	members       []netip.AddrPort
+	rank          int
+	newestFence   models.Fence
+	membersLoaded bool
+	cancelLoad    context.CancelFunc
+	loading       modelVersion
+	runs          map[string]*run
+	startedRuns   []RunReport
+	orders        int
 }
 
-// weights name one version of one model.
-type weights struct {
+// modelVersion identifies the weights of one version of one model.
+type modelVersion struct {
 	model   models.ModelName
 	version models.Version
 }
 
-type reportedLoad struct {
-	at   time.Time
-	load types.Load
+type loadSample struct {
+	taken time.Time
+	load  types.Load
 }
 
-// NewEngine returns an empty engine.
+// NewEngine returns an engine that belongs to no group and has no weights loaded.
 func NewEngine(opts EngineOptions) *Engine {
 	return &Engine{
-		opts:  opts,
-		slots: newSlotQueue(opts.Slots),
-		cache: newPrefixCache(opts.CachePrefixes),
-		http:  &http.Client{Timeout: memberTimeout},
+		opts:   opts,
+		slots:  newSlotQueue(opts.Slots),
+		cache:  newPrefixCache(opts.CachePrefixes),
+		client: &http.Client{Timeout: memberTimeout},
 		status: types.EngineStatus{
 			Instance: opts.ID, Incarnation: uint64(time.Now().UnixNano()), Phase: types.PhaseEmpty,
 		},
@@ -82,7 +82,8 @@
 	}
 }
 
-// Handler serves the engine's calls, and under /control/ what it counted.
+// Handler serves the engine's API, and under /control/ the list of its runs and a switch to mark it
+// as leaving.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", e.serveStatus)
@@ -97,14 +98,14 @@
 }
 
 const (
-	memberCheck   = 100 * time.Millisecond
-	memberTimeout = 300 * time.Millisecond
-	reportEvery   = 100 * time.Millisecond
+	memberCheckInterval = 100 * time.Millisecond
+	memberTimeout       = 300 * time.Millisecond
+	reportEvery         = 100 * time.Millisecond
 )
 
 // Run checks the other members and samples the load until the context ends.
 func (e *Engine) Run(ctx context.Context) error {
-	tick := time.NewTicker(memberCheck)
+	tick := time.NewTicker(memberCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -121,15 +122,15 @@
 	running, queued := e.slots.counts()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.reported = append(e.reported, reportedLoad{at: now, load: types.Load{Running: running, Queued: queued, Slots: e.opts.Slots}})
-	for len(e.reported) > 1 && now.Sub(e.reported[1].at) >= e.opts.ReportLag {
-		e.reported = e.reported[1:]
+	e.loadSamples = append(e.loadSamples, loadSample{taken: now, load: types.Load{Running: running, Queued: queued, Slots: e.opts.Slots}})
+	for len(e.loadSamples) > 1 && now.Sub(e.loadSamples[1].taken) >= e.opts.ReportLag {
+		e.loadSamples = e.loadSamples[1:]
 	}
-	e.status.Load = e.reported[0].load
+	e.status.Load = e.loadSamples[0].load
 }
 
-// checkMembers asks every other member whether it is loaded for this group.
-// A replica whose member is missing cannot compute, so its runs break.
+// checkMembers checks that every other member is loaded for this group. A replica without one of
+// its members can't compute, so its runs fail.
 func (e *Engine) checkMembers(ctx context.Context) {
 	e.mu.Lock()
 	status, members, rank := e.status, e.members, e.rank
@@ -149,10 +150,10 @@
 	if e.status.Group != status.Group || e.status.Fence != status.Fence {
 		return
 	}
-	if e.membersOK && err != nil {
-		e.breakRuns("a member of the replica is missing")
+	if e.membersLoaded && err != nil {
+		e.failRuns("a member of the replica is missing")
 	}
-	e.membersOK = err == nil
+	e.membersLoaded = err == nil
 }
 
 func (e *Engine) checkMember(ctx context.Context, addr netip.AddrPort, own types.EngineStatus) error {
@@ -160,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := e.http.Do(req)
+	resp, err := e.client.Do(req)
 	if err != nil {
 		return err
 	}
@@ -175,9 +176,8 @@
 	return nil
 }
 
-// breakRuns ends everything that runs without an end mark. The caller holds
-// the lock.
-func (e *Engine) breakRuns(reason string) {
+// failRuns aborts all runs; their streams end without an end mark. The caller holds the lock.
+func (e *Engine) failRuns(reason string) {
 	for _, r := range e.runs {
 		r.fail(reason)
 	}
@@ -187,7 +187,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	status := e.status
-	if status.Phase == types.PhaseLoaded && e.rank == 0 && len(e.members) > 1 && !e.membersOK {
+	if status.Phase == types.PhaseLoaded && e.rank == 0 && len(e.members) > 1 && !e.membersLoaded {
 		status.Phase = types.PhaseJoining
 	}
 	for _, r := range e.runs {
@@ -220,13 +220,13 @@
 	e.newestFence = max(e.newestFence, order.Fence)
 	switch order.Kind {
 	case types.OrderLoad:
-		e.join(order)
+		e.joinGroup(order)
 	case types.OrderPrepare:
 		if e.status.Group == "" {
-			e.obtain(order)
+			e.ensureWeights(order)
 		}
 	case types.OrderLeave:
-		e.leave()
+		e.leaveGroup()
 	default:
 		writeError(w, http.StatusBadRequest, "unknown kind of order")
 		return
@@ -234,53 +234,52 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// leave takes the engine out of its group; it keeps its weights. The caller
-// holds the lock.
-func (e *Engine) leave() {
-	e.breakRuns("the replica was ended")
-	e.members, e.membersOK = nil, false
+// leaveGroup removes the engine from its group; its weights stay loaded. The caller holds the lock.
+func (e *Engine) leaveGroup() {
+	e.failRuns("the replica was ended")
+	e.members, e.membersLoaded = nil, false
 	e.status.Group, e.status.Fence = "", 0
 	if e.status.Phase == types.PhaseLoaded {
 		e.status.Phase = types.PhaseEmpty
 	}
 }
 
-// join makes the engine a member of a group, unless it is already. The
-// caller holds the lock.
-func (e *Engine) join(order types.Order) {
+// joinGroup makes the engine a member of the order's group, unless it is already. The caller holds
+// the lock.
+func (e *Engine) joinGroup(order types.Order) {
 	if e.status.Group == order.Group && e.status.Fence == order.Fence {
 		return
 	}
-	e.leave()
+	e.leaveGroup()
 	e.members, e.rank = order.Members, order.Rank
 	e.status.Group, e.status.Fence = order.Group, order.Fence
-	e.obtain(order)
+	e.ensureWeights(order)
 }
 
-// obtain sees that the engine gets the order's weights: it has them, is
-// loading them, or starts to. The caller holds the lock.
-func (e *Engine) obtain(order types.Order) {
-	wanted := weights{order.Model, order.Version}
+// ensureWeights starts to load the order's weights unless they are loaded or being loaded. The
+// caller holds the lock.
+func (e *Engine) ensureWeights(order types.Order) {
+	wanted := modelVersion{order.Model, order.Version}
 	if e.status.Phase == types.PhaseLoading && e.loading == wanted {
 		return
 	}
-	if e.stopLoad != nil {
-		e.stopLoad()
+	if e.cancelLoad != nil {
+		e.cancelLoad()
 	}
-	held := weights{e.status.Model, e.status.Version}
+	held := modelVersion{e.status.Model, e.status.Version}
 	if held == wanted {
-		e.weightsReady(wanted)
+		e.setWeights(wanted)
 		return
 	}
 	e.status.Phase, e.loading = types.PhaseLoading, wanted
 	e.status.Model, e.status.Version = "", ""
 	ctx, cancel := context.WithCancel(context.Background())
-	e.stopLoad = cancel
-	go e.load(ctx, wanted)
+	e.cancelLoad = cancel
+	go e.loadWeights(ctx, wanted)
 }
 
-// weightsReady notes that the weights are at hand. The caller holds the lock.
-func (e *Engine) weightsReady(w weights) {
+// setWeights records that the weights are loaded. The caller holds the lock.
+func (e *Engine) setWeights(w modelVersion) {
 	e.status.Model, e.status.Version = w.model, w.version
 	e.status.Phase = types.PhaseEmpty
 	if e.status.Group != "" {
@@ -288,7 +287,7 @@
 	}
 }
 
-func (e *Engine) load(ctx context.Context, w weights) {
+func (e *Engine) loadWeights(ctx context.Context, w modelVersion) {
 	for e.fetchWeights(ctx, w) != nil {
 		if sleep(ctx, memberTimeout) != nil {
 			return
@@ -300,11 +299,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if ctx.Err() == nil {
-		e.weightsReady(w)
+		e.setWeights(w)
 	}
 }
 
-func (e *Engine) fetchWeights(ctx context.Context, w weights) error {
+func (e *Engine) fetchWeights(ctx context.Context, w modelVersion) error {
 	url := fmt.Sprintf("http://%s/weights/%s/%s", e.opts.Platform, w.model, w.version)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -321,9 +320,9 @@
 	return nil
 }
 
-// CacheUse is how many bytes of prompts were cached, and of all prompts.
-func (e *Engine) CacheUse() (cached, total int) {
+// CacheUsage returns how many prompt bytes were cached, and the total of prompt bytes.
+func (e *Engine) CacheUsage() (cached, total int) {
 	e.cache.mu.Lock()
 	defer e.cache.mu.Unlock()
-	return e.cache.used, e.cache.total
+	return e.cache.cachedBytes, e.cache.totalBytes
 }
--- a/standin/http.go
+++ b/standin/http.go
@@ -1,7 +1,6 @@
-// Package standin holds small stand-ins for what lupinkeel runs between:
-// the platform with its log, instance list and weight store, model engines,
-// plain services, and a TCP proxy that injects faults. They exist for tests,
-// measurements and the demo, and promise nothing beyond that.
+// Package standin holds small stand-ins for the systems that lupinkeel connects: the platform with
+// its log, instance list and weight store, model engines, plain services, and a TCP proxy that
+// injects faults. They exist for tests, measurements and the demo only.
 package standin
 
 import (
@@ -18,14 +17,14 @@
 
 const shutdownGrace = time.Second
 
-// Server is a stand-in that listens on an address of its own.
+// Server is an HTTP server with its own listener.
 type Server struct {
 	Addr     netip.AddrPort
 	listener net.Listener
 	handler  http.Handler
 }
 
-// Listen binds the address; port 0 picks a free one.
+// Listen binds the address; port 0 picks a free port.
 func Listen(addr netip.AddrPort, handler http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
@@ -38,14 +37,14 @@
 // Run serves until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	server := &http.Server{Handler: s.handler, ReadHeaderTimeout: 10 * time.Second}
-	stopped := context.AfterFunc(ctx, func() {
-		grace, cancel := context.WithTimeout(context.Background(), shutdownGrace)
+	stop := context.AfterFunc(ctx, func() {
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownGrace)
 		defer cancel()
-		if server.Shutdown(grace) != nil {
+		if server.Shutdown(shutdownCtx) != nil {
 			server.Close()
 		}
 	})
-	defer stopped()
+	defer stop()
 	if err := server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
@@ -55,7 +54,7 @@
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller has gone if this fails; there is nobody left to tell.
+	// Encoding fails only if the client has disconnected.
 	_ = json.NewEncoder(w).Encode(value)
 }
 
@@ -63,10 +62,10 @@
 	writeJSON(w, status, map[string]string{"error": message})
 }
 
-const maxBody = 16 << 20
+const maxBodyBytes = 16 << 20
 
 func readJSON(w http.ResponseWriter, r *http.Request, out any) bool {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
 		err = json.Unmarshal(data, out)
 	}
@@ -77,17 +76,17 @@
 	return true
 }
 
-// Duration is a time.Duration that reads and writes "250ms" in JSON.
+// Duration is a time.Duration that is encoded in JSON as text such as "250ms".
 type Duration time.Duration
 
-// UnmarshalText reads what time.ParseDuration reads.
+// UnmarshalText parses the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
 	return err
 }
 
-// MarshalText writes the duration as time.Duration.String does.
+// MarshalText returns the format of time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
--- a/standin/list.go
+++ b/standin/list.go
@@ -15,8 +15,7 @@
 	"github.com/lupinkeel/lupinkeel/worker/platform"
 )
 
-// List is the platform's instance list. Readers see it as it was some time
-// ago.
+// List is the platform's instance list. Readers see it with a configurable lag.
 type List struct {
 	mu       sync.Mutex
 	versions []listVersion
@@ -25,23 +24,23 @@
 }
 
 type listVersion struct {
-	at        time.Time
+	created   time.Time
 	instances map[models.InstanceID]models.Instance
 }
 
 // NewList returns a list without instances.
 func NewList() *List {
-	return &List{versions: []listVersion{{at: time.Now()}}}
+	return &List{versions: []listVersion{{created: time.Now()}}}
 }
 
-// Control changes the list.
+// Control changes the instances, the lag and the availability of the list.
 func (l *List) Control(c ListControl) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.Lag != nil {
 		l.lag = time.Duration(*c.Lag)
 	}
-	set(&l.down, c.Down)
+	setIfPresent(&l.down, c.Down)
 	next := maps.Clone(l.versions[len(l.versions)-1].instances)
 	if next == nil {
 		next = map[models.InstanceID]models.Instance{}
@@ -58,15 +57,14 @@
 	for _, id := range c.Remove {
 		delete(next, id)
 	}
-	l.versions = append(l.versions, listVersion{at: time.Now(), instances: next})
+	l.versions = append(l.versions, listVersion{created: time.Now(), instances: next})
 }
 
-// visible returns the newest version that is older than the lag, and forgets
-// those before it.
+// visible returns the newest version that is older than the lag, and drops the versions before it.
 func (l *List) visible(now time.Time) []models.Instance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for len(l.versions) > 1 && now.Sub(l.versions[1].at) >= l.lag {
+	for len(l.versions) > 1 && now.Sub(l.versions[1].created) >= l.lag {
 		l.versions = l.versions[1:]
 	}
 	all := l.versions[0].instances
@@ -99,8 +97,8 @@
 	}
 }
 
-// Announce changes the list of the platform at the address. It tries until
-// the platform answers or the context ends.
+// Announce applies the change to the instance list of the platform at the address. It retries until
+// the platform accepts the change or the context ends.
 func Announce(ctx context.Context, platform netip.AddrPort, change ListControl) error {
 	body, err := json.Marshal(change)
 	if err != nil {
@@ -114,10 +112,10 @@
 				return nil
 			}
 		}
-		if sleep(ctx, announceAgain) != nil {
+		if sleep(ctx, announceRetryInterval) != nil {
 			return ctx.Err()
 		}
 	}
 }
 
-const announceAgain = 100 * time.Millisecond
+const announceRetryInterval = 100 * time.Millisecond
--- a/standin/log.go
+++ b/standin/log.go
@@ -14,27 +14,26 @@
 )
 
 const (
-	maxAppend      = 1 << 20
+	maxAppendBytes = 1 << 20
 	maxReadEntries = 512
 	maxReadWait    = 10 * time.Second
 )
 
-// LogControl switches the log's faults. Fields that are left out keep their
-// value.
+// LogControl changes the log's faults. A field that is left out keeps its value.
 type LogControl struct {
 	Down *bool `json:"down,omitempty"`
-	// Delay holds every call back.
+	// Delay is added to every call.
 	Delay *Duration `json:"delay,omitempty"`
-	// LoseAnswers is how many of the next appends take effect and are then
-	// answered by closing the connection.
-	LoseAnswers *int `json:"lose_answers,omitempty"`
-	// AppendsPerSecond limits all appends together; 0 sets no limit.
+	// LoseResponses is how many of the next appends take effect but get no response: the connection
+	// is closed.
+	LoseResponses *int `json:"lose_answers,omitempty"`
+	// AppendsPerSecond limits the rate of all appends together; 0 means no limit.
 	AppendsPerSecond *float64 `json:"appends_per_second,omitempty"`
-	// Retain is how many records of a stream are kept; 0 keeps all.
+	// Retain is how many records of each stream are kept; 0 keeps all.
 	Retain *int `json:"retain,omitempty"`
 }
 
-// LogCounts tells what the log has carried since it started.
+// LogCounts holds the log's traffic counters since its start.
 type LogCounts struct {
 	Appends     int   `json:"appends"`
 	Refused     int   `json:"refused"`
@@ -43,79 +42,79 @@
 	ReadBytes   int64 `json:"read_bytes"`
 }
 
-// Log is an append-only log with offsets, limited retention and faults that
-// can be switched while it runs.
+// Log is an append-only log with offsets, limited retention and faults that can be changed at run
+// time.
 type Log struct {
-	mu      sync.Mutex
-	streams map[string]*stream
-	counts  LogCounts
-	down    bool
-	delay   time.Duration
-	lose    int
-	rate    float64
-	retain  int
-	budget  float64
-	filled  time.Time
+	mu              sync.Mutex
+	streams         map[string]*stream
+	counts          LogCounts
+	down            bool
+	delay           time.Duration
+	responsesToLose int
+	rate            float64
+	retain          int
+	appendTokens    float64
+	refilled        time.Time
 }
 
 type stream struct {
 	first models.Offset
 	data  [][]byte
-	// grown is closed and replaced at each append.
-	grown chan struct{}
+	// appended is closed and replaced at each append.
+	appended chan struct{}
 }
 
 // NewLog returns an empty log without faults.
 func NewLog() *Log {
-	return &Log{streams: map[string]*stream{}, filled: time.Now()}
+	return &Log{streams: map[string]*stream{}, refilled: time.Now()}
 }
 
 func (l *Log) stream(name string) *stream {
 	s := l.streams[name]
 	if s == nil {
-		s = &stream{first: 1, grown: make(chan struct{})}
+		s = &stream{first: 1, appended: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
 }
 
-func (s *stream) next() models.Offset { return s.first + models.Offset(len(s.data)) }
+func (s *stream) nextOffset() models.Offset { return s.first + models.Offset(len(s.data)) }
 
-// Control switches faults.
+// Control changes the log's faults.
 func (l *Log) Control(c LogControl) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	set(&l.down, c.Down)
-	set(&l.lose, c.LoseAnswers)
-	set(&l.rate, c.AppendsPerSecond)
-	set(&l.retain, c.Retain)
+	setIfPresent(&l.down, c.Down)
+	setIfPresent(&l.responsesToLose, c.LoseResponses)
+	setIfPresent(&l.rate, c.AppendsPerSecond)
+	setIfPresent(&l.retain, c.Retain)
 	if c.Delay != nil {
 		l.delay = time.Duration(*c.Delay)
 	}
 	for _, s := range l.streams {
 		l.expire(s)
-		close(s.grown)
-		s.grown = make(chan struct{})
+		close(s.appended)
+		s.appended = make(chan struct{})
 	}
 }
 
-func set[T any](field *T, value *T) {
+func setIfPresent[T any](field *T, value *T) {
 	if value != nil {
 		*field = *value
 	}
 }
 
 func (l *Log) expire(s *stream) {
-	if extra := len(s.data) - l.retain; l.retain > 0 && extra > 0 {
-		s.data = append([][]byte(nil), s.data[extra:]...)
-		s.first += models.Offset(extra)
+	if excess := len(s.data) - l.retain; l.retain > 0 && excess > 0 {
+		s.data = append([][]byte(nil), s.data[excess:]...)
+		s.first += models.Offset(excess)
 	}
 }
 
 type appendResult struct {
-	offset models.Offset
-	lost   bool
-	status int
+	offset       models.Offset
+	loseResponse bool
+	status       int
 }
 
 func (l *Log) append(name string, data []byte) appendResult {
@@ -124,40 +123,40 @@
 	if l.down {
 		return appendResult{status: http.StatusServiceUnavailable}
 	}
-	if !l.spend(time.Now()) {
+	if !l.takeAppendToken(time.Now()) {
 		l.counts.Refused++
 		return appendResult{status: http.StatusTooManyRequests}
 	}
 	s := l.stream(name)
-	offset := s.next()
+	offset := s.nextOffset()
 	s.data = append(s.data, data)
 	l.expire(s)
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	l.counts.Appends++
 	l.counts.AppendBytes += int64(len(data))
-	lost := l.lose > 0
-	if lost {
-		l.lose--
+	lose := l.responsesToLose > 0
+	if lose {
+		l.responsesToLose--
 	}
-	return appendResult{offset: offset, lost: lost, status: http.StatusOK}
+	return appendResult{offset: offset, loseResponse: lose, status: http.StatusOK}
 }
 
-// spend takes one append from a budget that holds a second's worth.
-func (l *Log) spend(now time.Time) bool {
+// takeAppendToken takes an append from a token bucket that holds at most one second of the rate.
+func (l *Log) takeAppendToken(now time.Time) bool {
 	if l.rate == 0 {
 		return true
 	}
-	l.budget = min(l.rate, l.budget+now.Sub(l.filled).Seconds()*l.rate)
-	l.filled = now
-	if l.budget < 1 {
+	l.appendTokens = min(l.rate, l.appendTokens+now.Sub(l.refilled).Seconds()*l.rate)
+	l.refilled = now
+	if l.appendTokens < 1 {
 		return false
 	}
-	l.budget--
+	l.appendTokens--
 	return true
 }
 
-func (l *Log) pause(ctx context.Context) error {
+func (l *Log) waitDelay(ctx context.Context) error {
 	l.mu.Lock()
 	delay := l.delay
 	l.mu.Unlock()
@@ -165,12 +164,12 @@
 }
 
 func (l *Log) serveAppend(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxAppend))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxAppendBytes))
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if l.pause(r.Context()) != nil {
+	if l.waitDelay(r.Context()) != nil {
 		return
 	}
 	res := l.append(r.PathValue("stream"), data)
@@ -178,7 +177,7 @@
 	case res.status != http.StatusOK:
 		w.Header().Set("Retry-After", "1")
 		writeError(w, res.status, "append refused")
-	case res.lost:
+	case res.loseResponse:
 		panic(http.ErrAbortHandler)
 	default:
 		writeJSON(w, http.StatusOK, platform.AppendAnswer{Offset: res.offset})
@@ -193,20 +192,20 @@
 		return
 	}
 	wait, _ := time.ParseDuration(query.Get("wait"))
-	if l.pause(r.Context()) != nil {
+	if l.waitDelay(r.Context()) != nil {
 		return
 	}
 	deadline := time.Now().Add(min(wait, maxReadWait))
 	for {
-		answer, status, grown := l.read(r.PathValue("stream"), models.Offset(from))
-		left := time.Until(deadline)
-		if status != http.StatusOK || len(answer.Entries) > 0 || left <= 0 {
-			writeJSON(w, status, answer)
+		resp, status, appended := l.read(r.PathValue("stream"), models.Offset(from))
+		remaining := time.Until(deadline)
+		if status != http.StatusOK || len(resp.Entries) > 0 || remaining <= 0 {
+			writeJSON(w, status, resp)
 			return
 		}
 		select {
-		case <-grown:
-		case <-time.After(left):
+		case <-appended:
+		case <-time.After(remaining):
 		case <-r.Context().Done():
 			return
 		}
@@ -219,18 +218,18 @@
 	s := l.stream(name)
 	l.counts.Reads++
 	if l.down {
-		return platform.ReadAnswer{}, http.StatusServiceUnavailable, s.grown
+		return platform.ReadAnswer{}, http.StatusServiceUnavailable, s.appended
 	}
-	answer := platform.ReadAnswer{First: s.first, Next: s.next()}
+	resp := platform.ReadAnswer{First: s.first, Next: s.nextOffset()}
 	if from < s.first {
-		return answer, http.StatusGone, s.grown
+		return resp, http.StatusGone, s.appended
 	}
-	for o := from; o < s.next() && len(answer.Entries) < maxReadEntries; o++ {
+	for o := from; o < s.nextOffset() && len(resp.Entries) < maxReadEntries; o++ {
 		data := s.data[o-s.first]
 		l.counts.ReadBytes += int64(len(data))
-		answer.Entries = append(answer.Entries, types.Entry{Offset: o, Data: data})
+		resp.Entries = append(resp.Entries, types.Entry{Offset: o, Data: data})
 	}
-	return answer, http.StatusOK, s.grown
+	return resp, http.StatusOK, s.appended
 }
 
 func (l *Log) serveControl(w http.ResponseWriter, r *http.Request) {
@@ -241,7 +240,7 @@
 	}
 }
 
-// Counts tells what the log has carried so far.
+// Counts returns the traffic counters.
 func (l *Log) Counts() LogCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -6,8 +6,8 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Platform is the stand-in for the operators' platform: log, instance list
-// and weight store behind one handler.
+// Platform is the stand-in for the platform: log, instance list and weight store behind one
+// handler.
 type Platform struct {
 	Log     *Log
 	List    *List
@@ -19,8 +19,7 @@
 	return &Platform{Log: NewLog(), List: NewList(), Weights: NewWeights()}
 }
 
-// Handler serves the platform's own calls, and under /control/ the switches
-// of its faults.
+// Handler serves the platform's API, and under /control/ the control of its faults.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /log/{stream}", p.Log.serveAppend)
@@ -36,7 +35,7 @@
 
 // ListControl changes the instance list.
 type ListControl struct {
-	// Lag is how old a list the readers get.
+	// Lag is the age of the list that readers get.
 	Lag     *Duration           `json:"lag,omitempty"`
 	Down    *bool               `json:"down,omitempty"`
 	Put     []models.Instance   `json:"put,omitempty"`
@@ -44,10 +43,9 @@
 	Remove  []models.InstanceID `json:"remove,omitempty"`
 }
 
-// WeightsControl changes how the weight store behaves.
+// WeightsControl changes the weight store's faults and rate.
 type WeightsControl struct {
 	Down *bool `json:"down,omitempty"`
-	// LoadsPerSecond is how many instances' weights it hands out a second,
-	// to all readers together.
+	// LoadsPerSecond limits how many loads are served a second, over all readers.
 	LoadsPerSecond *float64 `json:"loads_per_second,omitempty"`
 }
--- a/standin/proxy.go
+++ b/standin/proxy.go
@@ -14,32 +14,30 @@
 	"github.com/lupinkeel/lupinkeel/lib/task"
 )
 
-// Faults are what a Link does to the bytes that pass it.
+// Faults are what a Link does to the connections and bytes that it forwards.
 type Faults struct {
 	// Cut closes every connection and refuses new ones.
 	Cut bool `json:"cut"`
-	// Freeze holds all bytes until it is switched off.
+	// Freeze holds back all bytes until it is switched off.
 	Freeze bool `json:"freeze"`
-	// Delay holds each piece of bytes back.
+	// Delay is added before each chunk is forwarded.
 	Delay Duration `json:"delay"`
-	// DropUp and DropDown swallow the bytes of one direction: up goes to
-	// the target. DropDown is an answer that is lost.
+	// DropUp discards the bytes sent to the target, DropDown the bytes that the target sends: a
+	// lost response.
 	DropUp   bool `json:"drop_up"`
 	DropDown bool `json:"drop_down"`
-	// CutAfter closes a connection once so many bytes have come down; 0 is
-	// off.
+	// CutAfter closes a connection once it has received this many bytes from the target; 0 is off.
 	CutAfter int `json:"cut_after"`
-	// Only limits the faults to connections from these addresses; empty
-	// means all.
+	// Only limits the faults to connections from these addresses; empty means all.
 	Only []netip.Addr `json:"only,omitempty"`
 }
 
-// hits reports whether the faults apply to a caller's connection.
-func (f Faults) hits(caller net.Conn) bool {
+// appliesTo reports whether the faults apply to a client's connection.
+func (f Faults) appliesTo(client net.Conn) bool {
 	if len(f.Only) == 0 {
 		return true
 	}
-	from := caller.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
+	from := client.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
 	return slices.Contains(f.Only, from)
 }
 
@@ -49,13 +47,13 @@
 	Addr     netip.AddrPort
 	listener net.Listener
 
-	mu      sync.Mutex
-	faults  Faults
-	changed chan struct{}
-	open    map[net.Conn]struct{}
+	mu            sync.Mutex
+	faults        Faults
+	faultsChanged chan struct{}
+	conns         map[net.Conn]struct{}
 }
 
-// NewLink binds the address; port 0 picks a free one.
+// NewLink binds the listen address; port 0 picks a free port.
 func NewLink(listen, target netip.AddrPort) (*Link, error) {
 	l, err := net.Listen("tcp", listen.String())
 	if err != nil {
@@ -63,27 +61,27 @@
 	}
 	return &Link{
 		Target: target, Addr: l.Addr().(*net.TCPAddr).AddrPort(), listener: l,
-		changed: make(chan struct{}), open: map[net.Conn]struct{}{},
+		faultsChanged: make(chan struct{}), conns: map[net.Conn]struct{}{},
 	}, nil
 }
 
-// Set switches the faults.
+// Set replaces the faults and applies Cut to open connections.
 func (l *Link) Set(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
-	close(l.changed)
-	l.changed = make(chan struct{})
+	close(l.faultsChanged)
+	l.faultsChanged = make(chan struct{})
 	if f.Cut {
-		for c := range l.open {
-			if f.hits(c) {
+		for c := range l.conns {
+			if f.appliesTo(c) {
 				c.Close()
 			}
 		}
 	}
 }
 
-// Handler switches the faults over HTTP.
+// Handler sets the faults over HTTP.
 func (l *Link) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var f Faults
@@ -94,18 +92,18 @@
 	})
 }
 
-// faultsFor returns the faults in force for a caller's connection, and a
-// channel that is closed when they change.
-func (l *Link) faultsFor(caller net.Conn) (Faults, <-chan struct{}) {
+// faultsFor returns the faults that apply to a client's connection, and a channel that is closed
+// when the faults change.
+func (l *Link) faultsFor(client net.Conn) (Faults, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.faults.hits(caller) {
-		return Faults{}, l.changed
+	if !l.faults.appliesTo(client) {
+		return Faults{}, l.faultsChanged
 	}
-	return l.faults, l.changed
+	return l.faults, l.faultsChanged
 }
 
-// Run carries connections until the context ends.
+// Run accepts and forwards connections until the context ends.
 func (l *Link) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { l.listener.Close() })
 	defer stop()
@@ -117,33 +115,33 @@
 			}
 			return err
 		}
-		go l.carry(ctx, conn)
+		go l.forward(ctx, conn)
 	}
 }
 
 func (l *Link) track(conn net.Conn) (allowed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.faults.Cut && l.faults.hits(conn) {
+	if l.faults.Cut && l.faults.appliesTo(conn) {
 		conn.Close()
 		return false
 	}
-	l.open[conn] = struct{}{}
+	l.conns[conn] = struct{}{}
 	return true
 }
 
 func (l *Link) untrack(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.open, conn)
+	delete(l.conns, conn)
 	conn.Close()
 }
 
-func (l *Link) carry(ctx context.Context, caller net.Conn) {
-	if !l.track(caller) {
+func (l *Link) forward(ctx context.Context, client net.Conn) {
+	if !l.track(client) {
 		return
 	}
-	defer l.untrack(caller)
+	defer l.untrack(client)
 	target, err := net.DialTimeout("tcp", l.Target.String(), time.Second)
 	if err != nil {
 		return
@@ -151,73 +149,73 @@
 	defer target.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { caller.Close(); target.Close() })
+	stop := context.AfterFunc(ctx, func() { client.Close(); target.Close() })
 	defer stop()
-	lost := make(chan struct{}, 1)
-	stopLost := task.Start(ctx, "lost", func(ctx context.Context) error { return l.endLost(ctx, caller, lost, cancel) })
+	dropped := make(chan struct{}, 1)
+	closer := task.Start(ctx, "lost", func(ctx context.Context) error { return l.closeAfterDrop(ctx, client, dropped, cancel) })
 	up := task.Start(ctx, "up", func(ctx context.Context) error {
-		return l.pipe(ctx, caller, target, caller, func(f Faults) bool { return f.DropUp }, false, lost)
+		return l.pipe(ctx, client, target, client, func(f Faults) bool { return f.DropUp }, false, dropped)
 	})
 	down := task.Start(ctx, "down", func(ctx context.Context) error {
 		defer cancel()
-		return l.pipe(ctx, caller, caller, target, func(f Faults) bool { return f.DropDown }, true, lost)
+		return l.pipe(ctx, client, client, target, func(f Faults) bool { return f.DropDown }, true, dropped)
 	})
-	// Both ends report a closed connection; there is nothing to add.
-	_ = task.Wait(up, down, stopLost)
+	// Both pipes report a closed connection; the error holds nothing more.
+	_ = task.Wait(up, down, closer)
 }
 
-// endLost closes a connection of which bytes were dropped once the faults
-// change: a real connection that lost bytes never goes on without them.
-func (l *Link) endLost(ctx context.Context, caller net.Conn, lost <-chan struct{}, end func()) error {
+// closeAfterDrop closes a connection whose bytes were dropped once the faults change: a real TCP
+// connection never continues without bytes that it lost.
+func (l *Link) closeAfterDrop(ctx context.Context, client net.Conn, dropped <-chan struct{}, closeConn func()) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-lost:
+	case <-dropped:
 	}
-	_, changed := l.faultsFor(caller)
+	_, changed := l.faultsFor(client)
 	select {
 	case <-ctx.Done():
 	case <-changed:
-		end()
+		closeConn()
 	}
 	return ctx.Err()
 }
 
 var errCutAfter = errors.New("cut after so many bytes")
 
-const pipeBuffer = 32 << 10
+const pipeBufferBytes = 32 << 10
 
-func (l *Link) pipe(ctx context.Context, caller, to, from net.Conn, drop func(Faults) bool, count bool, lost chan<- struct{}) error {
-	buf := make([]byte, pipeBuffer)
-	passed := 0
+func (l *Link) pipe(ctx context.Context, client, to, from net.Conn, drop func(Faults) bool, countBytes bool, dropped chan<- struct{}) error {
+	buf := make([]byte, pipeBufferBytes)
+	forwarded := 0
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			f, werr := l.hold(ctx, caller)
+			f, werr := l.applyDelay(ctx, client)
 			if werr != nil {
 				return werr
 			}
-			piece := buf[:n]
-			limited := count && f.CutAfter > 0
+			chunk := buf[:n]
+			limited := countBytes && f.CutAfter > 0
 			if limited {
-				piece = piece[:min(n, max(0, f.CutAfter-passed))]
+				chunk = chunk[:min(n, max(0, f.CutAfter-forwarded))]
 			}
-			passed += n
+			forwarded += n
 			if drop(f) {
 				select {
-				case lost <- struct{}{}:
+				case dropped <- struct{}{}:
 				default:
 				}
-			} else if _, werr := to.Write(piece); werr != nil {
+			} else if _, werr := to.Write(chunk); werr != nil {
 				return werr
 			}
-			if limited && passed >= f.CutAfter {
+			if limited && forwarded >= f.CutAfter {
 				return errCutAfter
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if half, ok := to.(*net.TCPConn); ok {
-				return half.CloseWrite()
+			if tcp, ok := to.(*net.TCPConn); ok {
+				return tcp.CloseWrite()
 			}
 		}
 		if err != nil {
@@ -226,11 +224,11 @@
 	}
 }
 
-// hold waits while the link is frozen, then for its delay, and returns the
-// faults in force.
-func (l *Link) hold(ctx context.Context, caller net.Conn) (Faults, error) {
+// applyDelay waits while the link is frozen, then for the configured delay, and returns the current
+// faults.
+func (l *Link) applyDelay(ctx context.Context, client net.Conn) (Faults, error) {
 	for {
-		f, changed := l.faultsFor(caller)
+		f, changed := l.faultsFor(client)
 		if !f.Freeze {
 			return f, sleep(ctx, time.Duration(f.Delay))
 		}
