--- a/standin/replica/limit.go
+++ b/standin/replica/limit.go
@@ -12,79 +12,80 @@
 
 const (
 	headerLimit = "Server-Limit"
-	// limitWindow is the time over which requests are held against a limit, limitFactor
-	// and limitSlack what may come of it beyond what the limit allows.
+	// limitWindow is the time window over which requests are checked against a limit. They may
+	// reach limitFactor times what the limit allows plus limitSlack.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitLag is for how long a higher limit counts beside the one that follows: answers
-	// that name the new one are on their way.
+	// limitLag is how long a higher limit still counts after a lower one was advertised: responses
+	// with the new limit are still in flight.
 	limitLag = 500 * time.Millisecond
-	// limitStep is the step in which limits are added up, limitError what that may be off by.
-	limitStep  = 10 * time.Millisecond
-	limitError = 1e-6
+	// limitStep is the step in which limits are integrated, limitTolerance the rounding error that
+	// this may cause.
+	limitStep      = 10 * time.Millisecond
+	limitTolerance = 1e-6
 )
 
-// limitNamed is a limit that an instance named from some time on.
-type limitNamed struct {
-	at   time.Time
-	rate float64
+// advertisedLimit is a limit that an instance advertised from a point in time.
+type advertisedLimit struct {
+	since time.Time
+	rate  float64
 }
 
-// limitRecord is what an instance named, and when requests came.
-type limitRecord struct {
-	named    []limitNamed
-	arrivals []time.Time
+// limitHistory holds the limits that an instance advertised, and the arrival times of requests.
+type limitHistory struct {
+	advertised []advertisedLimit
+	arrivals   []time.Time
 }
 
-// NameLimit has the instance name, in all answers from now on, how many requests a second
-// it takes; models.NoLimit ends that.
-func (i *Instance) NameLimit(rate float64) {
-	i.f.mu.Lock()
-	defer i.f.mu.Unlock()
-	i.limit.named = append(i.limit.named, limitNamed{time.Now(), rate})
+// AdvertiseLimit makes the instance advertise in all responses from now on how many requests a
+// second it accepts; models.NoLimit ends that.
+func (i *Instance) AdvertiseLimit(rate float64) {
+	i.pool.mu.Lock()
+	defer i.pool.mu.Unlock()
+	i.limits.advertised = append(i.limits.advertised, advertisedLimit{time.Now(), rate})
 }
 
-// noteArrival records that a request came. The fabric must be locked.
-func (i *Instance) noteArrival() { i.limit.arrivals = append(i.limit.arrivals, time.Now()) }
+// recordArrival records the arrival of a request. The pool must be locked.
+func (i *Instance) recordArrival() { i.limits.arrivals = append(i.limits.arrivals, time.Now()) }
 
-// tellLimit names the limit in the head of an answer.
-func (i *Instance) tellLimit(w http.ResponseWriter) {
-	i.f.mu.Lock()
-	defer i.f.mu.Unlock()
-	if rate := i.limit.at(time.Now()); rate != models.NoLimit {
+// writeLimitHeader writes the limit into the response header.
+func (i *Instance) writeLimitHeader(w http.ResponseWriter) {
+	i.pool.mu.Lock()
+	defer i.pool.mu.Unlock()
+	if rate := i.limits.at(time.Now()); rate != models.NoLimit {
 		w.Header().Set(headerLimit, strconv.FormatFloat(rate, 'f', -1, 64))
 	}
 }
 
-// at is the limit at some time.
-func (r *limitRecord) at(t time.Time) float64 {
+// at returns the limit at a point in time.
+func (r *limitHistory) at(t time.Time) float64 {
 	rate := models.NoLimit
-	for _, n := range r.named {
-		if !n.at.After(t) {
+	for _, n := range r.advertised {
+		if !n.since.After(t) {
 			rate = n.rate
 		}
 	}
 	return rate
 }
 
-// most is the highest limit from one time to another.
-func (r *limitRecord) most(from, to time.Time) float64 {
+// highest returns the highest limit within an interval.
+func (r *limitHistory) highest(from, to time.Time) float64 {
 	rate := r.at(from)
-	for _, n := range r.named {
-		if n.at.After(from) && !n.at.After(to) {
+	for _, n := range r.advertised {
+		if n.since.After(from) && !n.since.After(to) {
 			rate = max(rate, n.rate)
 		}
 	}
 	return rate
 }
 
-// allowed is how many requests the limit allows from one time to another, and whether there
-// was one all the time.
-func (r *limitRecord) allowed(from, to time.Time) (float64, bool) {
+// allowed returns how many requests the limits allow within an interval, and whether there was a
+// limit all the time.
+func (r *limitHistory) allowed(from, to time.Time) (float64, bool) {
 	sum := 0.0
 	for t := from; t.Before(to); t = t.Add(limitStep) {
-		rate := r.most(t.Add(-limitLag), t)
+		rate := r.highest(t.Add(-limitLag), t)
 		if rate == models.NoLimit {
 			return 0, false
 		}
@@ -93,61 +94,62 @@
 	return sum, true
 }
 
-// Limited is what became of an instance's limit.
-type Limited struct {
+// LimitReport compares the requests that an instance received with its limits.
+type LimitReport struct {
 	Instance models.InstanceID
-	// Allowed is what the limit came to, Sent how many requests came meanwhile.
+	// Allowed is the number of requests that the limits allowed, Sent the number received in the
+	// same time.
 	Allowed float64
 	Sent    int
-	// Broken tells of the window with the most requests beyond what the limit allows.
-	Broken string
+	// Violation describes the window that exceeded the limit the most.
+	Violation string
 }
 
-// Limited tells what became of the instance's limit, from some time after it was first
-// named until now.
-func (i *Instance) Limited(contact time.Duration) Limited {
-	i.f.mu.Lock()
-	record := limitRecord{slices.Clone(i.limit.named), slices.Clone(i.limit.arrivals)}
-	i.f.mu.Unlock()
-	out := Limited{Instance: i.ID}
-	if len(record.named) == 0 {
-		return out
+// CheckLimit compares the received requests with the advertised limits, from the propagation time
+// after the first advertisement until now.
+func (i *Instance) CheckLimit(propagation time.Duration) LimitReport {
+	i.pool.mu.Lock()
+	history := limitHistory{slices.Clone(i.limits.advertised), slices.Clone(i.limits.arrivals)}
+	i.pool.mu.Unlock()
+	report := LimitReport{Instance: i.ID}
+	if len(history.advertised) == 0 {
+		return report
 	}
-	from, over := record.named[0].at.Add(contact), limitError
-	out.Allowed, _ = record.allowed(from, time.Now())
-	for n, t := range record.arrivals {
-		began := t.Add(-limitWindow)
-		if began.Before(from) {
-			began = from
+	from, worst := history.advertised[0].since.Add(propagation), limitTolerance
+	report.Allowed, _ = history.allowed(from, time.Now())
+	for n, t := range history.arrivals {
+		windowStart := t.Add(-limitWindow)
+		if windowStart.Before(from) {
+			windowStart = from
 		}
 		if t.Before(from) {
 			continue
 		}
-		out.Sent++
+		report.Sent++
 		count := 0
-		for _, earlier := range record.arrivals[:n+1] {
-			if !earlier.Before(began) {
+		for _, earlier := range history.arrivals[:n+1] {
+			if !earlier.Before(windowStart) {
 				count++
 			}
 		}
-		allowed, limited := record.allowed(t.Add(-limitWindow), t)
-		most := limitFactor*allowed + limitSlack
-		if limited && float64(count)-most > over {
-			over = float64(count) - most
-			out.Broken = fmt.Sprintf("%s (%s): %d requests in %v, allowed %.0f", i.ID, i.Service, count, limitWindow, most)
+		allowed, limited := history.allowed(t.Add(-limitWindow), t)
+		maxRequests := limitFactor*allowed + limitSlack
+		if limited && float64(count)-maxRequests > worst {
+			worst = float64(count) - maxRequests
+			report.Violation = fmt.Sprintf("%s (%s): %d requests in %v, allowed %.0f", i.ID, i.Service, count, limitWindow, maxRequests)
 		}
 	}
-	return out
+	return report
 }
 
-// RushAfter is how many requests came within some time after the limit ended.
-func (i *Instance) RushAfter(d time.Duration) int {
-	i.f.mu.Lock()
-	defer i.f.mu.Unlock()
+// RequestsAfterLimit counts the requests that arrived within d after the limit ended.
+func (i *Instance) RequestsAfterLimit(d time.Duration) int {
+	i.pool.mu.Lock()
+	defer i.pool.mu.Unlock()
 	count := 0
-	for _, n := range i.limit.named {
-		for _, t := range i.limit.arrivals {
-			if n.rate == models.NoLimit && t.After(n.at) && t.Before(n.at.Add(d)) {
+	for _, n := range i.limits.advertised {
+		for _, t := range i.limits.arrivals {
+			if n.rate == models.NoLimit && t.After(n.since) && t.Before(n.since.Add(d)) {
 				count++
 			}
 		}
--- a/standin/replica/orders.go
+++ b/standin/replica/orders.go
@@ -9,7 +9,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// order is an order as daemons send it.
+// order is an order as the daemons send it.
 type order struct {
 	Op      string              `json:"op"`
 	How     string              `json:"how"`
@@ -26,16 +26,16 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	i.f.mu.Lock()
-	defer i.f.mu.Unlock()
-	status := i.carryOut(o, time.Now())
-	i.write()
+	i.pool.mu.Lock()
+	defer i.pool.mu.Unlock()
+	status := i.executeOrder(o, time.Now())
+	i.writeEntry()
 	w.WriteHeader(status)
 }
 
-// carryOut does what is ordered, or begins to, and returns the status of the
-// answer. The fabric must be locked.
-func (i *Instance) carryOut(o order, now time.Time) int {
+// executeOrder executes an order, or starts to, and returns the status of the response. The pool
+// must be locked.
+func (i *Instance) executeOrder(o order, now time.Time) int {
 	key := models.GroupKey{Name: o.Group, Epoch: o.Epoch}
 	if o.Fence < i.fence {
 		return http.StatusPreconditionFailed
@@ -64,14 +64,14 @@
 }
 
 func (i *Instance) stage(name models.ModelName, now time.Time) int {
-	model, known := i.f.profile.model(name)
+	model, known := i.pool.profile.model(name)
 	if !known {
 		return http.StatusConflict
 	}
 	if slices.Contains(i.staged, name) {
 		return http.StatusOK
 	}
-	i.staging, i.stagedAt = name, now.Add(model.Load)
+	i.stagingModel, i.stagedAt = name, now.Add(model.Load)
 	return http.StatusAccepted
 }
 
@@ -82,12 +82,12 @@
 	case i.group.State != models.MemberReady || i.group.Rank != 0:
 		return http.StatusConflict
 	}
-	i.openAt = now.Add(i.f.profile.FormTime)
+	i.openAt = now.Add(i.pool.profile.OpenTime)
 	return http.StatusAccepted
 }
 
 func (i *Instance) join(o order, key models.GroupKey, now time.Time) int {
-	model, known := i.f.profile.model(o.Model)
+	model, known := i.pool.profile.model(o.Model)
 	rank := slices.Index(o.Members, i.ID)
 	switch {
 	case !known || rank < 0:
@@ -97,12 +97,12 @@
 	case i.group.Key == key && i.group.State != models.MemberNone:
 		return http.StatusOK
 	}
-	i.checkApart(o)
-	i.epoch, i.members, i.joining, i.openAt = o.Epoch, o.Members, o.Model, time.Time{}
+	i.checkPreviousGroup(o)
+	i.epoch, i.members, i.joiningModel, i.openAt = o.Epoch, o.Members, o.Model, time.Time{}
 	i.group = models.Membership{Key: key, Rank: rank, State: models.MemberJoining}
 	switch {
 	case i.model == o.Model:
-		i.readyAt = now.Add(rejoin)
+		i.readyAt = now.Add(rejoinTime)
 	case slices.Contains(i.staged, o.Model):
 		i.readyAt = now.Add(model.Warm)
 	default:
@@ -111,14 +111,14 @@
 	return http.StatusAccepted
 }
 
-// checkApart checks that the instance joins no group while the head of its
-// last one still serves.
-func (i *Instance) checkApart(o order) {
+// checkPreviousGroup checks that the instance doesn't join a group while the head of its previous
+// group is still open.
+func (i *Instance) checkPreviousGroup(o order) {
 	if i.group.State == models.MemberNone || len(i.members) == 0 {
 		return
 	}
-	head := i.f.instances[i.members[0]]
-	if head != nil && !head.dark && head.group.Key == i.group.Key && head.group.State == models.MemberOpen {
-		i.f.fail("%s joins %s while the head of %s is open", i.ID, o.Group, i.group.Key.Name)
+	head := i.pool.instances[i.members[0]]
+	if head != nil && !head.hung && head.group.Key == i.group.Key && head.group.State == models.MemberOpen {
+		i.pool.reportViolation("%s joins group %s while the head of its group %s is open", i.ID, o.Group, i.group.Key.Name)
 	}
 }
--- a/standin/replica/poison.go
+++ b/standin/replica/poison.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// crashAfter is how long an instance lives once it runs a request that crashes it.
+// crashAfter is the time between the arrival of a poison request at an instance and its crash.
 const crashAfter = 40 * time.Millisecond
 
-// Poison is a body that crashes each instance that runs it, and what came of it.
+// Poison records what happened with a poison request: one whose body crashes each instance that
+// runs it.
 type Poison struct {
-	// Sent and Crashes are when instances were sent it, and when they ended.
-	Sent    []time.Time
-	Crashes []time.Time
-	back    time.Duration
+	// Sent and Crashes are the times when instances received the request, and when it crashed them.
+	Sent         []time.Time
+	Crashes      []time.Time
+	replaceAfter time.Duration
 }
 
-// SentAfter counts the instances that were sent it later than some time.
+// SentAfter counts how often instances received the request later than t.
 func (p Poison) SentAfter(t time.Time) int {
 	n := 0
 	for _, sent := range p.Sent {
@@ -27,30 +28,30 @@
 	return n
 }
 
-// CrashOn has every instance crash that runs a request with this body. Another one
-// takes its place some time after.
-func (f *Fabric) CrashOn(body string, back time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.poison[body] = &Poison{back: back}
+// CrashOn makes a request with this body crash every instance that runs it. A new instance replaces
+// a crashed one after replaceAfter.
+func (p *Pool) CrashOn(body string, replaceAfter time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.poisons[body] = &Poison{replaceAfter: replaceAfter}
 }
 
-// Poison tells what came of a body so far.
-func (f *Fabric) Poison(body string) Poison {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return *f.poison[body]
+// Poison returns the record of a poison request.
+func (p *Pool) Poison(body string) Poison {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return *p.poisons[body]
 }
 
-// crashOn ends the instance soon if the body crashes it, and reports whether it does:
-// then the request never ends.
-func (i *Instance) crashOn(r *http.Request, body []byte) bool {
-	i.f.mu.Lock()
-	p := i.f.poison[string(body)]
+// crashIfPoisoned makes the instance crash shortly, and the request never complete, if the body is
+// that of a poison request. It returns false if it isn't.
+func (i *Instance) crashIfPoisoned(r *http.Request, body []byte) bool {
+	i.pool.mu.Lock()
+	p := i.pool.poisons[string(body)]
 	if p != nil {
 		p.Sent = append(p.Sent, time.Now())
 	}
-	i.f.mu.Unlock()
+	i.pool.mu.Unlock()
 	if p == nil {
 		return false
 	}
@@ -59,26 +60,26 @@
 	panic(http.ErrAbortHandler)
 }
 
-// crash ends the instance, once, and has another one take its place. It counts for each
-// request that it was running.
+// crash ends the instance, once, and has a new one replace it. A crash counts for each poison
+// request that the instance was running.
 func (i *Instance) crash(p *Poison) {
-	i.f.mu.Lock()
+	i.pool.mu.Lock()
 	p.Crashes = append(p.Crashes, time.Now())
-	_, there := i.f.instances[i.ID]
-	i.f.mu.Unlock()
-	if !there {
+	_, running := i.pool.instances[i.ID]
+	i.pool.mu.Unlock()
+	if !running {
 		return
 	}
 	if err := i.Stop(); err != nil {
-		i.f.mu.Lock()
-		i.f.fail("%s does not end: %v", i.ID, err)
-		i.f.mu.Unlock()
+		i.pool.mu.Lock()
+		i.pool.reportViolation("stop of crashed instance %s failed: %v", i.ID, err)
+		i.pool.mu.Unlock()
 	}
-	time.AfterFunc(p.back, func() {
-		if _, err := i.f.Add(i.Service, i.Zone, i.Domain); err != nil {
-			i.f.mu.Lock()
-			defer i.f.mu.Unlock()
-			i.f.fail("no instance in the place of %s: %v", i.ID, err)
+	time.AfterFunc(p.replaceAfter, func() {
+		if _, err := i.pool.Add(i.Service, i.Zone, i.Domain); err != nil {
+			i.pool.mu.Lock()
+			defer i.pool.mu.Unlock()
+			i.pool.reportViolation("replacement of crashed instance %s failed: %v", i.ID, err)
 		}
 	})
 }
--- a/standin/replica/serve.go
+++ b/standin/replica/serve.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	headerID    = "X-Lupinkeel-Request-Id"
-	headerStamp = "X-Lupinkeel-Response-Stamp"
-	headerNot   = "X-Lupinkeel-Not-Executed"
-	// plainWork is how long a plain request takes.
-	plainWork = 5 * time.Millisecond
+	headerRequestID   = "X-Lupinkeel-Request-Id"
+	headerStamp       = "X-Lupinkeel-Response-Stamp"
+	headerNotExecuted = "X-Lupinkeel-Not-Executed"
+	// plainRequestTime is how long a plain request takes.
+	plainRequestTime = 5 * time.Millisecond
 )
 
-// ServeHTTP answers orders, questions and requests.
+// ServeHTTP serves orders, status reports and requests.
 func (i *Instance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	i.f.mu.Lock()
-	dark := i.dark
-	i.f.mu.Unlock()
-	if dark {
+	i.pool.mu.Lock()
+	hung := i.hung
+	i.pool.mu.Unlock()
+	if hung {
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
@@ -36,90 +36,90 @@
 	case "/-/order":
 		i.serveOrder(w, r)
 	case "/-/report":
-		i.f.mu.Lock()
-		told := i.tell()
-		i.f.mu.Unlock()
-		// The caller may be gone.
-		_ = json.NewEncoder(w).Encode(told)
+		i.pool.mu.Lock()
+		status := i.workStatus()
+		i.pool.mu.Unlock()
+		// The client may have disconnected.
+		_ = json.NewEncoder(w).Encode(status)
 	default:
 		i.serveRequest(w, r)
 	}
 }
 
 func (i *Instance) serveRequest(w http.ResponseWriter, r *http.Request) {
-	id := models.RequestID(r.Header.Get(headerID))
-	w.Header().Set(headerID, string(id))
+	id := models.RequestID(r.Header.Get(headerRequestID))
+	w.Header().Set(headerRequestID, string(id))
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	i.f.mu.Lock()
-	i.noteArrival()
-	v, shed := i.noteVisit(id)
-	i.f.mu.Unlock()
+	i.pool.mu.Lock()
+	i.recordArrival()
+	received, shed := i.recordRequest(id)
+	i.pool.mu.Unlock()
 	if shed {
-		i.turnAway(w, v)
+		i.reject(w, received)
 		return
 	}
 	if i.Domain == "" {
-		i.f.mu.Lock()
-		i.f.runs[id]++
-		i.f.mu.Unlock()
-		if i.crashOn(r, body) {
+		i.pool.mu.Lock()
+		i.pool.runs[id]++
+		i.pool.mu.Unlock()
+		if i.crashIfPoisoned(r, body) {
 			return
 		}
-		time.Sleep(plainWork)
-		i.tellOfItself(w, v)
+		time.Sleep(plainRequestTime)
+		i.writeSignalHeaders(w, received)
 		w.Header().Set(headerStamp, string(i.ID))
-		// The caller may be gone.
+		// The client may have disconnected.
 		_, _ = fmt.Fprintf(w, "answer to %s", id)
 		return
 	}
-	i.f.mu.Lock()
+	i.pool.mu.Lock()
 	open := i.group.State == models.MemberOpen
-	i.f.mu.Unlock()
+	i.pool.mu.Unlock()
 	if !open {
-		i.turnAway(w, v)
+		i.reject(w, received)
 		return
 	}
-	if i.crashOn(r, body) {
+	if i.crashIfPoisoned(r, body) {
 		return
 	}
-	i.stream(w, r, v)
+	i.stream(w, r, received)
 }
 
-// stream sends the events of a stream while the group is whole.
-func (i *Instance) stream(w http.ResponseWriter, r *http.Request, v *visit) {
-	id, next := v.id, 1
+// stream sends the events of a stream; it pauses while the group lacks a member.
+func (i *Instance) stream(w http.ResponseWriter, r *http.Request, received *receivedRequest) {
+	id, next := received.id, 1
 	if after, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
 		next = after + 1
 	}
 	flush := http.NewResponseController(w).Flush
 	counted := false
-	for next <= i.f.profile.Events {
+	for next <= i.pool.profile.Events {
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(i.f.profile.EventEvery):
+		case <-time.After(i.pool.profile.EventInterval):
 		}
-		i.f.mu.Lock()
-		moves, dark := i.whole(), i.dark
+		i.pool.mu.Lock()
+		complete, aborted := i.groupComplete(), i.hung
 		if i.group.State != models.MemberOpen && !counted {
-			dark = true
+			aborted = true
 		}
-		if moves && !dark && !counted {
-			i.f.runs[id]++
+		if complete && !aborted && !counted {
+			i.pool.runs[id]++
 			counted = true
 		}
-		i.f.mu.Unlock()
-		if dark {
+		i.pool.mu.Unlock()
+		if aborted {
 			panic(http.ErrAbortHandler)
 		}
-		if !moves {
+		if !complete {
 			continue
 		}
 		if next == 1 || w.Header().Get(headerStamp) == "" {
-			i.tellOfItself(w, v)
+			i.writeSignalHeaders(w, received)
 			w.Header().Set(headerStamp, string(i.ID))
 			w.Header().Set("Content-Type", "text/event-stream")
 		}
--- a/standin/run.go
+++ b/standin/run.go
@@ -16,7 +16,7 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// RunReport tells of one run that an engine began.
+// RunReport describes a run that an engine started.
 type RunReport struct {
 	Request string         `json:"request"`
 	Group   models.GroupID `json:"group"`
@@ -24,62 +24,61 @@
 	Started time.Time      `json:"started"`
 }
 
-// run is one request as the engine computes it, whether or not anybody is
-// connected to read it.
+// run is the execution of one request. It goes on whether or not a client is connected.
 type run struct {
 	report RunReport
 	model  models.ModelName
 
-	mu     sync.Mutex
-	tokens []string
-	done   bool
-	failed string
-	// grown is closed and replaced at each change.
-	grown chan struct{}
-	stop  context.CancelFunc
+	mu      sync.Mutex
+	tokens  []string
+	done    bool
+	failure string
+	// changed is closed and replaced at each change.
+	changed chan struct{}
+	stop    context.CancelFunc
 }
 
-func (r *run) change(apply func()) {
+func (r *run) update(apply func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.done || r.failed != "" {
+	if r.done || r.failure != "" {
 		return
 	}
 	apply()
-	close(r.grown)
-	r.grown = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 func (r *run) fail(reason string) {
-	r.change(func() { r.failed = reason })
+	r.update(func() { r.failure = reason })
 	r.stop()
 }
 
 func (r *run) ended() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.done || r.failed != ""
+	return r.done || r.failure != ""
 }
 
-// past reports whether a reader that got so many events has got the final
+// receivedFinalChunk reports whether a reader that has received this many events has the final
 // chunk.
-func (r *run) past(events int) bool {
+func (r *run) receivedFinalChunk(events int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return events > len(r.tokens)
 }
 
-type runView struct {
-	tokens []string
-	done   bool
-	failed string
-	grown  <-chan struct{}
+type runSnapshot struct {
+	tokens  []string
+	done    bool
+	failure string
+	changed <-chan struct{}
 }
 
-func (r *run) view(from int) runView {
+func (r *run) snapshot(from int) runSnapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return runView{tokens: r.tokens[min(from, len(r.tokens)):], done: r.done, failed: r.failed, grown: r.grown}
+	return runSnapshot{tokens: r.tokens[min(from, len(r.tokens)):], done: r.done, failure: r.failure, changed: r.changed}
 }
 
 // ChatRequest is the part of an OpenAI-style request that the engine reads.
@@ -108,15 +107,15 @@
 	return b.String()
 }
 
-// Token is the nth token that any engine answers to the prompt. Answers to
-// different prompts share no token, so a mixed-up answer shows.
+// Token is the nth token that every engine generates for the prompt. Completions of different
+// prompts share no token, so a response to another request is detected.
 func Token(prompt string, n int) string {
 	h := fnv.New32a()
 	h.Write([]byte(prompt))
 	return fmt.Sprintf("%08x-%d ", h.Sum32(), n)
 }
 
-// Answer is the whole text that any engine answers to the prompt.
+// Answer is the full completion that every engine generates for the prompt.
 func Answer(prompt string, tokens int) string {
 	var b strings.Builder
 	for n := range tokens {
@@ -133,17 +132,17 @@
 	if chat.MaxTokens <= 0 {
 		chat.MaxTokens = defaultMaxTokens
 	}
-	started, refusal := e.begin(r, chat)
+	started, refusal := e.startRun(r, chat)
 	if refusal != "" {
 		w.Header().Set(engine.HeaderNotRun, "true")
 		writeError(w, http.StatusConflict, refusal)
 		return
 	}
-	e.answer(w, r, started, chat.Stream, 0)
+	e.writeResponse(w, r, started, chat.Stream, 0)
 }
 
-// begin starts a run, or tells why the engine does not.
-func (e *Engine) begin(r *http.Request, chat ChatRequest) (*run, string) {
+// startRun starts a run, or returns the reason why the engine refuses.
+func (e *Engine) startRun(r *http.Request, chat ChatRequest) (*run, string) {
 	id := r.Header.Get(engine.HeaderRequest)
 	fence, _ := strconv.ParseUint(r.Header.Get(engine.HeaderFence), 10, 64)
 	priority, _ := strconv.Atoi(r.Header.Get(engine.HeaderPriority))
@@ -156,47 +155,47 @@
 		return nil, fmt.Sprintf("request has fence %d, the engine is at %d", fence, e.status.Fence)
 	case e.rank != 0:
 		return nil, "not the first member of the replica"
-	case len(e.members) > 1 && !e.membersOK:
+	case len(e.members) > 1 && !e.membersLoaded:
 		return nil, "a member of the replica is missing"
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	started := &run{
-		report: RunReport{Request: id, Group: e.status.Group, Fence: e.status.Fence, Started: time.Now()},
-		model:  e.status.Model,
-		grown:  make(chan struct{}),
-		stop:   cancel,
+		report:  RunReport{Request: id, Group: e.status.Group, Fence: e.status.Fence, Started: time.Now()},
+		model:   e.status.Model,
+		changed: make(chan struct{}),
+		stop:    cancel,
 	}
 	e.runs[id] = started
-	e.history = append(e.history, started.report)
-	go e.compute(ctx, started, chat, priority)
+	e.startedRuns = append(e.startedRuns, started.report)
+	go e.execute(ctx, started, chat, priority)
 	return started, ""
 }
 
 // resumeWindow is how long a run can be read after its end.
 const resumeWindow = 30 * time.Second
 
-func (e *Engine) compute(ctx context.Context, r *run, chat ChatRequest, priority int) {
+func (e *Engine) execute(ctx context.Context, r *run, chat ChatRequest, priority int) {
 	defer r.stop()
-	defer time.AfterFunc(resumeWindow, func() { e.forget(r) })
+	defer time.AfterFunc(resumeWindow, func() { e.removeRun(r) })
 	if e.slots.acquire(ctx, priority) != nil {
 		return
 	}
 	defer e.slots.release()
 	prompt := chat.Prompt()
-	fresh := e.cache.use(prompt)
-	if sleep(ctx, e.opts.Prefill*time.Duration(fresh)/1000) != nil {
+	uncached := e.cache.add(prompt)
+	if sleep(ctx, e.opts.Prefill*time.Duration(uncached)/1000) != nil {
 		return
 	}
 	for n := range chat.MaxTokens {
 		if sleep(ctx, e.opts.TokenGap) != nil {
 			return
 		}
-		r.change(func() { r.tokens = append(r.tokens, Token(prompt, n)) })
+		r.update(func() { r.tokens = append(r.tokens, Token(prompt, n)) })
 	}
-	r.change(func() { r.done = true })
+	r.update(func() { r.done = true })
 }
 
-func (e *Engine) forget(r *run) {
+func (e *Engine) removeRun(r *run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.runs[r.report.Request] == r {
@@ -213,7 +212,7 @@
 		writeError(w, http.StatusNotFound, "no such run")
 		return
 	}
-	e.answer(w, r, found, true, after)
+	e.writeResponse(w, r, found, true, after)
 }
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
@@ -229,32 +228,32 @@
 func (e *Engine) serveRuns(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	writeJSON(w, http.StatusOK, e.history)
+	writeJSON(w, http.StatusOK, e.startedRuns)
 }
 
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, found *run, stream bool, after int) {
+func (e *Engine) writeResponse(w http.ResponseWriter, r *http.Request, found *run, stream bool, after int) {
 	w.Header().Set(engine.HeaderRequest, found.report.Request)
 	w.Header().Set(engine.HeaderFence, strconv.FormatUint(uint64(found.report.Fence), 10))
 	if stream {
-		e.answerStream(w, r, found, after)
+		e.writeStream(w, r, found, after)
 		return
 	}
-	e.answerWhole(w, r, found)
+	e.writeCompletion(w, r, found)
 }
 
-func (e *Engine) answerWhole(w http.ResponseWriter, r *http.Request, found *run) {
+func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, found *run) {
 	for {
-		view := found.view(0)
-		if view.failed != "" {
-			writeError(w, http.StatusInternalServerError, view.failed)
+		snapshot := found.snapshot(0)
+		if snapshot.failure != "" {
+			writeError(w, http.StatusInternalServerError, snapshot.failure)
 			return
 		}
-		if view.done {
-			writeJSON(w, http.StatusOK, completion(found, strings.Join(view.tokens, ""), len(view.tokens)))
+		if snapshot.done {
+			writeJSON(w, http.StatusOK, completion(found, strings.Join(snapshot.tokens, ""), len(snapshot.tokens)))
 			return
 		}
 		select {
-		case <-view.grown:
+		case <-snapshot.changed:
 		case <-r.Context().Done():
 			return
 		}
@@ -272,39 +271,39 @@
 	}
 }
 
-// answerStream writes events that number the tokens, so that a reader can
-// resume; the last event is the end mark.
-func (e *Engine) answerStream(w http.ResponseWriter, r *http.Request, found *run, after int) {
+// writeStream sends the tokens as events whose ids number them, so that a reader can resume. The
+// last event is the end mark.
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, found *run, after int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flush := http.NewResponseController(w).Flush
 	next := after
 	for {
-		view := found.view(next)
-		for _, token := range view.tokens {
+		snapshot := found.snapshot(next)
+		for _, token := range snapshot.tokens {
 			next++
 			writeEvent(w, next, chunk(found, token))
 		}
 		switch {
-		case view.failed != "":
+		case snapshot.failure != "":
 			_ = flush()
 			panic(http.ErrAbortHandler)
-		case view.done && len(view.tokens) == 0:
-			// The final chunk counts as one more event, so that it is sent
-			// only once to a reader that resumes.
-			if !found.past(after) {
+		case snapshot.done && len(snapshot.tokens) == 0:
+			// The final chunk counts as one more event, so that a reader that resumes gets it only
+			// once.
+			if !found.receivedFinalChunk(after) {
 				writeEvent(w, next+1, finalChunk(found))
 			}
 			fmt.Fprint(w, "data: [DONE]\n\n")
 			return
-		case view.done:
+		case snapshot.done:
 			continue
 		}
 		if flush() != nil {
 			return
 		}
 		select {
-		case <-view.grown:
+		case <-snapshot.changed:
 		case <-r.Context().Done():
 			return
 		}
--- a/standin/service.go
+++ b/standin/service.go
@@ -8,8 +8,8 @@
 	"github.com/lupinkeel/lupinkeel/worker/engine"
 )
 
-// Service is a plain service. Its calls change something each time they
-// run, so none may be repeated unknowingly.
+// Service is a plain service. Its calls have side effects, so a call must not be retried unless it
+// is known not to have run.
 type Service struct {
 	Name string
 
@@ -17,21 +17,20 @@
 	runs map[string]int
 }
 
-// ServiceAnswer is what the service answers to any call.
-type ServiceAnswer struct {
+// ServiceResponse is the response to any call.
+type ServiceResponse struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
 	Request string `json:"request"`
 	Body    string `json:"body"`
 }
 
-// NewService returns a service that has run nothing.
+// NewService returns a service with the given name.
 func NewService(name string) *Service {
 	return &Service{Name: name, runs: map[string]int{}}
 }
 
-// Handler serves any call, and under /control/runs how often each request
-// id was run.
+// Handler serves any call, and under /control/runs how often each request id was run.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/runs", s.serveRuns)
@@ -41,7 +40,7 @@
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		w.Header().Set(engine.HeaderNotRun, "true")
 		writeError(w, http.StatusBadRequest, err.Error())
@@ -52,7 +51,7 @@
 	s.runs[id]++
 	s.mu.Unlock()
 	w.Header().Set(engine.HeaderRequest, id)
-	writeJSON(w, http.StatusOK, ServiceAnswer{Service: s.Name, Path: r.URL.Path, Request: id, Body: string(body)})
+	writeJSON(w, http.StatusOK, ServiceResponse{Service: s.Name, Path: r.URL.Path, Request: id, Body: string(body)})
 }
 
 func (s *Service) serveRuns(w http.ResponseWriter, _ *http.Request) {
--- a/standin/slots.go
+++ b/standin/slots.go
@@ -6,29 +6,28 @@
 	"sync"
 )
 
-// slotQueue hands out an engine's slots, highest priority first and in
-// order of arrival among equals.
+// slotQueue grants an engine's slots by priority, and in order of arrival among equal priorities.
 type slotQueue struct {
-	mu      sync.Mutex
-	slots   int
-	running int
-	arrived int
-	waiting waiters
+	mu       sync.Mutex
+	slots    int
+	running  int
+	arrivals int
+	waiting  waiterHeap
 }
 
 type waiter struct {
-	priority int
-	arrived  int
-	granted  chan struct{}
-	gone     bool
+	priority  int
+	seq       int
+	granted   chan struct{}
+	cancelled bool
 }
 
 func newSlotQueue(slots int) *slotQueue { return &slotQueue{slots: max(slots, 1)} }
 
 func (q *slotQueue) acquire(ctx context.Context, priority int) error {
 	q.mu.Lock()
-	q.arrived++
-	w := &waiter{priority: priority, arrived: q.arrived, granted: make(chan struct{})}
+	q.arrivals++
+	w := &waiter{priority: priority, seq: q.arrivals, granted: make(chan struct{})}
 	heap.Push(&q.waiting, w)
 	q.grant()
 	q.mu.Unlock()
@@ -44,7 +43,7 @@
 		q.running--
 		q.grant()
 	default:
-		w.gone = true
+		w.cancelled = true
 	}
 	return ctx.Err()
 }
@@ -56,11 +55,11 @@
 	q.grant()
 }
 
-// grant gives free slots to those who wait. The caller holds the lock.
+// grant gives free slots to waiters. The caller holds the lock.
 func (q *slotQueue) grant() {
 	for q.running < q.slots && len(q.waiting) > 0 {
 		w := heap.Pop(&q.waiting).(*waiter)
-		if w.gone {
+		if w.cancelled {
 			continue
 		}
 		q.running++
@@ -74,20 +73,20 @@
 	return q.running, len(q.waiting)
 }
 
-type waiters []*waiter
+type waiterHeap []*waiter
 
-func (w waiters) Len() int      { return len(w) }
-func (w waiters) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
-func (w *waiters) Push(x any)   { *w = append(*w, x.(*waiter)) }
+func (w waiterHeap) Len() int      { return len(w) }
+func (w waiterHeap) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
+func (w *waiterHeap) Push(x any)   { *w = append(*w, x.(*waiter)) }
 
-func (w waiters) Less(i, j int) bool {
+func (w waiterHeap) Less(i, j int) bool {
 	if w[i].priority != w[j].priority {
 		return w[i].priority > w[j].priority
 	}
-	return w[i].arrived < w[j].arrived
+	return w[i].seq < w[j].seq
 }
 
-func (w *waiters) Pop() any {
+func (w *waiterHeap) Pop() any {
 	old := *w
 	last := old[len(old)-1]
 	*w = old[:len(old)-1]
--- a/standin/store/groups.go
+++ b/standin/store/groups.go
@@ -11,16 +11,16 @@
 type group struct {
 	generation int64
 	members    map[string]*member
-	// owner is who holds each partition.
-	owner [partsPerTopic]string
+	// owners holds the owner of each partition.
+	owners [partitionsPerTopic]string
 }
 
 type member struct {
-	until time.Time
-	seen  int64
+	expires    time.Time
+	generation int64
 }
 
-type joinCall struct {
+type joinRequest struct {
 	Group      string   `json:"group"`
 	Member     string   `json:"member"`
 	Topics     []string `json:"topics"`
@@ -29,62 +29,63 @@
 }
 
 func (s *Store) serveJoin(w http.ResponseWriter, r *http.Request) error {
-	var call joinCall
-	if err := json.NewDecoder(r.Body).Decode(&call); err != nil {
+	var req joinRequest
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.groups[call.Group]
+	g := s.groups[req.Group]
 	if g == nil {
 		g = &group{members: map[string]*member{}}
-		s.groups[call.Group] = g
+		s.groups[req.Group] = g
 	}
 	now := s.now()
 	g.expire(now)
-	m := g.members[call.Member]
+	m := g.members[req.Member]
 	if m == nil {
 		m = &member{}
-		g.members[call.Member] = m
+		g.members[req.Member] = m
 		g.generation++
 	}
-	m.until, m.seen = now.Add(time.Duration(call.TTL)*time.Millisecond), call.Generation
-	g.deal()
+	m.expires, m.generation = now.Add(time.Duration(req.TTL)*time.Millisecond), req.Generation
+	g.assign()
 	parts := [][]any{}
-	for part, owner := range g.owner {
-		if owner == call.Member && len(call.Topics) > 0 {
-			parts = append(parts, []any{call.Topics[0], part, 0})
+	for part, owner := range g.owners {
+		if owner == req.Member && len(req.Topics) > 0 {
+			parts = append(parts, []any{req.Topics[0], part, 0})
 		}
 	}
-	return answer(w, map[string]any{"generation": g.generation, "ttl_ms": call.TTL, "parts": parts})
+	return writeJSON(w, map[string]any{"generation": g.generation, "ttl_ms": req.TTL, "parts": parts})
 }
 
 func (s *Store) serveLeave(w http.ResponseWriter, r *http.Request) error {
-	var call joinCall
-	if err := json.NewDecoder(r.Body).Decode(&call); err != nil {
+	var req joinRequest
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if g := s.groups[call.Group]; g != nil {
-		g.remove(call.Member)
+	if g := s.groups[req.Group]; g != nil {
+		g.remove(req.Member)
 	}
-	return answer(w, struct{}{})
+	return writeJSON(w, struct{}{})
 }
 
-// Deal deals all partitions of a group anew, as the store does at times.
+// Deal drops all partition assignments of a group, as the platform's store does occasionally.
+// Partitions are reassigned when members join next.
 func (s *Store) Deal(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if g := s.groups[name]; g != nil {
-		g.owner = [partsPerTopic]string{}
+		g.owners = [partitionsPerTopic]string{}
 		g.generation++
 	}
 }
 
 func (g *group) expire(now time.Time) {
 	for name, m := range g.members {
-		if now.After(m.until) {
+		if now.After(m.expires) {
 			g.remove(name)
 		}
 	}
@@ -93,30 +94,30 @@
 func (g *group) remove(name string) {
 	delete(g.members, name)
 	g.generation++
-	for part, owner := range g.owner {
+	for part, owner := range g.owners {
 		if owner == name {
-			g.owner[part] = ""
+			g.owners[part] = ""
 		}
 	}
 }
 
-// deal gives partitions without an owner to the members that hold the fewest.
-func (g *group) deal() {
-	held := map[string]int{}
-	for _, owner := range g.owner {
-		held[owner]++
+// assign assigns each partition without an owner to the member that owns the fewest.
+func (g *group) assign() {
+	counts := map[string]int{}
+	for _, owner := range g.owners {
+		counts[owner]++
 	}
-	for part, owner := range g.owner {
+	for part, owner := range g.owners {
 		if owner != "" {
 			continue
 		}
-		least := ""
+		chosen := ""
 		for _, name := range slices.Sorted(maps.Keys(g.members)) {
-			if least == "" || held[name] < held[least] {
-				least = name
+			if chosen == "" || counts[name] < counts[chosen] {
+				chosen = name
 			}
 		}
-		g.owner[part] = least
-		held[least]++
+		g.owners[part] = chosen
+		counts[chosen]++
 	}
 }
--- a/standin/store/records.go
+++ b/standin/store/records.go
@@ -14,40 +14,39 @@
 )
 
 type partition struct {
-	// first is the offset of records[0].
-	first   int64
-	records [][]byte
-	// newest holds the newest value of each key, at its offset, of a keyed
-	// topic.
-	newest map[string]keyed
+	// firstOffset is the offset of records[0].
+	firstOffset int64
+	records     [][]byte
+	// newest holds the newest value of each key of a keyed topic, with its offset.
+	newest map[string]keyedValue
 }
 
-type keyed struct {
+type keyedValue struct {
 	value  []byte
 	offset int64
 }
 
 func (s *Store) partition(topic string, part int) *partition {
 	name := topic + "/" + strconv.Itoa(part)
-	p := s.parts[name]
+	p := s.partitions[name]
 	if p == nil {
-		p = &partition{newest: map[string]keyed{}}
-		s.parts[name] = p
+		p = &partition{newest: map[string]keyedValue{}}
+		s.partitions[name] = p
 	}
 	return p
 }
 
-func (p *partition) end() int64 { return p.first + int64(len(p.records)) }
+func (p *partition) endOffset() int64 { return p.firstOffset + int64(len(p.records)) }
 
 func (p *partition) append(record []byte) int64 {
-	offset := p.end()
+	offset := p.endOffset()
 	p.records = append(p.records, record)
 	if len(record) == 0 || 1+int(record[0]) > len(record) {
 		return offset
 	}
 	key := string(record[1 : 1+int(record[0])])
 	if value := record[1+int(record[0]):]; len(value) > 0 {
-		p.newest[key] = keyed{value: value, offset: offset}
+		p.newest[key] = keyedValue{value: value, offset: offset}
 	} else {
 		delete(p.newest, key)
 	}
@@ -55,22 +54,22 @@
 }
 
 func (s *Store) serveAppend(w http.ResponseWriter, r *http.Request) error {
-	topic, part, err := where(r)
+	topic, part, err := parsePartition(r)
 	if err != nil {
 		return err
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partition(topic, part)
-	if at := r.URL.Query().Get("at"); at != "" && at != strconv.FormatInt(p.end(), 10) {
+	if at := r.URL.Query().Get("at"); at != "" && at != strconv.FormatInt(p.endOffset(), 10) {
 		w.WriteHeader(http.StatusPreconditionFailed)
 		return nil
 	}
-	offset := p.end()
+	offset := p.endOffset()
 	for len(body) >= 4 {
 		n := int(binary.BigEndian.Uint32(body))
 		if n > len(body)-4 {
@@ -79,11 +78,11 @@
 		p.append(slices.Clone(body[4 : 4+n]))
 		body = body[4+n:]
 	}
-	return answer(w, map[string]int64{"offset": offset, "end": p.end()})
+	return writeJSON(w, map[string]int64{"offset": offset, "end": p.endOffset()})
 }
 
 func (s *Store) serveRead(w http.ResponseWriter, r *http.Request) error {
-	topic, part, err := where(r)
+	topic, part, err := parsePartition(r)
 	if err != nil {
 		return err
 	}
@@ -100,37 +99,37 @@
 		wait = min(maxWait, time.Duration(ms)*time.Millisecond)
 	}
 	era := w.Header().Get("Store-Era")
-	for until := s.now().Add(wait); ; time.Sleep(waitStep) {
-		if s.busy() || s.isPast(era) {
-			// A store that goes away does not answer the readings that it held.
+	for deadline := s.now().Add(wait); ; time.Sleep(pollInterval) {
+		if s.busy() || s.eraChanged(era) {
+			// A store that becomes unavailable doesn't answer the reads that were waiting.
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return nil
 		}
-		data, gone := s.read(topic, part, from)
-		if gone {
+		data, expired := s.read(topic, part, from)
+		if expired {
 			w.WriteHeader(http.StatusGone)
 			return nil
 		}
-		const head = 16
-		if len(data) > head || !s.now().Before(until) || r.Context().Err() != nil {
+		const headerBytes = 16
+		if len(data) > headerBytes || !s.now().Before(deadline) || r.Context().Err() != nil {
 			_, err := w.Write(data)
 			return err
 		}
 	}
 }
 
-// read returns the records from an offset on, behind the partition's end and
-// first offset, and whether some of them are gone.
+// read returns the partition's end and first offset, followed by the records from an offset on, and
+// whether some of these records are expired.
 func (s *Store) read(topic string, part int, from int64) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partition(topic, part)
-	if from < p.first || from > p.end() {
+	if from < p.firstOffset || from > p.endOffset() {
 		return nil, true
 	}
-	out := binary.BigEndian.AppendUint64(nil, uint64(p.end()))
-	out = binary.BigEndian.AppendUint64(out, uint64(p.first))
-	for _, record := range p.records[min(int64(len(p.records)), from-p.first):] {
+	out := binary.BigEndian.AppendUint64(nil, uint64(p.endOffset()))
+	out = binary.BigEndian.AppendUint64(out, uint64(p.firstOffset))
+	for _, record := range p.records[min(int64(len(p.records)), from-p.firstOffset):] {
 		out = binary.BigEndian.AppendUint32(out, uint32(len(record)))
 		out = append(out, record...)
 	}
@@ -138,7 +137,7 @@
 }
 
 func (s *Store) serveNewest(w http.ResponseWriter, r *http.Request) error {
-	topic, part, err := where(r)
+	topic, part, err := parsePartition(r)
 	if err != nil {
 		return err
 	}
@@ -157,17 +156,17 @@
 		Entries []entry `json:"Entries"`
 		More    bool    `json:"more"`
 		End     int64   `json:"end"`
-	}{Entries: []entry{}, End: p.end()}
+	}{Entries: []entry{}, End: p.endOffset()}
 	after := r.URL.Query().Get("After")
 	for _, key := range slices.Sorted(maps.Keys(p.newest)) {
 		if key <= after && after != "" {
 			continue
 		}
-		if len(page.Entries) == pageLen {
+		if len(page.Entries) == maxPageKeys {
 			page.More = true
 			break
 		}
 		page.Entries = append(page.Entries, entry{Key: key, Value: p.newest[key].value, Offset: p.newest[key].offset})
 	}
-	return answer(w, page)
+	return writeJSON(w, page)
 }
--- a/standin/store/restore.go
+++ b/standin/store/restore.go
@@ -2,33 +2,33 @@
 
 import "maps"
 
-// Copy is what a store held at one moment.
+// Copy is a snapshot of a store's content.
 type Copy struct {
-	parts  map[string]*partition
-	groups map[string]*group
+	partitions map[string]*partition
+	groups     map[string]*group
 }
 
-// Copy copies what the store holds.
+// Copy returns a snapshot of the store's content.
 func (s *Store) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{parts: s.parts, groups: s.groups}.clone()
+	return Copy{partitions: s.partitions, groups: s.groups}.clone()
 }
 
-// Restore has the store come back from a copy: what was written since is gone, offsets
-// go back and are given out again, and another era begins.
+// Restore replaces the store's content by a snapshot, as a restore from a backup does: later writes
+// are lost, their offsets are assigned again, and a new era begins.
 func (s *Store) Restore(c Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c = c.clone()
-	s.parts, s.groups = c.parts, c.groups
+	s.partitions, s.groups = c.partitions, c.groups
 	s.era++
 }
 
 func (c Copy) clone() Copy {
-	out := Copy{parts: map[string]*partition{}, groups: map[string]*group{}}
-	for name, p := range c.parts {
-		out.parts[name] = &partition{first: p.first, records: append([][]byte{}, p.records...), newest: maps.Clone(p.newest)}
+	out := Copy{partitions: map[string]*partition{}, groups: map[string]*group{}}
+	for name, p := range c.partitions {
+		out.partitions[name] = &partition{firstOffset: p.firstOffset, records: append([][]byte{}, p.records...), newest: maps.Clone(p.newest)}
 	}
 	for name, g := range c.groups {
 		members := make(map[string]*member, len(g.members))
@@ -36,7 +36,7 @@
 			held := *m
 			members[id] = &held
 		}
-		out.groups[name] = &group{generation: g.generation, members: members, owner: g.owner}
+		out.groups[name] = &group{generation: g.generation, members: members, owners: g.owners}
 	}
 	return out
 }
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,7 +1,6 @@
-// Package store is a stand-in for the platform's store: topics with offsets,
-// keyed topics that keep the newest record of each key, and groups that deal
-// partitions to members. It keeps everything in memory and can be told to
-// misbehave.
+// Package store is a stand-in for the platform's store: topics with offsets, keyed topics that keep
+// the newest record of each key, and groups that assign partitions to members. It keeps everything
+// in memory and can inject faults.
 package store
 
 import (
@@ -16,23 +15,22 @@
 )
 
 const (
-	partsPerTopic = 24
-	// pageLen is how many keys one answer holds, maxBody how many bytes one
-	// call may bring.
-	pageLen = 500
-	maxBody = 2 << 20
-	// maxWait is how long a reading is held, waitStep how often one that is
-	// held looks for records.
-	maxWait  = 30 * time.Second
-	waitStep = 5 * time.Millisecond
+	partitionsPerTopic = 24
+	// maxPageKeys is the maximum number of keys in a response, maxBodyBytes the maximum size of a
+	// request body.
+	maxPageKeys  = 500
+	maxBodyBytes = 2 << 20
+	// maxWait is the maximum time that a read waits for records, pollInterval the interval at which
+	// it checks for them.
+	maxWait      = 30 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
-// Faults are how the store misbehaves.
+// Faults configures the faults that the store injects.
 type Faults struct {
-	// Busy has every call refused with 503.
+	// Busy makes every call fail with status 503.
 	Busy bool
-	// LoseAnswers is the part of writing calls that are done and not
-	// answered.
+	// LoseAnswers is the fraction of POST calls that take effect but get no response.
 	LoseAnswers float64
 	// Delay is added to every call.
 	Delay time.Duration
@@ -40,53 +38,51 @@
 
 // Store is the stand-in. The zero value is not usable; see New.
 type Store struct {
-	mu     sync.Mutex
-	parts  map[string]*partition
-	groups map[string]*group
-	faults Faults
-	// era counts how often the store came back from a copy.
+	mu         sync.Mutex
+	partitions map[string]*partition
+	groups     map[string]*group
+	faults     Faults
+	// era counts how often the store was restored from a snapshot.
 	era int64
 	now func() time.Time
 }
 
 // New returns an empty store.
 func New() *Store {
-	return &Store{parts: map[string]*partition{}, groups: map[string]*group{}, now: time.Now}
+	return &Store{partitions: map[string]*partition{}, groups: map[string]*group{}, now: time.Now}
 }
 
-// Misbehave changes the store's faults.
+// Misbehave sets the faults.
 func (s *Store) Misbehave(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// busy reports whether every call is refused now.
+// busy reports whether every call fails now.
 func (s *Store) busy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.Busy
 }
 
-// isPast reports whether another era has begun since an answer's header was written.
-func (s *Store) isPast(era string) bool {
+// eraChanged reports whether a new era has begun since the response header was written.
+func (s *Store) eraChanged(era string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return era != strconv.FormatInt(s.era, 10)
 }
 
-// Forget drops all records of a topic, as when their time is over. The newest
-// of each key stay.
+// Forget drops all records of a topic, as if they had expired. The newest value of each key stays.
 func (s *Store) Forget(topic string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partition(topic, 0)
-	p.first += int64(len(p.records))
+	p.firstOffset += int64(len(p.records))
 	p.records = nil
 }
 
-// Put writes the newest value of a key, as an outside writer does; an empty
-// value drops it.
+// Put writes the newest value of a key, as an external writer does; an empty value deletes the key.
 func (s *Store) Put(topic, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +90,7 @@
 	s.partition("keyed."+topic, 0).append(append(record, value...))
 }
 
-// ServeHTTP answers the store's calls.
+// ServeHTTP serves the store's API.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	f := s.faults
@@ -107,7 +103,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	call, known := map[string]func(http.ResponseWriter, *http.Request) error{
+	serve, known := map[string]func(http.ResponseWriter, *http.Request) error{
 		"POST /-/log-append": s.serveAppend,
 		"GET /-/log-read":    s.serveRead,
 		"GET /-/log-newest":  s.serveNewest,
@@ -121,11 +117,11 @@
 	out := http.ResponseWriter(w)
 	lost := r.Method == http.MethodPost && rand.Float64() < f.LoseAnswers
 	if lost {
-		out = discard{http.Header{}}
+		out = discardWriter{http.Header{}}
 	}
-	if err := call(out, r); err != nil {
+	if err := serve(out, r); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
-		// The caller may be gone.
+		// The client may have disconnected.
 		_, _ = io.WriteString(w, err.Error())
 		return
 	}
@@ -134,23 +130,23 @@
 	}
 }
 
-// discard takes an answer that is to be lost.
-type discard struct{ header http.Header }
+// discardWriter discards a response that is to be lost.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header         { return d.header }
-func (d discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d discard) WriteHeader(int)             {}
+func (d discardWriter) Header() http.Header         { return d.header }
+func (d discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d discardWriter) WriteHeader(int)             {}
 
-func where(r *http.Request) (string, int, error) {
+func parsePartition(r *http.Request) (string, int, error) {
 	part, err := strconv.Atoi(r.URL.Query().Get("part"))
 	topic := r.URL.Query().Get("topic")
-	if err != nil || topic == "" || part < 0 || part >= partsPerTopic {
+	if err != nil || topic == "" || part < 0 || part >= partitionsPerTopic {
 		return "", 0, errors.New("topic or part is wrong")
 	}
 	return topic, part, nil
 }
 
-func answer(w http.ResponseWriter, value any) error {
+func writeJSON(w http.ResponseWriter, value any) error {
 	w.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(w).Encode(value)
 }
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// Weights is a rate-limited weight store: readers wait their turn.
+// Weights is a rate-limited weight store that serves its readers one after another.
 type Weights struct {
 	mu   sync.Mutex
 	down bool
 	rate float64
-	// free is when the store is done with all readers so far.
-	free time.Time
+	// busyUntil is when the store has served all readers that have arrived so far.
+	busyUntil time.Time
 }
 
-// NewWeights returns a store without a limit.
+// NewWeights returns a store without a rate limit.
 func NewWeights() *Weights { return &Weights{} }
 
-// Control changes how the store behaves.
+// Control changes the store's faults and rate.
 func (s *Weights) Control(c WeightsControl) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	set(&s.down, c.Down)
-	set(&s.rate, c.LoadsPerSecond)
+	setIfPresent(&s.down, c.Down)
+	setIfPresent(&s.rate, c.LoadsPerSecond)
 }
 
-// reserve returns how long a reader that comes now has to wait.
+// reserve adds a reader to the queue and returns how long it has to wait.
 func (s *Weights) reserve(now time.Time) (wait time.Duration, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down || s.rate == 0 {
 		return 0, s.down
 	}
-	if s.free.Before(now) {
-		s.free = now
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
 	}
-	s.free = s.free.Add(time.Duration(float64(time.Second) / s.rate))
-	return s.free.Sub(now), false
+	s.busyUntil = s.busyUntil.Add(time.Duration(float64(time.Second) / s.rate))
+	return s.busyUntil.Sub(now), false
 }
 
 func (s *Weights) serveFetch(w http.ResponseWriter, r *http.Request) {
