--- a/planner/assign.go
+++ b/planner/assign.go
@@ -37,7 +37,7 @@
 	// included.
 	usable int
 	// whole counts the groups that have all of their members.
-	whole map[models.ModelName]int
+	healthy map[models.ModelName]int
 	// accelerators is what one instance of the domain has.
 	accelerators int
 }
@@ -46,8 +46,8 @@
 // would then not be stranded: a group that is broken up is down for about
 // regroupSeconds, and the gain is taken to last for repackSeconds.
 const (
-	regroupSeconds = 60
-	repackSeconds  = 600
+	regroupDowntimeSeconds = 60
+	repackBenefitSeconds   = 600
 )
 
 // assign decides how many groups of each model to have in each fabric
@@ -55,34 +55,34 @@
 // only where that leaves so many fewer accelerators stranded that the
 // operators' weights call for it.
 func assign(supplies []supply, wanted []models.Model, policy models.Policy) Target {
-	keep := assignKeeping(supplies, wanted)
-	free := assignFree(supplies, wanted)
-	gain := usedAccelerators(free, supplies, wanted) - usedAccelerators(keep, supplies, wanted)
-	broken := brokenUp(free, supplies) - brokenUp(keep, supplies)
-	if gain*policy.Stranded*repackSeconds > broken*policy.Downtime*regroupSeconds {
-		return free
+	incremental := assignIncremental(supplies, wanted)
+	scratch := assignFromScratch(supplies, wanted)
+	gain := usedAccelerators(scratch, supplies, wanted) - usedAccelerators(incremental, supplies, wanted)
+	disrupted := disruptedGroups(scratch, supplies) - disruptedGroups(incremental, supplies)
+	if gain*policy.Stranded*repackBenefitSeconds > disrupted*policy.Downtime*regroupDowntimeSeconds {
+		return scratch
 	}
-	return keep
+	return incremental
 }
 
 // assignKeeping keeps as many of the whole groups as are wanted and fills up
 // with what is left.
-func assignKeeping(supplies []supply, wanted []models.Model) Target {
+func assignIncremental(supplies []supply, wanted []models.Model) Target {
 	kept := Target{}
 	left := slices.Clone(supplies)
-	rest := slices.Clone(wanted)
-	for i, m := range rest {
+	remaining := slices.Clone(wanted)
+	for i, m := range remaining {
 		for j, s := range left {
-			n := min(s.whole[m.Name], rest[i].Replicas)
+			n := min(s.healthy[m.Name], remaining[i].Replicas)
 			if !m.Place.Allows(s.zone, s.domain) {
 				n = 0
 			}
 			kept.add(s.domain, m.Name, n)
-			rest[i].Replicas -= n
+			remaining[i].Replicas -= n
 			left[j].usable -= n * m.Members
 		}
 	}
-	for d, counts := range assignFree(left, rest) {
+	for d, counts := range assignFromScratch(left, remaining) {
 		for m, n := range counts {
 			kept.add(d, m, n)
 		}
@@ -93,29 +93,29 @@
 // Bounds of the exact assignment. Beyond them, and where all groups have the
 // same size, domains are filled one after another.
 const (
-	maxStates  = 4096
-	maxDomains = 64
+	maxExactStates  = 4096
+	maxExactDomains = 64
 )
 
 // assignFree assigns as if there were no groups yet, but prefers what is
 // there among assignments that use as many instances.
-func assignFree(supplies []supply, wanted []models.Model) Target {
+func assignFromScratch(supplies []supply, wanted []models.Model) Target {
 	states := 1
 	for _, m := range wanted {
 		states *= m.Replicas + 1
-		if states > maxStates {
-			return fill(supplies, wanted)
+		if states > maxExactStates {
+			return assignGreedy(supplies, wanted)
 		}
 	}
-	if len(supplies) > maxDomains {
-		return fill(supplies, wanted)
+	if len(supplies) > maxExactDomains {
+		return assignGreedy(supplies, wanted)
 	}
-	return assignExactly(supplies, wanted, states)
+	return assignExact(supplies, wanted, states)
 }
 
 // fill gives the largest groups their instances first. Domains that have an
 // instance left over anyway come first, so that groups have a spare near.
-func fill(supplies []supply, wanted []models.Model) Target {
+func assignGreedy(supplies []supply, wanted []models.Model) Target {
 	target := Target{}
 	left := slices.Clone(supplies)
 	bySize := slices.Clone(wanted)
@@ -146,15 +146,15 @@
 // The parts of an assignment's score, in order of weight: instances used,
 // groups kept, domains with groups and a spare.
 const (
-	scoreUsed  = 10000
-	scoreKept  = 10
-	scoreSpare = 1
+	scorePerInstance   = 10000
+	scorePerKeptGroup  = 10
+	scoreSpareInstance = 1
 )
 
 // assignExactly finds the assignment with the highest score by dynamic
 // programming over the domains; a state is how many groups of each model
 // have been given out.
-func assignExactly(supplies []supply, wanted []models.Model, states int) Target {
+func assignExact(supplies []supply, wanted []models.Model, states int) Target {
 	const unreached = -1
 	best := make([]int, states)
 	for i := range best {
@@ -167,7 +167,7 @@
 		next := slices.Clone(best)
 		choices[d] = make([][]int, states)
 		for _, combination := range combinations(s, wanted) {
-			score := combinationScore(s, wanted, combination)
+			score := scoreCombination(s, wanted, combination)
 			step := stateIndex(wanted, combination)
 			for state, reached := range best {
 				if reached == unreached || !fits(wanted, state, combination) {
@@ -234,15 +234,15 @@
 	return out
 }
 
-func combinationScore(s supply, wanted []models.Model, combination []int) int {
+func scoreCombination(s supply, wanted []models.Model, combination []int) int {
 	used, kept := 0, 0
 	for i, n := range combination {
 		used += n * wanted[i].Members
-		kept += min(n, s.whole[wanted[i].Name])
+		kept += min(n, s.healthy[wanted[i].Name])
 	}
-	score := used*scoreUsed + kept*scoreKept
+	score := used*scorePerInstance + kept*scorePerKeptGroup
 	if used < s.usable {
-		score += scoreSpare
+		score += scoreSpareInstance
 	}
 	return score
 }
@@ -279,12 +279,12 @@
 }
 
 // brokenUp counts the whole groups that a target has no place for.
-func brokenUp(t Target, supplies []supply) int {
-	broken := 0
+func disruptedGroups(t Target, supplies []supply) int {
+	disrupted := 0
 	for _, s := range supplies {
-		for m, n := range s.whole {
-			broken += max(0, n-t[s.domain][m])
+		for m, n := range s.healthy {
+			disrupted += max(0, n-t[s.domain][m])
 		}
 	}
-	return broken
+	return disrupted
 }
--- a/planner/assign_test.go
+++ b/planner/assign_test.go
@@ -11,11 +11,11 @@
 
 // bestUsed tries every way to fill the domains and returns the most
 // instances that can be in use.
-func bestUsed(domains []int, wanted []models.Model) int {
+func maxUsedBruteForce(domains []int, wanted []models.Model) int {
 	if len(domains) == 0 {
 		return 0
 	}
-	best := bestUsed(domains[1:], wanted)
+	best := maxUsedBruteForce(domains[1:], wanted)
 	for i, m := range wanted {
 		if m.Replicas == 0 || m.Members > domains[0] {
 			continue
@@ -23,25 +23,25 @@
 		rest := append([]models.Model(nil), wanted...)
 		rest[i].Replicas--
 		left := append([]int{domains[0] - m.Members}, domains[1:]...)
-		best = max(best, m.Members+bestUsed(left, rest))
+		best = max(best, m.Members+maxUsedBruteForce(left, rest))
 	}
 	return best
 }
 
 // TestAssignEverySmallSite compares the assignment with brute force for all
 // sites of up to three domains, eight instances and two models.
-func TestAssignEverySmallSite(t *testing.T) {
+func TestAssignMatchesBruteForce(t *testing.T) {
 	c := qt.New(t)
 	for a := range 9 {
 		for b := 0; a+b <= 8; b++ {
 			for d := 0; a+b+d <= 8 && d <= b; d++ {
-				checkSite(c, []int{a, b, d})
+				checkAssignment(c, []int{a, b, d})
 			}
 		}
 	}
 }
 
-func checkSite(c *qt.C, domains []int) {
+func checkAssignment(c *qt.C, domains []int) {
 	var supplies []supply
 	for i, n := range domains {
 		supplies = append(supplies, supply{domain: models.Domain(fmt.Sprint(i)), usable: n, accelerators: 1})
@@ -53,7 +53,7 @@
 				{Name: "m1", Members: 1 + sizes%4, Replicas: replicas % 3},
 			}
 			target := assign(supplies, wanted, models.Policy{Downtime: 1, Stranded: 1})
-			if used, best := usedAccelerators(target, supplies, wanted), bestUsed(domains, wanted); used != best {
+			if used, best := usedAccelerators(target, supplies, wanted), maxUsedBruteForce(domains, wanted); used != best {
 				c.Fatalf("domains %v, wanted %+v: %d in use, %d could be: %v", domains, wanted, used, best, target)
 			}
 		}
@@ -62,11 +62,11 @@
 
 // TestWeightsDecideRepack breaks up a group that serves only if the weights
 // of the two measures call for it: one setting, two behaviours.
-func TestWeightsDecideRepack(t *testing.T) {
+func TestPolicyWeightsDecideRepacking(t *testing.T) {
 	wanted := []models.Model{{Name: "big", Members: 3, Replicas: 1}, {Name: "small", Members: 2, Replicas: 1}}
 	// The small group stands in the only domain that could hold the big one.
 	supplies := []supply{
-		{domain: "a", usable: 3, whole: map[models.ModelName]int{"small": 1}, accelerators: 1},
+		{domain: "a", usable: 3, healthy: map[models.ModelName]int{"small": 1}, accelerators: 1},
 		{domain: "b", usable: 2, accelerators: 1},
 	}
 	for _, test := range []struct {
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestPlaceRulesHold(t *testing.T) {
+func TestAssignRespectsPlacementRules(t *testing.T) {
 	wanted := []models.Model{{Name: "m", Members: 2, Replicas: 4, Place: models.Place{Zones: []models.Zone{"z1"}}}}
 	supplies := []supply{{domain: "a", zone: "z1", usable: 4, accelerators: 1}, {domain: "b", zone: "z2", usable: 8, accelerators: 1}}
 	target := assign(supplies, wanted, models.Policy{Downtime: 1, Stranded: 1})
--- a/planner/evidence.go
+++ b/planner/evidence.go
@@ -40,39 +40,39 @@
 }
 
 // present reports whether the instance is known to answer.
-func (e Evidence) present(now time.Time, bound time.Duration) bool {
+func (e Evidence) alive(now time.Time, bound time.Duration) bool {
 	return !e.Seen.IsZero() && !e.Silent() && now.Sub(e.Seen) <= bound
 }
 
 const (
 	// steadyFor is how long an instance has to be back before it counts,
 	// doubled for each absence up to steadyDoublings times.
-	steadyFor       = time.Second
-	steadyDoublings = 5
+	flapHoldDown     = time.Second
+	maxFlapDoublings = 5
 )
 
 // steady reports whether an instance that flaps has been back for long
 // enough to be given work.
-func (e Evidence) steady(now time.Time) bool {
+func (e Evidence) stable(now time.Time) bool {
 	if e.Absences < 2 {
 		return true
 	}
-	wait := steadyFor << min(e.Absences, steadyDoublings)
-	return now.Sub(e.Returned) >= wait
+	holdDown := flapHoldDown << min(e.Absences, maxFlapDoublings)
+	return now.Sub(e.Returned) >= holdDown
 }
 
 // holds reports whether the instance has the model's weights.
-func (e Evidence) holds(m models.Model) bool {
+func (e Evidence) hasWeights(m models.Model) bool {
 	return e.Status.Model == m.Name && e.Status.Version == m.Version
 }
 
 // Away is how long the instance is known not to have answered.
 func (e Evidence) Away(now time.Time) time.Duration {
-	since := e.Seen
-	if e.Watched.After(since) {
-		since = e.Watched
+	last := e.Seen
+	if e.Watched.After(last) {
+		last = e.Watched
 	}
-	return now.Sub(since)
+	return now.Sub(last)
 }
 
 // Gate tells whether a group may take requests.
@@ -109,8 +109,8 @@
 		// A first member that waits for the others is not what keeps the
 		// group from serving, if another member is at fault.
 		joining := e.Status.Phase == types.PhaseJoining
-		if why := memberFault(g, m, e); why != "" && (gate.Why == "" || !joining) {
-			gate.Why = why
+		if fault := memberFault(g, m, e); fault != "" && (gate.Why == "" || !joining) {
+			gate.Why = fault
 			if !joining {
 				return gate
 			}
--- a/planner/evidence_test.go
+++ b/planner/evidence_test.go
@@ -18,9 +18,9 @@
 		ID: "g", Model: "m", Version: "v1", Fence: 7,
 		Members: []models.Member{{ID: "a"}, {ID: "b"}},
 	}
-	good := planner.Evidence{Seen: now, Status: types.EngineStatus{Group: "g", Fence: 7, Model: "m", Version: "v1", Phase: types.PhaseLoaded}}
+	loaded := planner.Evidence{Seen: now, Status: types.EngineStatus{Group: "g", Fence: 7, Model: "m", Version: "v1", Phase: types.PhaseLoaded}}
 	with := func(change func(*planner.Evidence)) planner.Evidence {
-		e := good
+		e := loaded
 		change(&e)
 		return e
 	}
@@ -33,17 +33,17 @@
 		why      string
 		retiring models.Offset
 	}{
-		{"all there", good, good, true, "", 0},
-		{"never seen", good, planner.Evidence{}, false, "member b has not been seen", 0},
-		{"silent", good, silent, false, "member b does not answer", 0},
-		{"silent, but seen by another since", good, with(func(e *planner.Evidence) { e.SilentSince = now.Add(-time.Second) }), true, "", 0},
-		{"too old", good, with(func(e *planner.Evidence) { e.Seen = now.Add(-bound) }), false, "", 0},
-		{"at an old fence", good, with(func(e *planner.Evidence) { e.Status.Fence = 6 }), false, "member b has not joined the group", 0},
-		{"loading", good, with(func(e *planner.Evidence) { e.Status.Phase = types.PhaseLoading }), false, "member b is loading", 0},
-		{"wrong weights", good, with(func(e *planner.Evidence) { e.Status.Version = "v2" }), false, "member b holds m v2", 0},
-		{"the first waits for nobody yet", joining, good, false, "member a is joining", 0},
+		{"all there", loaded, loaded, true, "", 0},
+		{"never seen", loaded, planner.Evidence{}, false, "member b has not been seen", 0},
+		{"silent", loaded, silent, false, "member b does not answer", 0},
+		{"silent, but seen by another since", loaded, with(func(e *planner.Evidence) { e.SilentSince = now.Add(-time.Second) }), true, "", 0},
+		{"too old", loaded, with(func(e *planner.Evidence) { e.Seen = now.Add(-bound) }), false, "", 0},
+		{"at an old fence", loaded, with(func(e *planner.Evidence) { e.Status.Fence = 6 }), false, "member b has not joined the group", 0},
+		{"loading", loaded, with(func(e *planner.Evidence) { e.Status.Phase = types.PhaseLoading }), false, "member b is loading", 0},
+		{"wrong weights", loaded, with(func(e *planner.Evidence) { e.Status.Version = "v2" }), false, "member b holds m v2", 0},
+		{"the first waits for nobody yet", joining, loaded, false, "member a is joining", 0},
 		{"the first waits for one that is away", joining, silent, false, "member b does not answer", 0},
-		{"retiring", good, good, false, "it is being retired", 9},
+		{"retiring", loaded, loaded, false, "it is being retired", 9},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/planner/form.go
+++ b/planner/form.go
@@ -15,70 +15,70 @@
 // whole: out of what is left of a broken group, spares, and the members of
 // other broken groups of the domain.
 func (p *round) fillDomain(d models.Domain, target map[models.ModelName]int) {
-	whole := map[models.ModelName]int{}
+	healthy := map[models.ModelName]int{}
 	for _, g := range p.groups {
-		if g.Domain == d && p.health[g.ID] == healthWhole && !p.ended[g.ID] {
-			whole[g.Model]++
+		if g.Domain == d && p.health[g.ID] == groupHealthy && !p.ended[g.ID] {
+			healthy[g.Model]++
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(target)) {
-		for range target[name] - whole[name] {
-			if p.unsettled[d] >= p.Rules.MaxUnsettledDomain || p.inAll >= p.Rules.MaxUnsettled {
+		for range target[name] - healthy[name] {
+			if p.starting[d] >= p.Rules.MaxStartingPerDomain || p.startingTotal >= p.Rules.MaxStarting {
 				return
 			}
-			if !p.form(d, p.State.Models[name]) {
+			if !p.formGroup(d, p.State.Models[name]) {
 				break
 			}
-			p.unsettled[d]++
-			p.inAll++
+			p.starting[d]++
+			p.startingTotal++
 		}
 	}
 }
 
 // broken lists the broken groups of a domain that are left, those of the
 // model first, those with the most members left first.
-func (p *round) broken(d models.Domain, m models.ModelName) []models.Group {
+func (p *round) degradedGroups(d models.Domain, m models.ModelName) []models.Group {
 	var out []models.Group
 	for _, g := range p.groups {
-		if g.Domain == d && p.health[g.ID] == healthBroken && !p.ended[g.ID] {
+		if g.Domain == d && p.health[g.ID] == groupDegraded && !p.ended[g.ID] {
 			out = append(out, g)
 		}
 	}
 	slices.SortStableFunc(out, func(a, b models.Group) int {
 		return cmp.Or(
 			compareFalseFirst(a.Model != m, b.Model != m),
-			cmp.Compare(len(p.remaining(b)), len(p.remaining(a))),
+			cmp.Compare(len(p.remainingMembers(b)), len(p.remainingMembers(a))),
 		)
 	})
 	return out
 }
 
 // remaining lists the members of a broken group that are there.
-func (p *round) remaining(g models.Group) []models.Member {
+func (p *round) remainingMembers(g models.Group) []models.Member {
 	var out []models.Member
 	for _, m := range g.Members {
-		if p.present(m.ID) && !p.leaving(m.ID) {
+		if p.alive(m.ID) && !p.leaving(m.ID) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-func (p *round) form(d models.Domain, m models.Model) bool {
+func (p *round) formGroup(d models.Domain, m models.Model) bool {
 	next := models.Group{Model: m.Name, Version: m.Version, Zone: p.zones[d], Domain: d}
 	form := state.FormGroup{ModelRevision: m.Revision, Reason: "its model wants more replicas"}
-	donors := p.broken(d, m.Name)
-	repairs := len(donors) > 0 && donors[0].Model == m.Name
-	if !repairs && p.committed[m.Name] >= m.Replicas {
+	donors := p.degradedGroups(d, m.Name)
+	repairing := len(donors) > 0 && donors[0].Model == m.Name
+	if !repairing && p.provisioned[m.Name] >= m.Replicas {
 		return false
 	}
-	if repairs {
+	if repairing {
 		form.Reason = p.reasons[donors[0].ID]
-		next.Members = p.remaining(donors[0])[:min(m.Members, len(p.remaining(donors[0])))]
-		form.Replaces = append(form.Replaces, refTo(donors[0]))
+		next.Members = p.remainingMembers(donors[0])[:min(m.Members, len(p.remainingMembers(donors[0])))]
+		form.Replaces = append(form.Replaces, groupRef(donors[0]))
 		donors = donors[1:]
 	}
-	for _, i := range p.free(d, m) {
+	for _, i := range p.freeInstances(d, m) {
 		if len(next.Members) < m.Members {
 			next.Members = append(next.Members, memberOf(i))
 		}
@@ -87,8 +87,8 @@
 		if len(next.Members) >= m.Members {
 			break
 		}
-		form.Replaces = append(form.Replaces, refTo(donor))
-		for _, member := range p.remaining(donor) {
+		form.Replaces = append(form.Replaces, groupRef(donor))
+		for _, member := range p.remainingMembers(donor) {
 			if len(next.Members) < m.Members {
 				next.Members = append(next.Members, member)
 			}
@@ -97,13 +97,13 @@
 	if len(next.Members) < m.Members {
 		return false
 	}
-	if !repairs || !p.patient(p.State.Groups[form.Replaces[0].ID]) {
-		p.committed[m.Name]++
+	if !repairing || !p.withinRelocationGrace(p.State.Groups[form.Replaces[0].ID]) {
+		p.provisioned[m.Name]++
 	}
-	next.ID = p.newName(m.Name)
+	next.ID = p.newGroupID(m.Name)
 	form.Group = next
 	for _, member := range next.Members {
-		p.taken[member.ID] = true
+		p.reserved[member.ID] = true
 	}
 	for _, ref := range form.Replaces {
 		p.ended[ref.ID] = true
@@ -113,10 +113,10 @@
 }
 
 // newName names a group by the state that it was planned on.
-func (p *round) newName(m models.ModelName) models.GroupID {
-	const longestModel = 40
-	if len(m) > longestModel {
-		m = m[:longestModel]
+func (p *round) newGroupID(m models.ModelName) models.GroupID {
+	const maxModelNameLen = 40
+	if len(m) > maxModelNameLen {
+		m = m[:maxModelNameLen]
 	}
 	p.formed++
 	return models.GroupID(fmt.Sprintf("%s-%d.%d", m, p.State.Applied+1, p.formed))
@@ -129,32 +129,32 @@
 // swapBack puts an instance that holds the weights in the place of a member
 // that still loads them. So a member that comes back soon after it was
 // replaced makes the group whole at once, and replacing early costs nothing.
-func (p *round) swapBack() {
+func (p *round) replaceLoadingMembers() {
 	for _, g := range p.groups {
 		m, declared := p.State.Models[g.Model]
-		if !declared || p.health[g.ID] != healthWhole || p.settled(g) {
+		if !declared || p.health[g.ID] != groupHealthy || p.allLoaded(g) {
 			continue
 		}
-		loading := slices.IndexFunc(g.Members, func(member models.Member) bool {
+		rank := slices.IndexFunc(g.Members, func(member models.Member) bool {
 			s := p.Evidence[member.ID].Status
 			return s.Fence == g.Fence && s.Phase == types.PhaseLoading
 		})
-		if loading < 0 {
+		if rank < 0 {
 			continue
 		}
-		spares := p.free(g.Domain, m)
-		if len(spares) == 0 || !p.Evidence[spares[0].ID].holds(m) {
+		spares := p.freeInstances(g.Domain, m)
+		if len(spares) == 0 || !p.Evidence[spares[0].ID].hasWeights(m) {
 			continue
 		}
 		next := g
-		next.ID = p.newName(g.Model)
+		next.ID = p.newGroupID(g.Model)
 		next.Members = slices.Clone(g.Members)
-		next.Members[loading] = memberOf(spares[0])
-		p.taken[spares[0].ID] = true
+		next.Members[rank] = memberOf(spares[0])
+		p.reserved[spares[0].ID] = true
 		p.ended[g.ID] = true
-		p.unsettled[g.Domain]--
+		p.starting[g.Domain]--
 		p.propose(g.Domain, state.FormGroup{
-			Group: next, ModelRevision: m.Revision, Replaces: []state.GroupRef{refTo(g)},
+			Group: next, ModelRevision: m.Revision, Replaces: []state.GroupRef{groupRef(g)},
 			Reason: fmt.Sprintf("instance %s holds the weights already", spares[0].ID),
 		})
 	}
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -22,15 +22,15 @@
 	Bound time.Duration
 	// MaxUnsettled is how many groups may be on their way to serving, in
 	// all, and MaxUnsettledDomain in one fabric domain.
-	MaxUnsettled       int
-	MaxUnsettledDomain int
+	MaxStarting          int
+	MaxStartingPerDomain int
 	// MaxLoads is how many instances may load weights at once.
 	MaxLoads int
 }
 
 // DefaultRules returns the rules for a wait and a bound.
 func DefaultRules(replaceAfter, bound time.Duration) Rules {
-	return Rules{ReplaceAfter: replaceAfter, Bound: bound, MaxUnsettled: 64, MaxUnsettledDomain: 8, MaxLoads: 128}
+	return Rules{ReplaceAfter: replaceAfter, Bound: bound, MaxStarting: 64, MaxStartingPerDomain: 8, MaxLoads: 128}
 }
 
 // Input is what one round of planning sees.
@@ -56,8 +56,8 @@
 func Plan(in Input) []Proposal {
 	p := newRound(in)
 	p.retireUnwanted()
-	p.swapBack()
-	target := assign(p.supplies(), p.wanted(), in.State.Policy)
+	p.replaceLoadingMembers()
+	target := assign(p.supplies(), p.wantedModels(), in.State.Policy)
 	for _, d := range p.domains {
 		p.fillDomain(d, target[d])
 	}
@@ -66,16 +66,16 @@
 }
 
 // health is how a group is doing.
-type health uint8
+type groupHealth uint8
 
 const (
 	// healthWhole: every member is there, or has been away for less time
 	// than a group waits.
-	healthWhole health = iota
+	groupHealthy groupHealth = iota
 	// healthBroken: a member is missing.
-	healthBroken
+	groupDegraded
 	// healthUnwanted: the configuration or a leaving member ends the group.
-	healthUnwanted
+	groupUnwanted
 )
 
 // round is one round of planning.
@@ -86,17 +86,17 @@
 	// engines lists each domain's engines by id.
 	engines map[models.Domain][]models.Instance
 	groups  []models.Group
-	health  map[models.GroupID]health
+	health  map[models.GroupID]groupHealth
 	// reasons tells why a group is broken or unwanted.
-	reasons   map[models.GroupID]string
-	unsettled map[models.Domain]int
-	inAll     int
+	reasons       map[models.GroupID]string
+	starting      map[models.Domain]int
+	startingTotal int
 	// committed counts the groups of a model that are whole, formed in this
 	// round, or broken for so short a time that none is formed elsewhere.
-	committed map[models.ModelName]int
+	provisioned map[models.ModelName]int
 	// taken are the instances, and ended the groups, that a proposal of
 	// this round uses up.
-	taken     map[models.InstanceID]bool
+	reserved  map[models.InstanceID]bool
 	ended     map[models.GroupID]bool
 	formed    int
 	proposals []Proposal
@@ -105,8 +105,8 @@
 func newRound(in Input) *round {
 	p := &round{
 		Input: in, zones: map[models.Domain]models.Zone{}, engines: map[models.Domain][]models.Instance{},
-		health: map[models.GroupID]health{}, reasons: map[models.GroupID]string{}, unsettled: map[models.Domain]int{},
-		taken: map[models.InstanceID]bool{}, ended: map[models.GroupID]bool{}, committed: map[models.ModelName]int{},
+		health: map[models.GroupID]groupHealth{}, reasons: map[models.GroupID]string{}, starting: map[models.Domain]int{},
+		reserved: map[models.InstanceID]bool{}, ended: map[models.GroupID]bool{}, provisioned: map[models.ModelName]int{},
 	}
 	for _, id := range slices.Sorted(maps.Keys(in.Instances)) {
 		i := in.Instances[id]
@@ -119,13 +119,13 @@
 	p.domains = slices.Sorted(maps.Keys(p.engines))
 	p.groups = slices.SortedFunc(maps.Values(in.State.Groups), func(a, b models.Group) int { return cmp.Compare(a.Fence, b.Fence) })
 	for _, g := range p.groups {
-		p.health[g.ID], p.reasons[g.ID] = p.examine(g)
-		if p.health[g.ID] == healthWhole || p.patient(g) {
-			p.committed[g.Model]++
+		p.health[g.ID], p.reasons[g.ID] = p.checkHealth(g)
+		if p.health[g.ID] == groupHealthy || p.withinRelocationGrace(g) {
+			p.provisioned[g.Model]++
 		}
-		if p.health[g.ID] == healthWhole && !p.settled(g) {
-			p.unsettled[g.Domain]++
-			p.inAll++
+		if p.health[g.ID] == groupHealthy && !p.allLoaded(g) {
+			p.starting[g.Domain]++
+			p.startingTotal++
 		}
 	}
 	return p
@@ -136,8 +136,8 @@
 }
 
 // present reports whether the instance answers.
-func (p *round) present(id models.InstanceID) bool {
-	return p.Evidence[id].present(p.Now, p.Rules.Bound)
+func (p *round) alive(id models.InstanceID) bool {
+	return p.Evidence[id].alive(p.Now, p.Rules.Bound)
 }
 
 func (p *round) leaving(id models.InstanceID) bool {
@@ -148,30 +148,30 @@
 // missing reports whether the instance has been away for longer than a group
 // waits.
 func (p *round) missing(id models.InstanceID) bool {
-	e, watched := p.Evidence[id]
-	return watched && !p.present(id) && e.Away(p.Now) > p.Rules.ReplaceAfter
+	e, known := p.Evidence[id]
+	return known && !p.alive(id) && e.Away(p.Now) > p.Rules.ReplaceAfter
 }
 
-func (p *round) examine(g models.Group) (health, string) {
-	if why := p.unwanted(g); why != "" {
-		return healthUnwanted, why
+func (p *round) checkHealth(g models.Group) (groupHealth, string) {
+	if reason := p.unwantedReason(g); reason != "" {
+		return groupUnwanted, reason
 	}
 	for _, m := range g.Members {
 		if p.leaving(m.ID) {
-			return healthUnwanted, fmt.Sprintf("member %s is leaving", m.ID)
+			return groupUnwanted, fmt.Sprintf("member %s is leaving", m.ID)
 		}
 	}
 	for _, m := range g.Members {
 		if p.missing(m.ID) {
-			return healthBroken, fmt.Sprintf("member %s is missing", m.ID)
+			return groupDegraded, fmt.Sprintf("member %s is missing", m.ID)
 		}
 	}
-	return healthWhole, ""
+	return groupHealthy, ""
 }
 
 // unwanted tells why the configuration does not want a group; empty if it
 // does.
-func (p *round) unwanted(g models.Group) string {
+func (p *round) unwantedReason(g models.Group) string {
 	m, declared := p.State.Models[g.Model]
 	switch {
 	case g.Retiring != 0:
@@ -189,7 +189,7 @@
 }
 
 // settled reports whether every member is loaded for the group.
-func (p *round) settled(g models.Group) bool {
+func (p *round) allLoaded(g models.Group) bool {
 	for _, m := range g.Members {
 		s := p.Evidence[m.ID].Status
 		if s.Fence != g.Fence || s.Phase != types.PhaseLoaded {
@@ -200,9 +200,9 @@
 }
 
 // quiet reports whether every member that answers runs nothing.
-func (p *round) quiet(g models.Group) bool {
+func (p *round) idle(g models.Group) bool {
 	for _, m := range g.Members {
-		if p.present(m.ID) && p.Evidence[m.ID].Status.InFlight > 0 {
+		if p.alive(m.ID) && p.Evidence[m.ID].Status.InFlight > 0 {
 			return false
 		}
 	}
@@ -212,15 +212,15 @@
 // movePatience is how many times longer than for a spare a group waits before
 // another one is formed in its stead from other instances: that takes a
 // whole load of weights.
-const movePatience = 5
+const relocationGraceFactor = 5
 
 // patient reports whether a broken group may still be waited for.
-func (p *round) patient(g models.Group) bool {
-	if p.health[g.ID] != healthBroken {
+func (p *round) withinRelocationGrace(g models.Group) bool {
+	if p.health[g.ID] != groupDegraded {
 		return false
 	}
 	for _, m := range g.Members {
-		if p.Evidence[m.ID].Away(p.Now) > movePatience*p.Rules.ReplaceAfter {
+		if p.Evidence[m.ID].Away(p.Now) > relocationGraceFactor*p.Rules.ReplaceAfter {
 			return false
 		}
 	}
--- a/planner/turn.go
+++ b/planner/rendezvous.go
@@ -14,13 +14,13 @@
 // come and go. A wrong rank costs an append or an order in vain; it never
 // endangers an invariant.
 func Rank(self models.DaemonID, others []models.DaemonID, key string) int {
-	own := turnWeight(self, key)
+	own := rendezvousWeight(self, key)
 	rank := 0
 	for _, d := range others {
 		if d == self {
 			continue
 		}
-		if w := turnWeight(d, key); w > own || (w == own && d < self) {
+		if w := rendezvousWeight(d, key); w > own || (w == own && d < self) {
 			rank++
 		}
 	}
@@ -31,7 +31,7 @@
 func Order(daemons []models.DaemonID, key string) []models.DaemonID {
 	out := slices.Clone(daemons)
 	slices.SortFunc(out, func(a, b models.DaemonID) int {
-		if c := cmp.Compare(turnWeight(b, key), turnWeight(a, key)); c != 0 {
+		if c := cmp.Compare(rendezvousWeight(b, key), rendezvousWeight(a, key)); c != 0 {
 			return c
 		}
 		return cmp.Compare(a, b)
@@ -39,7 +39,7 @@
 	return out
 }
 
-func turnWeight(d models.DaemonID, key string) uint64 {
+func rendezvousWeight(d models.DaemonID, key string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(d))
 	h.Write([]byte{0})
--- a/planner/retire.go
+++ b/planner/retire.go
@@ -7,7 +7,7 @@
 
 // atOnce is the part of a model's groups, one in so many but at least one,
 // that may be retired at a time for a new version or another size.
-const atOnce = 4
+const rolloutDivisor = 4
 
 // retireUnwanted lets unwanted groups finish their requests and ends them
 // once they are quiet. A changed model is changed a few groups at a time; a
@@ -20,47 +20,47 @@
 		}
 	}
 	for _, g := range p.groups {
-		if p.health[g.ID] != healthUnwanted {
+		if p.health[g.ID] != groupUnwanted {
 			continue
 		}
-		why := p.reasons[g.ID]
+		reason := p.reasons[g.ID]
 		m, declared := p.State.Models[g.Model]
-		rolling := declared && p.unwanted(g) != "" && m.Place.Allows(g.Zone, g.Domain)
+		rolling := declared && p.unwantedReason(g) != "" && m.Place.Allows(g.Zone, g.Domain)
 		switch {
-		case g.Retiring != 0 && p.quiet(g):
+		case g.Retiring != 0 && p.idle(g):
 			p.ended[g.ID] = true
-			p.propose(g.Domain, state.EndGroup{Group: refTo(g), Reason: why})
+			p.propose(g.Domain, state.EndGroup{Group: groupRef(g), Reason: reason})
 		case g.Retiring != 0:
-		case rolling && retiring[g.Model] >= max(1, m.Replicas/atOnce):
+		case rolling && retiring[g.Model] >= max(1, m.Replicas/rolloutDivisor):
 		default:
 			retiring[g.Model]++
-			p.propose(g.Domain, state.RetireGroup{Group: refTo(g), Reason: why})
+			p.propose(g.Domain, state.RetireGroup{Group: groupRef(g), Reason: reason})
 		}
 	}
 }
 
-func refTo(g models.Group) state.GroupRef { return state.GroupRef{ID: g.ID, Fence: g.Fence} }
+func groupRef(g models.Group) state.GroupRef { return state.GroupRef{ID: g.ID, Fence: g.Fence} }
 
 // endSurplus retires whole groups that the target has no place for, and ends
 // broken ones whose model has enough groups without them.
 func (p *round) endSurplus(target Target) {
-	whole := map[models.Domain]map[models.ModelName]int{}
+	healthy := map[models.Domain]map[models.ModelName]int{}
 	for _, g := range p.groups {
 		if p.ended[g.ID] {
 			continue
 		}
 		switch p.health[g.ID] {
-		case healthWhole:
-			if whole[g.Domain] == nil {
-				whole[g.Domain] = map[models.ModelName]int{}
+		case groupHealthy:
+			if healthy[g.Domain] == nil {
+				healthy[g.Domain] = map[models.ModelName]int{}
 			}
-			whole[g.Domain][g.Model]++
-			if whole[g.Domain][g.Model] > target[g.Domain][g.Model] {
-				p.propose(g.Domain, state.RetireGroup{Group: refTo(g), Reason: "its model has enough replicas, or its instances are of more use elsewhere"})
+			healthy[g.Domain][g.Model]++
+			if healthy[g.Domain][g.Model] > target[g.Domain][g.Model] {
+				p.propose(g.Domain, state.RetireGroup{Group: groupRef(g), Reason: "its model has enough replicas, or its instances are of more use elsewhere"})
 			}
-		case healthBroken:
+		case groupDegraded:
 			if target.total(g.Model) >= p.State.Models[g.Model].Replicas {
-				p.propose(g.Domain, state.EndGroup{Group: refTo(g), Reason: p.reasons[g.ID] + " and its model has enough replicas without it"})
+				p.propose(g.Domain, state.EndGroup{Group: groupRef(g), Reason: p.reasons[g.ID] + " and its model has enough replicas without it"})
 			}
 		}
 	}
--- a/planner/supply.go
+++ b/planner/supply.go
@@ -13,7 +13,7 @@
 	out := make([]supply, 0, len(p.domains))
 	at := map[models.Domain]int{}
 	for _, d := range p.domains {
-		s := supply{domain: d, zone: p.zones[d], whole: map[models.ModelName]int{}, accelerators: p.engines[d][0].Accelerators}
+		s := supply{domain: d, zone: p.zones[d], healthy: map[models.ModelName]int{}, accelerators: p.engines[d][0].Accelerators}
 		for _, i := range p.engines[d] {
 			if p.usable(i.ID) {
 				s.usable++
@@ -23,8 +23,8 @@
 		out = append(out, s)
 	}
 	for _, g := range p.groups {
-		if i, known := at[g.Domain]; known && p.health[g.ID] == healthWhole && !p.ended[g.ID] {
-			out[i].whole[g.Model]++
+		if i, known := at[g.Domain]; known && p.health[g.ID] == groupHealthy && !p.ended[g.ID] {
+			out[i].healthy[g.Model]++
 		}
 	}
 	return out
@@ -41,16 +41,16 @@
 	owner, owned := p.State.Owner(id)
 	switch {
 	case !owned:
-		return p.present(id) && p.Evidence[id].steady(p.Now)
-	case p.health[owner] == healthWhole:
+		return p.alive(id) && p.Evidence[id].stable(p.Now)
+	case p.health[owner] == groupHealthy:
 		return true
 	default:
-		return p.present(id)
+		return p.alive(id)
 	}
 }
 
 // wanted lists the models by name.
-func (p *round) wanted() []models.Model {
+func (p *round) wantedModels() []models.Model {
 	var out []models.Model
 	for _, name := range slices.Sorted(maps.Keys(p.State.Models)) {
 		if m := p.State.Models[name]; m.Replicas > 0 {
@@ -63,7 +63,7 @@
 // free lists the engines of a domain that belong to no group and can take
 // work, those with the least to do for the model first: weights at hand, few
 // absences lately, then by id.
-func (p *round) free(d models.Domain, m models.Model) []models.Instance {
+func (p *round) freeInstances(d models.Domain, m models.Model) []models.Instance {
 	var out []models.Instance
 	for _, i := range p.engines[d] {
 		if _, owned := p.State.Owner(i.ID); !owned && p.eligible(i.ID) {
@@ -73,7 +73,7 @@
 	slices.SortStableFunc(out, func(a, b models.Instance) int {
 		ea, eb := p.Evidence[a.ID], p.Evidence[b.ID]
 		return cmp.Or(
-			compareFalseFirst(!ea.holds(m), !eb.holds(m)),
+			compareFalseFirst(!ea.hasWeights(m), !eb.hasWeights(m)),
 			cmp.Compare(ea.Absences, eb.Absences),
 			cmp.Compare(a.ID, b.ID),
 		)
@@ -93,5 +93,5 @@
 }
 
 func (p *round) eligible(id models.InstanceID) bool {
-	return !p.taken[id] && !p.leaving(id) && p.present(id) && p.Evidence[id].steady(p.Now)
+	return !p.reserved[id] && !p.leaving(id) && p.alive(id) && p.Evidence[id].stable(p.Now)
 }
--- a/planner/why.go
+++ b/planner/why.go
@@ -18,14 +18,14 @@
 		}
 	}
 	supplies := p.supplies()
-	target := assign(supplies, p.wanted(), in.State.Policy)
-	if !in.Evidence[i.ID].steady(in.Now) {
+	target := assign(supplies, p.wantedModels(), in.State.Policy)
+	if !in.Evidence[i.ID].stable(in.Now) {
 		return "it keeps going away and coming back"
 	}
 	for _, name := range slices.Sorted(maps.Keys(in.State.Models)) {
 		m := in.State.Models[name]
 		if target.total(name) < m.Replicas && m.Place.Allows(i.Zone, i.Domain) {
-			return fmt.Sprintf("model %s wants %d members and fabric domain %s has %d free", name, m.Members, i.Domain, len(p.free(i.Domain, m)))
+			return fmt.Sprintf("model %s wants %d members and fabric domain %s has %d free", name, m.Members, i.Domain, len(p.freeInstances(i.Domain, m)))
 		}
 	}
 	return "every model has the replicas that it wants where the instance may serve"
--- a/query/answer.go
+++ b/query/answer.go
@@ -101,21 +101,21 @@
 // matches compares numbers as numbers and all else as text; "~" looks for a
 // part of the text.
 func matches(value string, c *Cond) bool {
-	order := strings.Compare(value, c.Value)
+	comparison := strings.Compare(value, c.Value)
 	a, errA := strconv.ParseFloat(value, 64)
 	b, errB := strconv.ParseFloat(c.Value, 64)
 	if errA == nil && errB == nil {
-		order = int(max(-1, min(1, (a-b)*1e9)))
+		comparison = int(max(-1, min(1, (a-b)*1e9)))
 	}
 	switch c.Op {
 	case "=":
-		return order == 0
+		return comparison == 0
 	case "!=":
-		return order != 0
+		return comparison != 0
 	case "<":
-		return order < 0
+		return comparison < 0
 	case ">":
-		return order > 0
+		return comparison > 0
 	default:
 		return strings.Contains(value, c.Value)
 	}
@@ -129,7 +129,7 @@
 		answer.Rows = append(answer.Rows, []string{
 			string(id), string(g.Model), string(g.Version), string(g.Zone), string(g.Domain),
 			strings.Join(memberNames(g), ","), fmt.Sprint(g.Fence), yesNo(gate.Open(f.Now)),
-			fmt.Sprint(gate.Load.Running), whyClosed(f, gate),
+			fmt.Sprint(gate.Load.Running), closedReason(f, gate),
 		})
 	}
 	return answer
@@ -150,7 +150,7 @@
 	return "no"
 }
 
-func whyClosed(f Facts, gate planner.Gate) string {
+func closedReason(f Facts, gate planner.Gate) string {
 	switch {
 	case gate.Open(f.Now):
 		return ""
@@ -209,7 +209,7 @@
 		}
 		answer.Rows = append(answer.Rows, []string{
 			string(name), string(m.Version), fmt.Sprint(m.Members), fmt.Sprint(m.Replicas), fmt.Sprint(groups), fmt.Sprint(serving),
-			list(m.Place.Zones, wordAny), list(m.Place.Domains, wordAny), fmt.Sprint(m.Revision),
+			joinValues(m.Place.Zones, keywordAny), joinValues(m.Place.Domains, keywordAny), fmt.Sprint(m.Revision),
 		})
 	}
 	return answer
@@ -224,8 +224,8 @@
 			rules = append(rules, r.String())
 		}
 		answer.Rows = append(answer.Rows, []string{
-			string(name), list(rules, wordNone), list(w.Services, wordNone), list(w.Place.Zones, wordAny),
-			list(w.Place.Domains, wordAny), fmt.Sprint(w.Share), fmt.Sprint(w.Concurrent), fmt.Sprint(len(w.Tokens)), fmt.Sprint(w.Revision),
+			string(name), joinValues(rules, keywordNone), joinValues(w.Services, keywordNone), joinValues(w.Place.Zones, keywordAny),
+			joinValues(w.Place.Domains, keywordAny), fmt.Sprint(w.Share), fmt.Sprint(w.Concurrent), fmt.Sprint(len(w.Tokens)), fmt.Sprint(w.Revision),
 		})
 	}
 	return answer
@@ -242,7 +242,7 @@
 			}
 		}
 		answer.Rows = append(answer.Rows, []string{
-			string(name), fmt.Sprint(instances), list(v.Place.Zones, wordAny), list(v.Place.Domains, wordAny), fmt.Sprint(v.Revision),
+			string(name), fmt.Sprint(instances), joinValues(v.Place.Zones, keywordAny), joinValues(v.Place.Domains, keywordAny), fmt.Sprint(v.Revision),
 		})
 	}
 	return answer
@@ -308,7 +308,7 @@
 		if i.Kind != models.KindEngine {
 			continue
 		}
-		if reason := whyStranded(f, i); reason != "" {
+		if reason := strandedReason(f, i); reason != "" {
 			answer.Rows = append(answer.Rows, []string{string(id), string(i.Zone), string(i.Domain), fmt.Sprint(i.Accelerators), reason})
 		}
 	}
@@ -317,13 +317,13 @@
 
 // whyStranded tells why the instance's accelerators serve nobody; empty if
 // they do serve.
-func whyStranded(f Facts, i models.Instance) string {
+func strandedReason(f Facts, i models.Instance) string {
 	group, owned := f.State.Owner(i.ID)
 	switch {
 	case owned && f.Gates[group].Open(f.Now):
 		return ""
 	case owned:
-		return fmt.Sprintf("its group %s does not serve: %s", group, whyClosed(f, f.Gates[group]))
+		return fmt.Sprintf("its group %s does not serve: %s", group, closedReason(f, f.Gates[group]))
 	}
 	switch instanceState(f, i, f.Evidence[i.ID]) {
 	case "drained":
@@ -351,26 +351,26 @@
 		if gate.Open(f.Now) {
 			return Answer{Text: fmt.Sprintf("Group %s serves: all of its %d members are in place.", g.ID, len(g.Members))}, nil
 		}
-		return Answer{Text: fmt.Sprintf("Group %s does not serve: %s.", g.ID, whyClosed(f, gate))}, nil
+		return Answer{Text: fmt.Sprintf("Group %s does not serve: %s.", g.ID, closedReason(f, gate))}, nil
 	case "instance":
 		i, ok := f.Instances[models.InstanceID(w.Name)]
 		if !ok {
 			return Answer{}, fmt.Errorf("%w: instance %q", ErrNotFound, w.Name)
 		}
-		if reason := whyStranded(f, i); reason != "" {
+		if reason := strandedReason(f, i); reason != "" {
 			return Answer{Text: fmt.Sprintf("Instance %s serves nobody: %s.", i.ID, reason)}, nil
 		}
 		group, _ := f.State.Owner(i.ID)
 		return Answer{Text: fmt.Sprintf("Instance %s serves in group %s.", i.ID, group)}, nil
 	case "stranded":
-		return whyAllStranded(f), nil
+		return strandedSummary(f), nil
 	default:
 		return Answer{}, fmt.Errorf("%w: %s %q", ErrNotFound, w.What, w.Name)
 	}
 }
 
 // whyAllStranded sums the stranded accelerators up by reason.
-func whyAllStranded(f Facts) Answer {
+func strandedSummary(f Facts) Answer {
 	rows := showStranded(f).Rows
 	if len(rows) == 0 {
 		return Answer{Text: "No accelerator is stranded."}
--- a/query/change.go
+++ b/query/change.go
@@ -20,8 +20,8 @@
 
 // Words with a meaning of their own in lists.
 const (
-	wordAny  = "any"
-	wordNone = "none"
+	keywordAny  = "any"
+	keywordNone = "none"
 )
 
 // Compile turns changes into operations on the configuration that the state
@@ -79,25 +79,25 @@
 		return c.limit(change.Limit, change.Base)
 	case change.Weigh != nil:
 		p := models.Policy{Downtime: change.Weigh.Downtime, Stranded: change.Weigh.Stranded}
-		c.ops = append(c.ops, state.PutPolicy{Base: base(change.Base, c.state.Policy.Revision), Policy: p})
+		c.ops = append(c.ops, state.PutPolicy{Base: baseRevision(change.Base, c.state.Policy.Revision), Policy: p})
 	case change.Drain != "":
 		id := models.InstanceID(change.Drain)
-		c.ops = append(c.ops, state.DrainInstance{Base: base(change.Base, c.state.Drained[id].Revision), Instance: id})
+		c.ops = append(c.ops, state.DrainInstance{Base: baseRevision(change.Base, c.state.Drained[id].Revision), Instance: id})
 	default:
 		id := models.InstanceID(change.Undrain)
-		c.ops = append(c.ops, state.UndrainInstance{Base: base(change.Base, c.state.Drained[id].Revision), Instance: id})
+		c.ops = append(c.ops, state.UndrainInstance{Base: baseRevision(change.Base, c.state.Drained[id].Revision), Instance: id})
 	}
 	return nil
 }
 
-func base(named *uint64, present models.Revision) models.Revision {
-	if named != nil {
-		return models.Revision(*named)
+func baseRevision(override *uint64, current models.Revision) models.Revision {
+	if override != nil {
+		return models.Revision(*override)
 	}
-	return present
+	return current
 }
 
-func (c *compiler) set(set *Set, named *uint64) error {
+func (c *compiler) set(set *Set, baseOverride *uint64) error {
 	switch set.Kind {
 	case "model":
 		m, exists := c.draft.models[models.ModelName(set.Name)]
@@ -107,7 +107,7 @@
 		if err := setAttrs(set.Attrs, modelAttrs(&m)); err != nil {
 			return err
 		}
-		c.putModel(m, named)
+		c.putModel(m, baseOverride)
 	case "workspace":
 		w, exists := c.draft.workspaces[models.WorkspaceName(set.Name)]
 		if !exists {
@@ -116,7 +116,7 @@
 		if err := setAttrs(set.Attrs, workspaceAttrs(&w)); err != nil {
 			return err
 		}
-		c.putWorkspace(w, named)
+		c.putWorkspace(w, baseOverride)
 	case "service":
 		v := c.draft.services[models.ServiceName(set.Name)]
 		v.Name = models.ServiceName(set.Name)
@@ -124,7 +124,7 @@
 			return err
 		}
 		c.draft.services[v.Name] = v
-		c.ops = append(c.ops, state.PutService{Base: base(named, c.state.Services[v.Name].Revision), Service: v})
+		c.ops = append(c.ops, state.PutService{Base: baseRevision(baseOverride, c.state.Services[v.Name].Revision), Service: v})
 	default:
 		o, exists := c.draft.operators[models.OperatorName(set.Name)]
 		if !exists {
@@ -134,39 +134,39 @@
 			return err
 		}
 		c.draft.operators[o.Name] = o
-		c.ops = append(c.ops, state.PutOperator{Base: base(named, c.state.Operators[o.Name].Revision), Operator: o})
+		c.ops = append(c.ops, state.PutOperator{Base: baseRevision(baseOverride, c.state.Operators[o.Name].Revision), Operator: o})
 	}
 	return nil
 }
 
-func (c *compiler) putModel(m models.Model, named *uint64) {
+func (c *compiler) putModel(m models.Model, baseOverride *uint64) {
 	c.draft.models[m.Name] = m
-	c.ops = append(c.ops, state.PutModel{Base: base(named, c.state.Models[m.Name].Revision), Model: m})
+	c.ops = append(c.ops, state.PutModel{Base: baseRevision(baseOverride, c.state.Models[m.Name].Revision), Model: m})
 }
 
-func (c *compiler) putWorkspace(w models.Workspace, named *uint64) {
+func (c *compiler) putWorkspace(w models.Workspace, baseOverride *uint64) {
 	c.draft.workspaces[w.Name] = w
-	c.ops = append(c.ops, state.PutWorkspace{Base: base(named, c.state.Workspaces[w.Name].Revision), Workspace: w})
+	c.ops = append(c.ops, state.PutWorkspace{Base: baseRevision(baseOverride, c.state.Workspaces[w.Name].Revision), Workspace: w})
 }
 
-func (c *compiler) remove(r *Remove, named *uint64) error {
+func (c *compiler) remove(r *Remove, baseOverride *uint64) error {
 	switch r.Kind {
 	case "model":
 		name := models.ModelName(r.Name)
 		delete(c.draft.models, name)
-		c.ops = append(c.ops, state.DropModel{Base: base(named, c.state.Models[name].Revision), Name: name})
+		c.ops = append(c.ops, state.DropModel{Base: baseRevision(baseOverride, c.state.Models[name].Revision), Name: name})
 	case "workspace":
 		name := models.WorkspaceName(r.Name)
 		delete(c.draft.workspaces, name)
-		c.ops = append(c.ops, state.DropWorkspace{Base: base(named, c.state.Workspaces[name].Revision), Name: name})
+		c.ops = append(c.ops, state.DropWorkspace{Base: baseRevision(baseOverride, c.state.Workspaces[name].Revision), Name: name})
 	case "service":
 		name := models.ServiceName(r.Name)
 		delete(c.draft.services, name)
-		c.ops = append(c.ops, state.DropService{Base: base(named, c.state.Services[name].Revision), Name: name})
+		c.ops = append(c.ops, state.DropService{Base: baseRevision(baseOverride, c.state.Services[name].Revision), Name: name})
 	default:
 		name := models.OperatorName(r.Name)
 		delete(c.draft.operators, name)
-		c.ops = append(c.ops, state.DropOperator{Base: base(named, c.state.Operators[name].Revision), Name: name})
+		c.ops = append(c.ops, state.DropOperator{Base: baseRevision(baseOverride, c.state.Operators[name].Revision), Name: name})
 	}
 	return nil
 }
@@ -181,35 +181,35 @@
 	return w, nil
 }
 
-func (c *compiler) allow(a *Allow, named *uint64) error {
+func (c *compiler) allow(a *Allow, baseOverride *uint64) error {
 	w, err := c.workspace(a.Workspace)
 	if err != nil {
 		return err
 	}
 	for _, name := range a.Names {
 		if a.Kind == "service" {
-			w.Services = withOrWithout(w.Services, models.ServiceName(name), a.Verb == "allow")
+			w.Services = addOrRemove(w.Services, models.ServiceName(name), a.Verb == "allow")
 			continue
 		}
 		rule, err := models.ParseModelRule(name)
 		if err != nil {
 			return err
 		}
-		w.Models = withOrWithout(w.Models, rule, a.Verb == "allow")
+		w.Models = addOrRemove(w.Models, rule, a.Verb == "allow")
 	}
-	c.putWorkspace(w, named)
+	c.putWorkspace(w, baseOverride)
 	return nil
 }
 
-func withOrWithout[T comparable](list []T, value T, with bool) []T {
+func addOrRemove[T comparable](list []T, value T, add bool) []T {
 	list = slices.DeleteFunc(list, func(v T) bool { return v == value })
-	if with {
+	if add {
 		list = append(list, value)
 	}
 	return list
 }
 
-func (c *compiler) limit(l *Limit, named *uint64) error {
+func (c *compiler) limit(l *Limit, baseOverride *uint64) error {
 	w, err := c.workspace(l.Workspace)
 	if err != nil {
 		return err
@@ -217,7 +217,7 @@
 	if err := setAttrs(l.Attrs, limitAttrs(&w)); err != nil {
 		return err
 	}
-	c.putWorkspace(w, named)
+	c.putWorkspace(w, baseOverride)
 	return nil
 }
 
@@ -239,7 +239,7 @@
 
 func modelAttrs(m *models.Model) map[string]setter {
 	attrs := placeAttrs(&m.Place)
-	attrs["version"] = setName(&m.Version)
+	attrs["version"] = setSingle(&m.Version)
 	attrs["members"] = setInt(&m.Members)
 	attrs["replicas"] = setInt(&m.Replicas)
 	return attrs
@@ -254,11 +254,11 @@
 	for key, set := range limitAttrs(w) {
 		attrs[key] = set
 	}
-	attrs["tokens"] = setList(&w.Tokens, wordNone)
-	attrs["services"] = setList(&w.Services, wordNone)
+	attrs["tokens"] = setList(&w.Tokens, keywordNone)
+	attrs["services"] = setList(&w.Services, keywordNone)
 	attrs["models"] = func(values []string) error {
 		var names []string
-		if err := setList(&names, wordNone)(values); err != nil {
+		if err := setList(&names, keywordNone)(values); err != nil {
 			return err
 		}
 		w.Models = nil
@@ -275,14 +275,14 @@
 }
 
 func operatorAttrs(o *models.Operator) map[string]setter {
-	return map[string]setter{"right": setName(&o.Right), "tokens": setList(&o.Tokens, wordNone)}
+	return map[string]setter{"right": setSingle(&o.Right), "tokens": setList(&o.Tokens, keywordNone)}
 }
 
 func placeAttrs(p *models.Place) map[string]setter {
-	return map[string]setter{"zones": setList(&p.Zones, wordAny), "domains": setList(&p.Domains, wordAny)}
+	return map[string]setter{"zones": setList(&p.Zones, keywordAny), "domains": setList(&p.Domains, keywordAny)}
 }
 
-func setName[S ~string](field *S) setter {
+func setSingle[S ~string](field *S) setter {
 	return func(values []string) error {
 		if len(values) != 1 {
 			return fmt.Errorf("%w: takes one value", ErrBadAttr)
@@ -307,9 +307,9 @@
 }
 
 // setList sets a list; the single word empty stands for no entries.
-func setList[S ~string](field *[]S, empty string) setter {
+func setList[S ~string](field *[]S, emptyKeyword string) setter {
 	return func(values []string) error {
-		if len(values) == 1 && values[0] == empty {
+		if len(values) == 1 && values[0] == emptyKeyword {
 			*field = nil
 			return nil
 		}
--- a/query/fuzz_test.go
+++ b/query/fuzz_test.go
@@ -56,7 +56,7 @@
 }
 
 // TestPrintReadsBack prints a configuration and makes it anew from the text.
-func TestPrintReadsBack(t *testing.T) {
+func TestPrintRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	text := `set model brief version v1 members 4 replicas 2 zones a, b domains f1
 set service pings zones a
@@ -65,8 +65,8 @@
 weigh downtime 5 stranded 1
 drain instance i-1`
 	s := configure(c, state.New(), text)
-	again := configure(c, state.New(), query.Print(s))
-	c.Assert(query.Print(again), qt.Equals, query.Print(s))
+	reparsed := configure(c, state.New(), query.Print(s))
+	c.Assert(query.Print(reparsed), qt.Equals, query.Print(s))
 	c.Assert(s.Workspaces["lab"].Models, qt.DeepEquals, []models.ModelRule{{Model: "brief"}, {Model: "brief", Version: "v2"}})
 }
 
--- a/query/print.go
+++ b/query/print.go
@@ -51,21 +51,21 @@
 		rules = append(rules, r.String())
 	}
 	return fmt.Sprintf("set workspace %s models %s services %s share %d concurrent %d tokens %s %s",
-		w.Name, list(rules, wordNone), list(w.Services, wordNone), w.Share, w.Concurrent,
-		list(w.Tokens, wordNone), printPlace(w.Place))
+		w.Name, joinValues(rules, keywordNone), joinValues(w.Services, keywordNone), w.Share, w.Concurrent,
+		joinValues(w.Tokens, keywordNone), printPlace(w.Place))
 }
 
 func printOperator(o models.Operator) string {
-	return fmt.Sprintf("set operator %s right %s tokens %s", o.Name, o.Right, list(o.Tokens, wordNone))
+	return fmt.Sprintf("set operator %s right %s tokens %s", o.Name, o.Right, joinValues(o.Tokens, keywordNone))
 }
 
 func printPlace(p models.Place) string {
-	return fmt.Sprintf("zones %s domains %s", list(p.Zones, wordAny), list(p.Domains, wordAny))
+	return fmt.Sprintf("zones %s domains %s", joinValues(p.Zones, keywordAny), joinValues(p.Domains, keywordAny))
 }
 
-func list[S ~string](values []S, empty string) string {
+func joinValues[S ~string](values []S, emptyKeyword string) string {
 	if len(values) == 0 {
-		return empty
+		return emptyKeyword
 	}
 	out := make([]string, 0, len(values))
 	for _, v := range values {
--- a/query/trail.go
+++ b/query/trail.go
@@ -10,11 +10,11 @@
 
 // inFlight is the end of a request that has none yet, or whose daemon was
 // lost before it had one.
-const inFlight = "in-flight or lost"
+const noOutcome = "in-flight or lost"
 
-func endOf(e models.TrailEntry) string {
+func outcomeOf(e models.TrailEntry) string {
 	if e.End == "" {
-		return inFlight
+		return noOutcome
 	}
 	return e.End
 }
@@ -24,7 +24,7 @@
 	return Answer{
 		Columns: []string{"request", "end", "workspace", "wanted", "version", "group", "instances", "zone", "domain", "daemon", "started", "took", "tries"},
 		Rows: [][]string{{
-			string(e.Request), endOf(e), string(e.Workspace), e.Wanted, string(e.Version), string(e.Group), instanceList(e),
+			string(e.Request), outcomeOf(e), string(e.Workspace), e.Wanted, string(e.Version), string(e.Group), instanceList(e),
 			string(e.Zone), string(e.Domain), string(e.Daemon), e.Started.UTC().Format(time.RFC3339Nano),
 			e.Took.Round(time.Millisecond).String(), fmt.Sprint(e.Tries),
 		}},
@@ -45,7 +45,7 @@
 	if len(e.Instances) > 0 {
 		place = fmt.Sprintf("It was sent to %s in zone %s, fabric domain %s", instanceList(e), e.Zone, e.Domain)
 	}
-	text := fmt.Sprintf("Request %s ended %s after %d tries. %s.", e.Request, endOf(e), e.Tries, place)
+	text := fmt.Sprintf("Request %s ended %s after %d tries. %s.", e.Request, outcomeOf(e), e.Tries, place)
 	if e.Reason != "" {
 		text += " The reason: " + e.Reason + "."
 	}
--- a/router/admit.go
+++ b/router/admit.go
@@ -20,11 +20,11 @@
 const (
 	// openPart is the part of a daemon's capacity that anybody may fill.
 	// The rest is for workspaces that have less than their share.
-	openPart = 0.7
+	unreservedFraction = 0.7
 	// lowestPart is the part that requests of priority 0 may fill; each
 	// higher priority may fill more, the highest everything.
-	lowestPart      = 0.8
-	highestPriority = 9
+	lowestPriorityFraction = 0.8
+	maxPriority            = 9
 )
 
 // Admission keeps, for one model, a daemon's requests in flight within its
@@ -36,9 +36,9 @@
 
 // pool holds the requests in flight for one model.
 type pool struct {
-	total  int
-	flying map[models.WorkspaceName]int
-	shares map[models.WorkspaceName]int
+	total    int
+	inFlight map[models.WorkspaceName]int
+	shares   map[models.WorkspaceName]int
 }
 
 // NewAdmission returns an admission with nothing in flight.
@@ -51,14 +51,14 @@
 	defer a.mu.Unlock()
 	p := a.pools[m]
 	if p == nil {
-		p = &pool{flying: map[models.WorkspaceName]int{}, shares: map[models.WorkspaceName]int{}}
+		p = &pool{inFlight: map[models.WorkspaceName]int{}, shares: map[models.WorkspaceName]int{}}
 		a.pools[m] = p
 	}
-	if err := p.admits(w, capacity, priority); err != nil {
+	if err := p.admit(w, capacity, priority); err != nil {
 		return fmt.Errorf("%w for model %s: %w", ErrOverloaded, m, err)
 	}
 	p.total++
-	p.flying[w.Name]++
+	p.inFlight[w.Name]++
 	p.shares[w.Name] = w.Share
 	return nil
 }
@@ -69,25 +69,25 @@
 	errOverShare = errors.New("the workspace has more than its share")
 )
 
-func (p *pool) admits(w models.Workspace, capacity, priority int) error {
+func (p *pool) admit(w models.Workspace, capacity, priority int) error {
 	if capacity < 0 {
 		return nil
 	}
-	part := lowestPart + (1-lowestPart)*float64(min(priority, highestPriority))/highestPriority
-	if float64(p.total) >= max(1, part*float64(capacity)) {
+	fraction := lowestPriorityFraction + (1-lowestPriorityFraction)*float64(min(priority, maxPriority))/maxPriority
+	if float64(p.total) >= max(1, fraction*float64(capacity)) {
 		return errFull
 	}
-	if float64(p.total) < openPart*float64(capacity) || len(p.flying) == 0 {
+	if float64(p.total) < unreservedFraction*float64(capacity) || len(p.inFlight) == 0 {
 		return nil
 	}
-	shares := 0
+	otherShares := 0
 	for name, share := range p.shares {
 		if name != w.Name {
-			shares += share
+			otherShares += share
 		}
 	}
-	fair := float64(capacity) * float64(w.Share) / float64(shares+w.Share)
-	if float64(p.flying[w.Name]) >= fair {
+	fairShare := float64(capacity) * float64(w.Share) / float64(otherShares+w.Share)
+	if float64(p.inFlight[w.Name]) >= fairShare {
 		return errOverShare
 	}
 	return nil
@@ -99,8 +99,8 @@
 	defer a.mu.Unlock()
 	p := a.pools[m]
 	p.total--
-	if p.flying[w]--; p.flying[w] == 0 {
-		delete(p.flying, w)
+	if p.inFlight[w]--; p.inFlight[w] == 0 {
+		delete(p.inFlight, w)
 		delete(p.shares, w)
 	}
 }
--- a/router/admit_test.go
+++ b/router/admit_test.go
@@ -9,7 +9,7 @@
 	"github.com/lupinkeel/lupinkeel/router"
 )
 
-func enterMany(a *router.Admission, w models.Workspace, capacity, priority, n int) int {
+func admitMany(a *router.Admission, w models.Workspace, capacity, priority, n int) int {
 	entered := 0
 	for range n {
 		if a.Enter("m", w, capacity, priority) == nil {
@@ -21,28 +21,28 @@
 
 // TestFloodTakesNothing lets one workspace flood: another still gets its
 // share, at once for a part and whole as the flood's requests end.
-func TestFloodTakesNothing(t *testing.T) {
+func TestAdmissionFairUnderFlood(t *testing.T) {
 	c := qt.New(t)
 	a := router.NewAdmission()
 	flood, quiet := models.Workspace{Name: "flood", Share: 1}, models.Workspace{Name: "quiet", Share: 1}
-	c.Assert(enterMany(a, quiet, 100, 9, 1), qt.Equals, 1)
-	c.Assert(enterMany(a, flood, 100, 9, 1000), qt.Equals, 69)
-	c.Assert(enterMany(a, quiet, 100, 9, 1000), qt.Equals, 30)
+	c.Assert(admitMany(a, quiet, 100, 9, 1), qt.Equals, 1)
+	c.Assert(admitMany(a, flood, 100, 9, 1000), qt.Equals, 69)
+	c.Assert(admitMany(a, quiet, 100, 9, 1000), qt.Equals, 30)
 	for range 69 {
 		a.Leave("m", flood.Name)
-		c.Assert(enterMany(a, flood, 100, 9, 1)+enterMany(a, quiet, 100, 9, 1) <= 1, qt.IsTrue)
+		c.Assert(admitMany(a, flood, 100, 9, 1)+admitMany(a, quiet, 100, 9, 1) <= 1, qt.IsTrue)
 	}
 	// As the flood's requests end, the quiet workspace comes to its half.
-	c.Assert(enterMany(a, quiet, 100, 9, 1000) <= 1, qt.IsTrue)
+	c.Assert(admitMany(a, quiet, 100, 9, 1000) <= 1, qt.IsTrue)
 	c.Assert(a.Enter("m", flood, 100, 9), qt.ErrorIs, router.ErrOverloaded)
 }
 
-func TestPrioritiesHold(t *testing.T) {
+func TestAdmissionByPriority(t *testing.T) {
 	c := qt.New(t)
 	a := router.NewAdmission()
 	w := models.Workspace{Name: "w", Share: 1}
-	c.Assert(enterMany(a, w, 100, 0, 1000), qt.Equals, 80)
-	c.Assert(enterMany(a, w, 100, 9, 1000), qt.Equals, 20)
+	c.Assert(admitMany(a, w, 100, 0, 1000), qt.Equals, 80)
+	c.Assert(admitMany(a, w, 100, 9, 1000), qt.Equals, 20)
 	c.Assert(a.Enter("m", w, 100, 9), qt.ErrorIs, router.ErrOverloaded)
 	c.Assert(a.Enter("other", w, 100, 0), qt.IsNil)
 	c.Assert(a.Enter("m", w, -1, 0), qt.IsNil)
--- a/router/choose.go
+++ b/router/choose.go
@@ -55,11 +55,11 @@
 }
 
 // Busy tells how many requests this daemon has in flight at an address.
-type Busy func(netip.AddrPort) int
+type InFlightFunc func(netip.AddrPort) int
 
 // affinitySlack is how much busier than the least busy group, in parts of
 // what it runs at once, a group may be and still be preferred for its cache.
-const affinitySlack = 0.25
+const affinityLoadSlack = 0.25
 
 // Prompt is what the choice needs to know of a prompt.
 type Prompt struct {
@@ -76,7 +76,7 @@
 	// the queue that the engine reports. What it reports as running is left
 	// out: it is a second old, and all daemons would follow it at once to
 	// the group that was idle then.
-	busy float64
+	load float64
 }
 
 // ChooseGroup returns where a request for the model should run: among the
@@ -86,21 +86,21 @@
 // depends on that beginning. So prompts that begin alike meet in the same
 // cache, whichever daemon they come through, without relying on cache events,
 // which come late and with gaps.
-func (t Table) ChooseGroup(w models.Workspace, m models.ModelName, p Prompt, now time.Time, busy Busy, tried []netip.AddrPort) (Target, error) {
-	candidates, err := t.candidates(w, m, now, busy, tried)
+func (t Table) ChooseGroup(w models.Workspace, m models.ModelName, p Prompt, now time.Time, inFlight InFlightFunc, exclude []netip.AddrPort) (Target, error) {
+	candidates, err := t.candidates(w, m, now, inFlight, exclude)
 	if err != nil {
 		return Target{}, err
 	}
-	least := slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.busy, b.busy) }).busy
+	lowest := slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.load, b.load) }).load
 	slack := 0.0
 	if p.Seen {
-		slack = affinitySlack
+		slack = affinityLoadSlack
 	}
 	var best models.Group
 	var bestWeight uint64
 	for _, c := range candidates {
-		weight := affinity(p.Prefix, c.group.ID)
-		if c.busy <= least+slack && (best.ID == "" || weight > bestWeight) {
+		weight := affinityWeight(p.Prefix, c.group.ID)
+		if c.load <= lowest+slack && (best.ID == "" || weight > bestWeight) {
 			best, bestWeight = c.group, weight
 		}
 	}
@@ -108,7 +108,7 @@
 }
 
 // affinity is the weight of a group in the order for a prefix.
-func affinity(prefix uint64, id models.GroupID) uint64 {
+func affinityWeight(prefix uint64, id models.GroupID) uint64 {
 	h := fnv.New64a()
 	var buf [8]byte
 	binary.BigEndian.PutUint64(buf[:], prefix)
@@ -119,7 +119,7 @@
 
 // candidates lists the groups that may take the request now; there is at
 // least one if there is no error.
-func (t Table) candidates(w models.Workspace, m models.ModelName, now time.Time, busy Busy, tried []netip.AddrPort) ([]candidate, error) {
+func (t Table) candidates(w models.Workspace, m models.ModelName, now time.Time, inFlight InFlightFunc, exclude []netip.AddrPort) ([]candidate, error) {
 	model, ok := t.State.Models[m]
 	if !ok {
 		return nil, fmt.Errorf("%w: %s", ErrUnknownModel, m)
@@ -130,16 +130,16 @@
 	var out []candidate
 	full := false
 	for id, g := range t.State.Groups {
-		if !t.mayRun(w, model, g) || !t.Gates[id].Open(now) || slices.Contains(tried, g.Members[0].Addr) {
+		if !t.placementAllowed(w, model, g) || !t.Gates[id].Open(now) || slices.Contains(exclude, g.Members[0].Addr) {
 			continue
 		}
-		own := busy(g.Members[0].Addr)
+		own := inFlight(g.Members[0].Addr)
 		if capacity, known := t.Capacity[id]; known && own >= capacity {
 			full = true
 			continue
 		}
 		load := t.Gates[id].Load
-		out = append(out, candidate{group: g, busy: float64(load.Queued+own*max(1, t.Daemons)) / float64(max(1, load.Slots))})
+		out = append(out, candidate{group: g, load: float64(load.Queued+own*max(1, t.Daemons)) / float64(max(1, load.Slots))})
 	}
 	switch {
 	case len(out) > 0:
@@ -156,12 +156,12 @@
 func (t Table) CapacityFor(w models.Workspace, m models.ModelName, now time.Time) int {
 	total, known := 0, false
 	for id, g := range t.State.Groups {
-		if !t.mayRun(w, t.State.Models[m], g) || !t.Gates[id].Open(now) {
+		if !t.placementAllowed(w, t.State.Models[m], g) || !t.Gates[id].Open(now) {
 			continue
 		}
-		capacity, told := t.Capacity[id]
+		capacity, reported := t.Capacity[id]
 		total += capacity
-		known = known || told
+		known = known || reported
 	}
 	if !known {
 		return -1
@@ -171,7 +171,7 @@
 
 // mayRun applies every place rule: the model's, the workspace's, and which
 // versions the workspace may use.
-func (t Table) mayRun(w models.Workspace, model models.Model, g models.Group) bool {
+func (t Table) placementAllowed(w models.Workspace, model models.Model, g models.Group) bool {
 	return g.Model == model.Name && w.AllowsModel(g.Model, g.Version) &&
 		model.Place.Allows(g.Zone, g.Domain) && w.Place.Allows(g.Zone, g.Domain)
 }
@@ -186,7 +186,7 @@
 
 // ChooseService returns the instance of a plain service that should run a
 // call: the one with the least work of this daemon's.
-func (t Table) ChooseService(w models.Workspace, name models.ServiceName, now time.Time, busy Busy, tried []netip.AddrPort) (Target, error) {
+func (t Table) ChooseService(w models.Workspace, name models.ServiceName, now time.Time, inFlight InFlightFunc, exclude []netip.AddrPort) (Target, error) {
 	service, ok := t.State.Services[name]
 	if !ok {
 		return Target{}, fmt.Errorf("%w: %s", ErrUnknownService, name)
@@ -195,15 +195,15 @@
 		return Target{}, fmt.Errorf("%w: service %s", ErrNotAllowed, name)
 	}
 	var best models.Instance
-	bestWork := 0
+	lowest := 0
 	for _, s := range t.Services[name] {
 		i := s.Instance
 		allowed := service.Place.Allows(i.Zone, i.Domain) && w.Place.Allows(i.Zone, i.Domain)
-		if !allowed || !now.Before(s.OpenUntil) || slices.Contains(tried, i.Addr) {
+		if !allowed || !now.Before(s.OpenUntil) || slices.Contains(exclude, i.Addr) {
 			continue
 		}
-		if work := busy(i.Addr); best.ID == "" || work < bestWork {
-			best, bestWork = i, work
+		if n := inFlight(i.Addr); best.ID == "" || n < lowest {
+			best, lowest = i, n
 		}
 	}
 	if best.ID == "" {
--- a/router/choose_test.go
+++ b/router/choose_test.go
@@ -26,7 +26,7 @@
 
 // TestPlaceRulesAreNeverBroken draws configurations and requests: where a
 // request is sent, every rule allows.
-func TestPlaceRulesAreNeverBroken(t *testing.T) {
+func TestChooseGroupRespectsPlacementRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		s := state.New()
@@ -62,7 +62,7 @@
 
 // TestAffinity sends prompts that begin alike to one group until it is much
 // busier than another.
-func TestAffinity(t *testing.T) {
+func TestPrefixAffinity(t *testing.T) {
 	c := qt.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	s := state.New()
@@ -79,7 +79,7 @@
 	prompt := router.Prompt{Prefix: 7, Seen: true}
 	first, err := table.ChooseGroup(w, "m", prompt, now, idle, nil)
 	c.Assert(err, qt.IsNil)
-	busy := func(n int) router.Busy {
+	busy := func(n int) router.InFlightFunc {
 		return func(a netip.AddrPort) int {
 			if a == first.Addr {
 				return n
--- a/router/limit.go
+++ b/router/limit.go
@@ -19,37 +19,37 @@
 //
 // See ExampleAllotment.
 func Allotment(limit int, self models.DaemonID, serving []models.DaemonID, key string) int {
-	n := 1
+	daemons := 1
 	for _, d := range serving {
 		if d != self {
-			n++
+			daemons++
 		}
 	}
-	part := limit / n
-	if planner.Rank(self, serving, key) < limit%n {
-		part++
+	share := limit / daemons
+	if planner.Rank(self, serving, key) < limit%daemons {
+		share++
 	}
-	return part
+	return share
 }
 
 // Limits counts the requests of each workspace that a daemon has in flight.
 type Limits struct {
-	mu     sync.Mutex
-	flying map[models.WorkspaceName]int
+	mu       sync.Mutex
+	inFlight map[models.WorkspaceName]int
 }
 
 // NewLimits returns limits with nothing in flight.
-func NewLimits() *Limits { return &Limits{flying: map[models.WorkspaceName]int{}} }
+func NewLimits() *Limits { return &Limits{inFlight: map[models.WorkspaceName]int{}} }
 
 // Take counts a request in, or returns ErrOverLimit at once. A limit of 0
 // is none.
 func (l *Limits) Take(w models.Workspace, allotment int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if w.Concurrent > 0 && l.flying[w.Name] >= allotment {
+	if w.Concurrent > 0 && l.inFlight[w.Name] >= allotment {
 		return fmt.Errorf("%w: workspace %s, %d of %d here", ErrOverLimit, w.Name, allotment, w.Concurrent)
 	}
-	l.flying[w.Name]++
+	l.inFlight[w.Name]++
 	return nil
 }
 
@@ -57,8 +57,8 @@
 func (l *Limits) Give(w models.WorkspaceName) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.flying[w]--; l.flying[w] == 0 {
-		delete(l.flying, w)
+	if l.inFlight[w]--; l.inFlight[w] == 0 {
+		delete(l.inFlight, w)
 	}
 }
 
@@ -66,8 +66,8 @@
 // be saved up as a burst needs. A daemon begins with all of them: its first
 // requests may meet a group that has just died.
 const (
-	retriesPerRequest = 0.1
-	maxSavedRetries   = 10
+	retryRatio = 0.1
+	retryBurst = 10
 )
 
 // Budget keeps retries to a tenth of the requests, so that failing upstreams
@@ -75,23 +75,23 @@
 type Budget struct {
 	mu sync.Mutex
 	// used are the retries that are missing from the most that are saved.
-	used float64
+	spent float64
 }
 
 // Earn notes a request.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.used = max(0, b.used-retriesPerRequest)
+	b.spent = max(0, b.spent-retryRatio)
 }
 
 // Spend takes one retry, if there is one.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.used > maxSavedRetries-1 {
+	if b.spent > retryBurst-1 {
 		return false
 	}
-	b.used++
+	b.spent++
 	return true
 }
--- a/router/limit_test.go
+++ b/router/limit_test.go
@@ -22,7 +22,7 @@
 }
 
 // TestAllotmentsAddUp checks the sum over any number of daemons.
-func TestAllotmentsAddUp(t *testing.T) {
+func TestAllotmentsSumToLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var serving []models.DaemonID
 		for n := range rapid.IntRange(1, 40).Draw(t, "daemons") {
@@ -51,7 +51,7 @@
 	c.Assert(l.Take(models.Workspace{Name: "free"}, 0), qt.IsNil)
 }
 
-func TestBudget(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	c := qt.New(t)
 	b := &router.Budget{}
 	const first = 10
@@ -72,7 +72,7 @@
 
 // TestRequestEnds walks requests through their steps and looks at what may
 // be said of them.
-func TestRequestEnds(t *testing.T) {
+func TestRequestOutcomes(t *testing.T) {
 	type step func(*router.Request) error
 	send, notRun, failed, answer := (*router.Request).Send, (*router.Request).NotRun, (*router.Request).Failed, (*router.Request).Answer
 	for _, test := range []struct {
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestNotRepeatableIsSentOnce(t *testing.T) {
+func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
 	c := qt.New(t)
 	r := &router.Request{ID: "r"}
 	c.Assert(r.Send(), qt.IsNil)
--- a/router/request.go
+++ b/router/request.go
@@ -54,7 +54,7 @@
 	end   End
 	tries int
 	// ran tells that a try may have run, even if a later one did not.
-	ran bool
+	mayHaveRun bool
 }
 
 // Phase returns how far the request has come.
@@ -69,7 +69,7 @@
 // Send notes that the request is about to be sent to an upstream.
 func (r *Request) Send() error {
 	if r.phase != PhaseQueued {
-		return r.wrong("send")
+		return r.phaseError("send")
 	}
 	r.phase = PhaseSent
 	r.tries++
@@ -80,7 +80,7 @@
 // never reached one. The request may be sent again.
 func (r *Request) NotRun() error {
 	if r.phase != PhaseSent {
-		return r.wrong("take back")
+		return r.phaseError("take back")
 	}
 	r.phase = PhaseQueued
 	return nil
@@ -90,9 +90,9 @@
 // repeatable request of which the caller has seen nothing may be sent again.
 func (r *Request) Failed() error {
 	if r.phase != PhaseSent {
-		return r.wrong("fail")
+		return r.phaseError("fail")
 	}
-	r.ran = true
+	r.mayHaveRun = true
 	if r.Repeatable {
 		r.phase = PhaseQueued
 	}
@@ -103,9 +103,9 @@
 // have run, so that this one must not be sent.
 func (r *Request) HeldElsewhere() error {
 	if r.phase != PhaseQueued {
-		return r.wrong("hold back")
+		return r.phaseError("hold back")
 	}
-	r.ran = true
+	r.mayHaveRun = true
 	r.phase = PhaseSent
 	return nil
 }
@@ -113,7 +113,7 @@
 // Answer notes that the first part of the answer goes to the caller.
 func (r *Request) Answer() error {
 	if r.phase != PhaseSent {
-		return r.wrong("answer")
+		return r.phaseError("answer")
 	}
 	r.phase = PhaseAnswering
 	return nil
@@ -124,13 +124,13 @@
 
 // Finish gives the request its end and returns it. whole tells that the
 // caller got the whole answer.
-func (r *Request) Finish(whole bool) End {
+func (r *Request) Finish(complete bool) End {
 	switch {
 	case r.phase == PhaseDone:
 		return r.end
-	case whole && r.phase == PhaseAnswering:
+	case complete && r.phase == PhaseAnswering:
 		r.end = EndWhole
-	case r.phase == PhaseQueued && !r.ran:
+	case r.phase == PhaseQueued && !r.mayHaveRun:
 		r.end = EndNotRun
 	default:
 		r.end = EndMayHaveRun
@@ -139,6 +139,6 @@
 	return r.end
 }
 
-func (r *Request) wrong(step string) error {
+func (r *Request) phaseError(step string) error {
 	return fmt.Errorf("%w: %s request %s in phase %d", ErrPhase, step, r.ID, r.phase)
 }
--- a/router/suspects_test.go
+++ b/router/suspects_test.go
@@ -22,5 +22,5 @@
 
 	s.Clear(a)
 	c.Assert(slices.Equal(s.List(now), []netip.AddrPort{b}), qt.IsTrue, qt.Commentf("an upstream that answers is none"))
-	c.Assert(s.List(now.Add(suspectFor)), qt.HasLen, 0, qt.Commentf("after a while it is asked again"))
+	c.Assert(s.List(now.Add(suspectTTL)), qt.HasLen, 0, qt.Commentf("after a while it is asked again"))
 }
--- a/state/apply.go
+++ b/state/apply.go
@@ -83,11 +83,11 @@
 		return Outcome{Offset: offset, Refused: err}, nil
 	}
 	out := Outcome{Offset: offset, Record: rec.ID}
-	if _, doubled := s.seen[rec.ID]; doubled {
+	if _, duplicate := s.seenIDs[rec.ID]; duplicate {
 		out.Refused = ErrDuplicate
 		return out, nil
 	}
-	s.remember(rec.ID)
+	s.rememberID(rec.ID)
 	out.Events, out.Refused = s.applyBody(offset, rec)
 	return out, nil
 }
@@ -95,21 +95,21 @@
 func (s *State) applyBody(offset models.Offset, rec Record) ([]Event, error) {
 	switch body := rec.Body.(type) {
 	case ChangeConfig:
-		return s.applyChange(offset, rec, body)
+		return s.applyChangeConfig(offset, rec, body)
 	case FormGroup:
-		return s.applyForm(offset, body)
+		return s.applyFormGroup(offset, body)
 	case RetireGroup:
-		return s.applyRetire(offset, body)
+		return s.applyRetireGroup(offset, body)
 	case EndGroup:
-		return s.applyEnd(body)
+		return s.applyEndGroup(body)
 	case JoinDaemon:
-		return s.applyJoin(offset, body)
+		return s.applyJoinDaemon(offset, body)
 	case LeaveDaemon:
-		return s.applyLeave(body)
+		return s.applyLeaveDaemon(body)
 	case ClaimKeys:
-		return s.applyClaims(body), nil
+		return s.applyClaimKeys(body), nil
 	case ReleaseKeys:
-		s.applyReleases(body)
+		s.applyReleaseKeys(body)
 		return nil, nil
 	case CheckpointPart:
 		return nil, nil
@@ -118,7 +118,7 @@
 	}
 }
 
-func (s *State) applyForm(offset models.Offset, form FormGroup) ([]Event, error) {
+func (s *State) applyFormGroup(offset models.Offset, form FormGroup) ([]Event, error) {
 	g := form.Group
 	model, ok := s.Models[g.Model]
 	if !ok {
@@ -135,12 +135,12 @@
 		return nil, fmt.Errorf("%w: group %s exists", ErrInUse, g.ID)
 	}
 	for _, ref := range form.Replaces {
-		if _, err := s.group(ref); err != nil {
+		if _, err := s.resolveGroup(ref); err != nil {
 			return nil, err
 		}
 	}
 	for _, m := range g.Members {
-		if err := s.checkFree(m.ID, form.Replaces); err != nil {
+		if err := s.checkAvailable(m.ID, form.Replaces); err != nil {
 			return nil, err
 		}
 	}
@@ -177,7 +177,7 @@
 	return nil
 }
 
-func (s *State) checkFree(id models.InstanceID, replaced []GroupRef) error {
+func (s *State) checkAvailable(id models.InstanceID, replaced []GroupRef) error {
 	if _, drained := s.Drained[id]; drained {
 		return fmt.Errorf("%w: instance %s is drained", ErrInUse, id)
 	}
@@ -190,7 +190,7 @@
 
 // group returns the group that a reference names, if it still is the one
 // that the author saw.
-func (s *State) group(ref GroupRef) (models.Group, error) {
+func (s *State) resolveGroup(ref GroupRef) (models.Group, error) {
 	g, ok := s.Groups[ref.ID]
 	if !ok {
 		return models.Group{}, fmt.Errorf("%w: group %s", ErrUnknown, ref.ID)
@@ -201,8 +201,8 @@
 	return g, nil
 }
 
-func (s *State) applyRetire(offset models.Offset, retire RetireGroup) ([]Event, error) {
-	g, err := s.group(retire.Group)
+func (s *State) applyRetireGroup(offset models.Offset, retire RetireGroup) ([]Event, error) {
+	g, err := s.resolveGroup(retire.Group)
 	if err != nil {
 		return nil, err
 	}
@@ -214,8 +214,8 @@
 	return []Event{GroupRetired{Group: g, Reason: retire.Reason}}, nil
 }
 
-func (s *State) applyEnd(end EndGroup) ([]Event, error) {
-	g, err := s.group(end.Group)
+func (s *State) applyEndGroup(end EndGroup) ([]Event, error) {
+	g, err := s.resolveGroup(end.Group)
 	if err != nil {
 		return nil, err
 	}
@@ -223,21 +223,21 @@
 	return []Event{GroupEnded{Group: g, Reason: end.Reason}}, nil
 }
 
-func (s *State) applyJoin(offset models.Offset, join JoinDaemon) ([]Event, error) {
+func (s *State) applyJoinDaemon(offset models.Offset, join JoinDaemon) ([]Event, error) {
 	d := join.Daemon
 	if err := models.CheckName(d.ID); err != nil {
 		return nil, fmt.Errorf("%w: daemon: %w", ErrInvalid, err)
 	}
-	if present := s.Daemons[d.ID]; present.Incarnation != join.Was {
+	if current := s.Daemons[d.ID]; current.Incarnation != join.Was {
 		return nil, fmt.Errorf("%w: daemon %s is at incarnation %d, the author saw %d",
-			ErrStale, d.ID, present.Incarnation, join.Was)
+			ErrStale, d.ID, current.Incarnation, join.Was)
 	}
 	d.Joined = offset
 	s.Daemons[d.ID] = d
 	return []Event{DaemonJoined{Daemon: d}}, nil
 }
 
-func (s *State) applyLeave(leave LeaveDaemon) ([]Event, error) {
+func (s *State) applyLeaveDaemon(leave LeaveDaemon) ([]Event, error) {
 	d, ok := s.Daemons[leave.ID]
 	if !ok {
 		return nil, fmt.Errorf("%w: daemon %s", ErrUnknown, leave.ID)
--- a/state/change.go
+++ b/state/change.go
@@ -9,8 +9,8 @@
 
 // applyChange applies all operations of a change or none, and notes either
 // in the audit trail.
-func (s *State) applyChange(offset models.Offset, rec Record, change ChangeConfig) ([]Event, error) {
-	next := s.config()
+func (s *State) applyChangeConfig(offset models.Offset, rec Record, change ChangeConfig) ([]Event, error) {
+	next := s.draftConfig()
 	err := next.applyOps(offset, change.Ops)
 	entry := models.AuditEntry{
 		Offset: offset, At: rec.At, Operator: change.Operator, Daemon: rec.Author,
@@ -19,7 +19,7 @@
 	if err != nil {
 		entry.Refused = err.Error()
 	}
-	s.addAudit(entry)
+	s.appendAudit(entry)
 	if err != nil {
 		return nil, err
 	}
@@ -27,7 +27,7 @@
 	return []Event{ConfigChanged{Operator: change.Operator}}, nil
 }
 
-func (s *State) setConfig(offset models.Offset, c *config) {
+func (s *State) setConfig(offset models.Offset, c *draftConfig) {
 	s.Models, s.Workspaces, s.Services = c.models, c.workspaces, c.services
 	s.Operators, s.Policy, s.Drained = c.operators, c.policy, c.drained
 	s.ConfigOffset = offset
@@ -36,7 +36,7 @@
 // Preview returns the state as the operations would leave it if they came
 // next, or the reason for which they would be refused.
 func (s *State) Preview(ops []Op) (*State, error) {
-	c := s.config()
+	c := s.draftConfig()
 	if err := c.applyOps(s.Applied+1, ops); err != nil {
 		return nil, err
 	}
@@ -45,15 +45,15 @@
 	return next, nil
 }
 
-func (s *State) addAudit(entry models.AuditEntry) {
+func (s *State) appendAudit(entry models.AuditEntry) {
 	s.Audit = append(s.Audit, entry)
-	if len(s.Audit) > KeptAudit {
+	if len(s.Audit) > MaxAuditEntries {
 		s.Audit = s.Audit[1:]
 	}
 }
 
 // config is a scratch copy of what operators declare.
-type config struct {
+type draftConfig struct {
 	models     map[models.ModelName]models.Model
 	workspaces map[models.WorkspaceName]models.Workspace
 	services   map[models.ServiceName]models.Service
@@ -62,22 +62,22 @@
 	drained    map[models.InstanceID]models.Drain
 	// touched tells whether this change has changed an entity already; a
 	// second change to it is not checked against the author's revision.
-	touched map[string]bool
+	changed map[string]bool
 }
 
-func (s *State) config() *config {
-	return &config{
+func (s *State) draftConfig() *draftConfig {
+	return &draftConfig{
 		models:     maps.Clone(s.Models),
 		workspaces: maps.Clone(s.Workspaces),
 		services:   maps.Clone(s.Services),
 		operators:  maps.Clone(s.Operators),
 		policy:     s.Policy,
 		drained:    maps.Clone(s.Drained),
-		touched:    map[string]bool{},
+		changed:    map[string]bool{},
 	}
 }
 
-func (c *config) applyOps(offset models.Offset, ops []Op) error {
+func (c *draftConfig) applyOps(offset models.Offset, ops []Op) error {
 	if len(ops) == 0 {
 		return fmt.Errorf("%w: the change is empty", ErrInvalid)
 	}
@@ -89,7 +89,7 @@
 	return c.checkReferences()
 }
 
-func (c *config) applyOp(offset models.Offset, op Op) error {
+func (c *draftConfig) applyOp(offset models.Offset, op Op) error {
 	switch op := op.(type) {
 	case PutModel:
 		m := op.Model
@@ -135,25 +135,25 @@
 	}
 }
 
-func put[K ~string, V any](c *config, what string, all map[K]V, name K, value V, base, present models.Revision, bad error) error {
-	if bad != nil {
-		return fmt.Errorf("%w: %s %s: %w", ErrInvalid, what, name, bad)
+func put[K ~string, V any](c *draftConfig, entityKind string, entities map[K]V, name K, value V, base, current models.Revision, invalid error) error {
+	if invalid != nil {
+		return fmt.Errorf("%w: %s %s: %w", ErrInvalid, entityKind, name, invalid)
 	}
-	if err := c.checkBase(what+" "+string(name), base, present); err != nil {
+	if err := c.checkBase(entityKind+" "+string(name), base, current); err != nil {
 		return err
 	}
-	all[name] = value
+	entities[name] = value
 	return nil
 }
 
-func drop[K ~string, V any](c *config, what string, all map[K]V, name K, base, present models.Revision) error {
-	if _, ok := all[name]; !ok {
-		return fmt.Errorf("%w: %s %s", ErrUnknown, what, name)
+func drop[K ~string, V any](c *draftConfig, entityKind string, entities map[K]V, name K, base, current models.Revision) error {
+	if _, ok := entities[name]; !ok {
+		return fmt.Errorf("%w: %s %s", ErrUnknown, entityKind, name)
 	}
-	if err := c.checkBase(what+" "+string(name), base, present); err != nil {
+	if err := c.checkBase(entityKind+" "+string(name), base, current); err != nil {
 		return err
 	}
-	delete(all, name)
+	delete(entities, name)
 	return nil
 }
 
@@ -173,20 +173,20 @@
 // Unwrap makes a conflict an ErrStale.
 func (c *Conflict) Unwrap() error { return ErrStale }
 
-func (c *config) checkBase(entity string, base, present models.Revision) error {
-	if c.touched[entity] {
+func (c *draftConfig) checkBase(entity string, base, current models.Revision) error {
+	if c.changed[entity] {
 		return nil
 	}
-	if base != present {
-		return &Conflict{Entity: entity, Present: present, Base: base}
+	if base != current {
+		return &Conflict{Entity: entity, Present: current, Base: base}
 	}
-	c.touched[entity] = true
+	c.changed[entity] = true
 	return nil
 }
 
 // checkReferences refuses a configuration in which a workspace may use a
 // model or service that is not declared.
-func (c *config) checkReferences() error {
+func (c *draftConfig) checkReferences() error {
 	for _, w := range sorted(c.workspaces) {
 		for _, r := range w.Models {
 			if _, ok := c.models[r.Model]; !ok {
--- a/state/checkpoint.go
+++ b/state/checkpoint.go
@@ -9,18 +9,18 @@
 
 // CheckpointPartLen is how many bytes of a state one part carries at most.
 // It keeps a part well below MaxRecordLen.
-const CheckpointPartLen = 256 << 10
+const MaxCheckpointPartLen = 256 << 10
 
 // SplitCheckpoint makes the records that carry a marshalled state. newID
 // gives each a fresh id.
 func SplitCheckpoint(at models.Offset, data []byte, author models.DaemonID, now time.Time, newID func() models.RecordID) []Record {
-	parts := max(1, (len(data)+CheckpointPartLen-1)/CheckpointPartLen)
+	parts := max(1, (len(data)+MaxCheckpointPartLen-1)/MaxCheckpointPartLen)
 	out := make([]Record, 0, parts)
 	for part := range parts {
-		piece := data[part*CheckpointPartLen : min(len(data), (part+1)*CheckpointPartLen)]
+		chunk := data[part*MaxCheckpointPartLen : min(len(data), (part+1)*MaxCheckpointPartLen)]
 		out = append(out, Record{
 			ID: newID(), Author: author, At: now,
-			Body: CheckpointPart{At: at, Part: part, Parts: parts, Data: piece},
+			Body: CheckpointPart{At: at, Part: part, Parts: parts, Data: chunk},
 		})
 	}
 	return out
@@ -54,8 +54,8 @@
 		parts[key][p.Part] = p.Data
 	}
 	var newest checkpointKey
-	for key, got := range parts {
-		if len(got) == key.parts && key.at > newest.at {
+	for key, received := range parts {
+		if len(received) == key.parts && key.at > newest.at {
 			newest = key
 		}
 	}
--- a/state/claim.go
+++ b/state/claim.go
@@ -32,30 +32,30 @@
 
 // KeptClaims is for how long a claim is remembered, counted by the times in
 // the claims themselves, so that all daemons forget it at the same record.
-const KeptClaims = 15 * time.Minute
+const ClaimRetention = 15 * time.Minute
 
-func (s *State) applyClaims(body ClaimKeys) []Event {
+func (s *State) applyClaimKeys(body ClaimKeys) []Event {
 	event := KeysClaimed{}
 	for _, c := range body.Claims {
 		c.At = c.At.UTC()
-		if c.At.After(s.newestClaim) {
-			s.newestClaim = c.At
+		if c.At.After(s.latestClaimTime) {
+			s.latestClaimTime = c.At
 		}
 		if _, held := s.Claims[c.Key]; !held {
 			s.Claims[c.Key] = c
-			s.claimOrder = append(s.claimOrder, c.Key)
+			s.claimKeys = append(s.claimKeys, c.Key)
 		}
 		event.Holders = append(event.Holders, s.Claims[c.Key].Request)
 	}
-	s.forgetClaims()
+	s.expireClaims()
 	return []Event{event}
 }
 
 // heldClaims lists the claims in the order in which they will be forgotten.
-func (s *State) heldClaims() []Claim {
+func (s *State) orderedClaims() []Claim {
 	out := make([]Claim, 0, len(s.Claims))
 	listed := make(map[string]bool, len(s.Claims))
-	for _, key := range s.claimOrder {
+	for _, key := range s.claimKeys {
 		if c, held := s.Claims[key]; held && !listed[key] {
 			listed[key] = true
 			out = append(out, c)
@@ -72,18 +72,18 @@
 
 // forgetClaims drops the oldest claims. They stand in the order in which they
 // were folded, which is that of their times but for the clocks' differences.
-func (s *State) forgetClaims() {
-	for len(s.claimOrder) > 0 {
-		oldest, held := s.Claims[s.claimOrder[0]]
-		if held && s.newestClaim.Sub(oldest.At) <= KeptClaims {
+func (s *State) expireClaims() {
+	for len(s.claimKeys) > 0 {
+		oldest, held := s.Claims[s.claimKeys[0]]
+		if held && s.latestClaimTime.Sub(oldest.At) <= ClaimRetention {
 			return
 		}
-		delete(s.Claims, s.claimOrder[0])
-		s.claimOrder = s.claimOrder[1:]
+		delete(s.Claims, s.claimKeys[0])
+		s.claimKeys = s.claimKeys[1:]
 	}
 }
 
-func (s *State) applyReleases(body ReleaseKeys) {
+func (s *State) applyReleaseKeys(body ReleaseKeys) {
 	for _, c := range body.Claims {
 		if s.Claims[c.Key].Request == c.Request {
 			delete(s.Claims, c.Key)
--- a/state/property_test.go
+++ b/state/property_test.go
@@ -27,11 +27,11 @@
 func genOp(t *rapid.T, s *state.State) state.Op {
 	m := genModel(t)
 	w := models.Workspace{Name: "lab", Share: 1}
-	base := func(present models.Revision) models.Revision {
+	base := func(current models.Revision) models.Revision {
 		if rapid.IntRange(0, 3).Draw(t, "stale") == 0 {
 			return models.Revision(rapid.IntRange(0, 20).Draw(t, "base"))
 		}
-		return present
+		return current
 	}
 	id := models.InstanceID(fmt.Sprintf("i%d", rapid.IntRange(0, 5).Draw(t, "instance")))
 	switch rapid.IntRange(0, 6).Draw(t, "op") {
@@ -119,10 +119,10 @@
 	var log [][]byte
 	for n := range rapid.IntRange(1, 60).Draw(t, "records") {
 		var data []byte
-		switch kind := rapid.IntRange(0, 9).Draw(t, "kind"); {
-		case kind == 0 && len(log) > 0:
+		switch choice := rapid.IntRange(0, 9).Draw(t, "kind"); {
+		case choice == 0 && len(log) > 0:
 			data = log[rapid.IntRange(0, len(log)-1).Draw(t, "doubled")]
-		case kind == 1:
+		case choice == 1:
 			data = rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "garbage")
 		default:
 			rec := state.Record{
@@ -142,7 +142,7 @@
 	return log
 }
 
-func fold(t *rapid.T, s *state.State, log [][]byte) {
+func applyAll(t *rapid.T, s *state.State, log [][]byte) {
 	for n := int(s.Applied); n < len(log); n++ {
 		if _, err := s.Apply(models.Offset(n+1), log[n]); err != nil {
 			t.Fatal(err)
@@ -155,7 +155,7 @@
 	owner := map[models.InstanceID]models.GroupID{}
 	for id, g := range s.Groups {
 		for _, m := range g.Members {
-			if other, taken := owner[m.ID]; taken {
+			if other, owned := owner[m.ID]; owned {
 				t.Fatalf("instance %s belongs to %s and %s", m.ID, other, id)
 			}
 			owner[m.ID] = id
@@ -184,16 +184,16 @@
 
 // TestFoldFromAnyCheckpoint folds a log from its start and from a checkpoint
 // at any point; both give the same state.
-func TestFoldFromAnyCheckpoint(t *testing.T) {
+func TestReplayFromAnyCheckpoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := genLog(t)
-		whole := state.New()
-		fold(t, whole, log)
+		full := state.New()
+		applyAll(t, full, log)
 
-		part := state.New()
+		partial := state.New()
 		cut := rapid.IntRange(0, len(log)).Draw(t, "cut")
-		fold(t, part, log[:cut])
-		data, err := part.Marshal()
+		applyAll(t, partial, log[:cut])
+		data, err := partial.Marshal()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -201,8 +201,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fold(t, restored, log)
-		if digest(t, restored) != digest(t, whole) {
+		applyAll(t, restored, log)
+		if digest(t, restored) != digest(t, full) {
 			t.Fatal("the fold from a checkpoint differs")
 		}
 	})
@@ -210,7 +210,7 @@
 
 // TestRefusedChangesNothing compares everything but the trail of records
 // before and after a record that is refused.
-func TestRefusedChangesNothing(t *testing.T) {
+func TestRefusedRecordChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := state.New()
 		for n, data := range genLog(t) {
@@ -237,7 +237,7 @@
 
 func TestCheckpointParts(t *testing.T) {
 	c := qt.New(t)
-	data := make([]byte, 2*state.CheckpointPartLen+17)
+	data := make([]byte, 2*state.MaxCheckpointPartLen+17)
 	for i := range data {
 		data[i] = byte(i % 251)
 	}
@@ -252,22 +252,22 @@
 		}
 		return out
 	}
-	one := encode(state.SplitCheckpoint(10, data, "d1", time.Time{}, newID))
-	two := encode(state.SplitCheckpoint(12, data[1:], "d2", time.Time{}, newID))
-	c.Assert(one, qt.HasLen, 3)
+	first := encode(state.SplitCheckpoint(10, data, "d1", time.Time{}, newID))
+	second := encode(state.SplitCheckpoint(12, data[1:], "d2", time.Time{}, newID))
+	c.Assert(first, qt.HasLen, 3)
 
 	c.Run("two writers at once", func(c *qt.C) {
-		at, got := state.JoinCheckpoint([][]byte{one[0], two[0], one[1], two[2], two[1], one[2]})
+		at, got := state.JoinCheckpoint([][]byte{first[0], second[0], first[1], second[2], second[1], first[2]})
 		c.Assert(at, qt.Equals, models.Offset(12))
 		c.Assert(got, qt.DeepEquals, data[1:])
 	})
 	c.Run("the newest lacks a part", func(c *qt.C) {
-		at, got := state.JoinCheckpoint([][]byte{one[0], two[0], one[1], two[2], one[2], []byte("garbage")})
+		at, got := state.JoinCheckpoint([][]byte{first[0], second[0], first[1], second[2], first[2], []byte("garbage")})
 		c.Assert(at, qt.Equals, models.Offset(10))
 		c.Assert(got, qt.DeepEquals, data)
 	})
 	c.Run("none is whole", func(c *qt.C) {
-		at, got := state.JoinCheckpoint([][]byte{one[0], two[1]})
+		at, got := state.JoinCheckpoint([][]byte{first[0], second[1]})
 		c.Assert(at, qt.Equals, models.Offset(0))
 		c.Assert(got, qt.HasLen, 0)
 	})
--- a/state/state.go
+++ b/state/state.go
@@ -18,11 +18,11 @@
 // and the log takes some hundred appends a second, so a record's tries lie
 // within a few thousand offsets. A double that comes even later meets the
 // revision checks, which refuse it as stale.
-const RememberedIDs = 4096
+const MaxRecentIDs = 4096
 
 // KeptAudit is how many audit entries the state keeps: about a week at
 // 7,100 changes a day.
-const KeptAudit = 50000
+const MaxAuditEntries = 50000
 
 // State is everything that the daemons agree on. Values in its maps are
 // never changed in place, so a Clone may share them.
@@ -47,14 +47,14 @@
 
 	// claimOrder lists the keys of claims as they were folded, newestClaim
 	// is the latest time in any.
-	claimOrder  []string
-	newestClaim time.Time
+	claimKeys       []string
+	latestClaimTime time.Time
 
 	// owner is derived from Groups.
 	owner map[models.InstanceID]models.GroupID
 	// recent lists the last RememberedIDs ids, oldest first.
-	recent []models.RecordID
-	seen   map[models.RecordID]struct{}
+	recentIDs []models.RecordID
+	seenIDs   map[models.RecordID]struct{}
 }
 
 // New returns the state before the first record.
@@ -70,7 +70,7 @@
 		Daemons:    map[models.DaemonID]models.Daemon{},
 		Claims:     map[string]Claim{},
 		owner:      map[models.InstanceID]models.GroupID{},
-		seen:       map[models.RecordID]struct{}{},
+		seenIDs:    map[models.RecordID]struct{}{},
 	}
 }
 
@@ -94,48 +94,48 @@
 	c.Daemons = maps.Clone(s.Daemons)
 	c.owner = maps.Clone(s.owner)
 	c.Audit = slices.Clip(s.Audit)
-	c.recent = slices.Clip(s.recent)
-	c.seen = nil
-	c.Claims, c.claimOrder = nil, nil
+	c.recentIDs = slices.Clip(s.recentIDs)
+	c.seenIDs = nil
+	c.Claims, c.claimKeys = nil, nil
 	return &c
 }
 
 // snapshot is the canonical form of a state: the same state always gives
 // the same bytes.
 type snapshot struct {
-	Applied      models.Offset       `msgpack:"o"`
-	ConfigOffset models.Offset       `msgpack:"c"`
-	Models       []models.Model      `msgpack:"m"`
-	Workspaces   []models.Workspace  `msgpack:"w"`
-	Services     []models.Service    `msgpack:"s"`
-	Operators    []models.Operator   `msgpack:"op"`
-	Policy       models.Policy       `msgpack:"p"`
-	Drained      []models.Drain      `msgpack:"dr"`
-	Groups       []models.Group      `msgpack:"g"`
-	Daemons      []models.Daemon     `msgpack:"d"`
-	Audit        []models.AuditEntry `msgpack:"a"`
-	Recent       []models.RecordID   `msgpack:"r"`
-	Claims       []Claim             `msgpack:"k"`
-	NewestClaim  time.Time           `msgpack:"kt"`
+	Applied         models.Offset       `msgpack:"o"`
+	ConfigOffset    models.Offset       `msgpack:"c"`
+	Models          []models.Model      `msgpack:"m"`
+	Workspaces      []models.Workspace  `msgpack:"w"`
+	Services        []models.Service    `msgpack:"s"`
+	Operators       []models.Operator   `msgpack:"op"`
+	Policy          models.Policy       `msgpack:"p"`
+	Drained         []models.Drain      `msgpack:"dr"`
+	Groups          []models.Group      `msgpack:"g"`
+	Daemons         []models.Daemon     `msgpack:"d"`
+	Audit           []models.AuditEntry `msgpack:"a"`
+	RecentIDs       []models.RecordID   `msgpack:"r"`
+	Claims          []Claim             `msgpack:"k"`
+	LatestClaimTime time.Time           `msgpack:"kt"`
 }
 
 // Marshal writes the state in its canonical form.
 func (s *State) Marshal() ([]byte, error) {
 	data, err := pack.Marshal(snapshot{
-		Applied:      s.Applied,
-		ConfigOffset: s.ConfigOffset,
-		Models:       sorted(s.Models),
-		Workspaces:   sorted(s.Workspaces),
-		Services:     sorted(s.Services),
-		Operators:    sorted(s.Operators),
-		Policy:       s.Policy,
-		Drained:      sorted(s.Drained),
-		Groups:       sorted(s.Groups),
-		Daemons:      sorted(s.Daemons),
-		Audit:        s.Audit,
-		Recent:       s.recent,
-		Claims:       s.heldClaims(),
-		NewestClaim:  s.newestClaim,
+		Applied:         s.Applied,
+		ConfigOffset:    s.ConfigOffset,
+		Models:          sorted(s.Models),
+		Workspaces:      sorted(s.Workspaces),
+		Services:        sorted(s.Services),
+		Operators:       sorted(s.Operators),
+		Policy:          s.Policy,
+		Drained:         sorted(s.Drained),
+		Groups:          sorted(s.Groups),
+		Daemons:         sorted(s.Daemons),
+		Audit:           s.Audit,
+		RecentIDs:       s.recentIDs,
+		Claims:          s.orderedClaims(),
+		LatestClaimTime: s.latestClaimTime,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("encode state: %w", err)
@@ -176,14 +176,14 @@
 		entry.At = entry.At.UTC()
 		s.Audit = append(s.Audit, entry)
 	}
-	s.newestClaim = snap.NewestClaim.UTC()
+	s.latestClaimTime = snap.LatestClaimTime.UTC()
 	for _, c := range snap.Claims {
 		c.At = c.At.UTC()
 		s.Claims[c.Key] = c
-		s.claimOrder = append(s.claimOrder, c.Key)
+		s.claimKeys = append(s.claimKeys, c.Key)
 	}
-	for _, id := range snap.Recent {
-		s.remember(id)
+	for _, id := range snap.RecentIDs {
+		s.rememberID(id)
 	}
 	return s, nil
 }
@@ -213,13 +213,13 @@
 	delete(s.Groups, id)
 }
 
-func (s *State) remember(id models.RecordID) {
-	if len(s.recent) == RememberedIDs {
-		delete(s.seen, s.recent[0])
-		s.recent = s.recent[1:]
+func (s *State) rememberID(id models.RecordID) {
+	if len(s.recentIDs) == MaxRecentIDs {
+		delete(s.seenIDs, s.recentIDs[0])
+		s.recentIDs = s.recentIDs[1:]
 	}
-	s.recent = append(s.recent, id)
-	s.seen[id] = struct{}{}
+	s.recentIDs = append(s.recentIDs, id)
+	s.seenIDs[id] = struct{}{}
 }
 
 func sorted[K cmp.Ordered, V any](m map[K]V) []V {
