--- a/planner/assign.go
+++ b/planner/assign.go
@@ -7,7 +7,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Target tells how many groups of each model each fabric domain should hold.
+// Target is the desired number of groups of each model in each fabric domain.
 type Target map[models.Domain]map[models.ModelName]int
 
 func (t Target) add(d models.Domain, m models.ModelName, n int) {
@@ -20,7 +20,7 @@
 	t[d][m] += n
 }
 
-// total counts the groups of a model.
+// total returns the number of groups of a model in all domains.
 func (t Target) total(m models.ModelName) int {
 	total := 0
 	for _, counts := range t {
@@ -29,31 +29,29 @@
 	return total
 }
 
-// supply is what one fabric domain has to offer.
+// supply is the capacity of one fabric domain.
 type supply struct {
 	domain models.Domain
 	zone   models.Zone
-	// usable counts the instances that can take work, those in groups
-	// included.
+	// usable is the number of instances that can take work, including group members.
 	usable int
-	// whole counts the groups that have all of their members.
+	// healthy counts the healthy groups of each model.
 	healthy map[models.ModelName]int
-	// accelerators is what one instance of the domain has.
+	// accelerators is the number of accelerators of one instance of the domain.
 	accelerators int
 }
 
-// The weight of breaking up groups that serve, against accelerators that
-// would then not be stranded: a group that is broken up is down for about
-// regroupSeconds, and the gain is taken to last for repackSeconds.
+// Breaking up serving groups is weighed against the stranded accelerators that this
+// frees: a group that is broken up is down for about regroupDowntimeSeconds, and the gain is
+// assumed to last for repackBenefitSeconds.
 const (
 	regroupDowntimeSeconds = 60
 	repackBenefitSeconds   = 600
 )
 
-// assign decides how many groups of each model to have in each fabric
-// domain. It keeps the groups that are whole, and breaks some of them up
-// only where that leaves so many fewer accelerators stranded that the
-// operators' weights call for it.
+// assign computes how many groups of each model to have in each fabric domain. It keeps
+// the healthy groups, and breaks some of them up only if, by the operators' weights in
+// policy, the reduction in stranded accelerators outweighs the downtime.
 func assign(supplies []supply, wanted []models.Model, policy models.Policy) Target {
 	incremental := assignIncremental(supplies, wanted)
 	scratch := assignFromScratch(supplies, wanted)
@@ -65,8 +63,8 @@
 	return incremental
 }
 
-// assignKeeping keeps as many of the whole groups as are wanted and fills up
-// with what is left.
+// assignIncremental keeps as many healthy groups as are wanted and assigns the missing
+// groups to the remaining instances.
 func assignIncremental(supplies []supply, wanted []models.Model) Target {
 	kept := Target{}
 	left := slices.Clone(supplies)
@@ -90,15 +88,14 @@
 	return kept
 }
 
-// Bounds of the exact assignment. Beyond them, and where all groups have the
-// same size, domains are filled one after another.
+// Limits of the exact assignment. Larger inputs are assigned greedily.
 const (
 	maxExactStates  = 4096
 	maxExactDomains = 64
 )
 
-// assignFree assigns as if there were no groups yet, but prefers what is
-// there among assignments that use as many instances.
+// assignFromScratch assigns as if there were no groups. The exact assignment prefers, among
+// those that use the same number of instances, the one that keeps the most groups.
 func assignFromScratch(supplies []supply, wanted []models.Model) Target {
 	states := 1
 	for _, m := range wanted {
@@ -113,8 +110,8 @@
 	return assignExact(supplies, wanted, states)
 }
 
-// fill gives the largest groups their instances first. Domains that have an
-// instance left over anyway come first, so that groups have a spare near.
+// assignGreedy places the models with the largest groups first. Domains in which more
+// instances would be left over come first, so that groups have a spare in their domain.
 func assignGreedy(supplies []supply, wanted []models.Model) Target {
 	target := Target{}
 	left := slices.Clone(supplies)
@@ -143,17 +140,16 @@
 	return target
 }
 
-// The parts of an assignment's score, in order of weight: instances used,
-// groups kept, domains with groups and a spare.
+// Weights in the score of an assignment: per instance used, per group kept, and per domain
+// that has groups and a spare instance. The weights make the terms rank in this order.
 const (
 	scorePerInstance   = 10000
 	scorePerKeptGroup  = 10
 	scoreSpareInstance = 1
 )
 
-// assignExactly finds the assignment with the highest score by dynamic
-// programming over the domains; a state is how many groups of each model
-// have been given out.
+// assignExact finds the assignment with the highest score by dynamic programming over the
+// domains. A state is the number of groups of each model assigned so far.
 func assignExact(supplies []supply, wanted []models.Model, states int) Target {
 	const unreached = -1
 	best := make([]int, states)
@@ -161,7 +157,7 @@
 		best[i] = unreached
 	}
 	best[0] = 0
-	// choices[d][state] is what domain d holds on the best way to state.
+	// choices[d][state] is the combination for domain d on the best path to state.
 	choices := make([][][]int, len(supplies))
 	for d, s := range supplies {
 		next := slices.Clone(best)
@@ -205,7 +201,8 @@
 	return target
 }
 
-// combinations lists the ways, but for the empty one, to fill one domain.
+// combinations lists the possible numbers of groups of each model in one domain, except
+// for the empty combination.
 func combinations(s supply, wanted []models.Model) [][]int {
 	var out [][]int
 	current := make([]int, len(wanted))
@@ -247,8 +244,8 @@
 	return score
 }
 
-// stateIndex numbers the states: the counts are digits, each with its
-// model's replicas as the highest.
+// stateIndex returns the index of a state: a mixed-radix number with one digit per model,
+// from 0 to the model's number of replicas.
 func stateIndex(wanted []models.Model, counts []int) int {
 	index, weight := 0, 1
 	for i, n := range counts {
@@ -278,7 +275,7 @@
 	return used
 }
 
-// brokenUp counts the whole groups that a target has no place for.
+// disruptedGroups counts the healthy groups that the target doesn't keep.
 func disruptedGroups(t Target, supplies []supply) int {
 	disrupted := 0
 	for _, s := range supplies {
--- a/planner/assign_test.go
+++ b/planner/assign_test.go
@@ -9,7 +9,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// bestUsed tries every way to fill the domains and returns the most
+// maxUsedBruteForce tries every way to fill the domains and returns the largest number of
 // instances that can be in use.
 func maxUsedBruteForce(domains []int, wanted []models.Model) int {
 	if len(domains) == 0 {
@@ -28,8 +28,8 @@
 	return best
 }
 
-// TestAssignEverySmallSite compares the assignment with brute force for all
-// sites of up to three domains, eight instances and two models.
+// TestAssignMatchesBruteForce compares the assignment with brute force for all inputs of up
+// to three domains, eight instances and two models.
 func TestAssignMatchesBruteForce(t *testing.T) {
 	c := qt.New(t)
 	for a := range 9 {
@@ -60,11 +60,11 @@
 	}
 }
 
-// TestWeightsDecideRepack breaks up a group that serves only if the weights
-// of the two measures call for it: one setting, two behaviours.
+// TestPolicyWeightsDecideRepacking checks that a serving group is broken up only if the
+// policy's weights of downtime and stranded accelerators favour it.
 func TestPolicyWeightsDecideRepacking(t *testing.T) {
 	wanted := []models.Model{{Name: "big", Members: 3, Replicas: 1}, {Name: "small", Members: 2, Replicas: 1}}
-	// The small group stands in the only domain that could hold the big one.
+	// The small group is in the only domain that is large enough for the big one.
 	supplies := []supply{
 		{domain: "a", usable: 3, healthy: map[models.ModelName]int{"small": 1}, accelerators: 1},
 		{domain: "b", usable: 2, accelerators: 1},
--- a/planner/evidence.go
+++ b/planner/evidence.go
@@ -1,7 +1,6 @@
-// Package planner decides about replica groups: whether a group may serve,
-// and which groups to form, repair and end. Its functions are pure: they see
-// the agreed state, evidence about instances and a time, and return what
-// should be done and why.
+// Package planner manages replica groups: it decides whether a group may serve, and which
+// groups to form, repair and end. Its functions are pure: from the replicated state, the
+// evidence about instances and the current time they compute what to do and why.
 package planner
 
 import (
@@ -12,47 +11,48 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// Evidence is what a daemon knows of one instance beside the agreed state.
+// Evidence is what a daemon has observed of one instance, in addition to the replicated
+// state.
 type Evidence struct {
-	// Seen is the latest time at which the instance is known to have been
-	// as Status says; zero if it never was seen.
+	// Seen is the latest time at which the instance is known to have had Status; zero if
+	// it has never been seen.
 	Seen time.Time
-	// Watched is when the daemon began to ask, or began anew after it was
-	// paused itself: silence before that proves nothing.
+	// Watched is when the daemon started probing the instance, or restarted after the
+	// daemon's own process was paused. Missing replies before that time prove nothing.
 	Watched time.Time
 	Status  types.EngineStatus
-	// Direct is when the instance last answered this daemon itself; Seen
-	// may come from another daemon.
+	// Direct is when the instance last answered a probe of this daemon; Seen may have
+	// been reported by another daemon.
 	Direct time.Time
-	// SilentSince is the first of this daemon's questions since Direct that
-	// went unanswered, zero if there is none.
+	// SilentSince is the time of this daemon's first unanswered probe since Direct; zero
+	// if there is none.
 	SilentSince time.Time
-	// Absences counts how often the instance was away and came back, the
-	// old ones forgotten; Returned is when it last did.
+	// Absences counts how often the instance became unreachable and returned; old
+	// absences expire. Returned is when it last returned.
 	Absences int
 	Returned time.Time
 }
 
-// Silent reports whether nobody has seen the instance since it stopped
-// answering this daemon.
+// Silent reports whether the instance has stopped answering this daemon's probes and no
+// daemon has seen it since.
 func (e Evidence) Silent() bool {
 	return !e.SilentSince.IsZero() && !e.Seen.After(e.SilentSince)
 }
 
-// present reports whether the instance is known to answer.
+// alive reports whether the instance responds according to evidence not older than bound.
 func (e Evidence) alive(now time.Time, bound time.Duration) bool {
 	return !e.Seen.IsZero() && !e.Silent() && now.Sub(e.Seen) <= bound
 }
 
 const (
-	// steadyFor is how long an instance has to be back before it counts,
-	// doubled for each absence up to steadyDoublings times.
+	// flapHoldDown is the base of the time for which a flapping instance must be back
+	// before it gets work. It doubles with each absence, at most maxFlapDoublings times.
 	flapHoldDown     = time.Second
 	maxFlapDoublings = 5
 )
 
-// steady reports whether an instance that flaps has been back for long
-// enough to be given work.
+// stable reports whether the instance may be given work: it doesn't flap, or its hold-down
+// time since the last return has passed.
 func (e Evidence) stable(now time.Time) bool {
 	if e.Absences < 2 {
 		return true
@@ -61,12 +61,12 @@
 	return now.Sub(e.Returned) >= holdDown
 }
 
-// holds reports whether the instance has the model's weights.
+// hasWeights reports whether the instance has loaded this version of the model.
 func (e Evidence) hasWeights(m models.Model) bool {
 	return e.Status.Model == m.Name && e.Status.Version == m.Version
 }
 
-// Away is how long the instance is known not to have answered.
+// Away returns how long the instance is known to have been unreachable.
 func (e Evidence) Away(now time.Time) time.Duration {
 	last := e.Seen
 	if e.Watched.After(last) {
@@ -75,24 +75,24 @@
 	return now.Sub(last)
 }
 
-// Gate tells whether a group may take requests.
+// Gate holds until when a group may take requests, and why it may not.
 type Gate struct {
-	// OpenUntil is the time at which the gate closes unless newer evidence
-	// comes; it lies in the past for a group that may not serve.
+	// OpenUntil is the time at which the gate closes unless newer evidence arrives. It is
+	// the zero time for a group that may not serve.
 	OpenUntil time.Time
-	// Why tells an operator what keeps the gate closed; empty when every
-	// member is in place.
+	// Why is what keeps the gate closed, for operators; empty if every member has joined
+	// the group and loaded its weights.
 	Why string
-	// Load is what the first member reported.
+	// Load is the load that the first member reported.
 	Load types.Load
 }
 
 // Open reports whether the group may take a request now.
 func (g Gate) Open(now time.Time) bool { return now.Before(g.OpenUntil) }
 
-// GateOf decides the gate of a group: it is open until the evidence about
-// any of the members is older than the bound. A silent, wrong or unloaded
-// member closes it at once.
+// GateOf computes the gate of a group. It is open until the evidence about any of the
+// members is older than bound. A member that doesn't answer, hasn't joined the group or
+// hasn't loaded the right weights closes it at once.
 func GateOf(g models.Group, evidence map[models.InstanceID]Evidence, bound time.Duration) Gate {
 	gate := Gate{Load: evidence[g.Members[0].ID].Status.Load}
 	if g.Retiring != 0 {
@@ -106,8 +106,8 @@
 			gate.Why = fmt.Sprintf("member %s has not been seen", m.ID)
 			return gate
 		}
-		// A first member that waits for the others is not what keeps the
-		// group from serving, if another member is at fault.
+		// A joining member only waits for the others, so a fault of another member takes
+		// precedence in the reason.
 		joining := e.Status.Phase == types.PhaseJoining
 		if fault := memberFault(g, m, e); fault != "" && (gate.Why == "" || !joining) {
 			gate.Why = fault
--- a/planner/evidence_test.go
+++ b/planner/evidence_test.go
@@ -33,16 +33,16 @@
 		why      string
 		retiring models.Offset
 	}{
-		{"all there", loaded, loaded, true, "", 0},
+		{"all members loaded", loaded, loaded, true, "", 0},
 		{"never seen", loaded, planner.Evidence{}, false, "member b has not been seen", 0},
 		{"silent", loaded, silent, false, "member b does not answer", 0},
-		{"silent, but seen by another since", loaded, with(func(e *planner.Evidence) { e.SilentSince = now.Add(-time.Second) }), true, "", 0},
-		{"too old", loaded, with(func(e *planner.Evidence) { e.Seen = now.Add(-bound) }), false, "", 0},
+		{"silent, but seen by another daemon since", loaded, with(func(e *planner.Evidence) { e.SilentSince = now.Add(-time.Second) }), true, "", 0},
+		{"evidence too old", loaded, with(func(e *planner.Evidence) { e.Seen = now.Add(-bound) }), false, "", 0},
 		{"at an old fence", loaded, with(func(e *planner.Evidence) { e.Status.Fence = 6 }), false, "member b has not joined the group", 0},
 		{"loading", loaded, with(func(e *planner.Evidence) { e.Status.Phase = types.PhaseLoading }), false, "member b is loading", 0},
 		{"wrong weights", loaded, with(func(e *planner.Evidence) { e.Status.Version = "v2" }), false, "member b holds m v2", 0},
-		{"the first waits for nobody yet", joining, loaded, false, "member a is joining", 0},
-		{"the first waits for one that is away", joining, silent, false, "member b does not answer", 0},
+		{"first member joining", joining, loaded, false, "member a is joining", 0},
+		{"first member joining, other member silent", joining, silent, false, "member b does not answer", 0},
 		{"retiring", loaded, loaded, false, "it is being retired", 9},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/planner/form.go
+++ b/planner/form.go
@@ -11,9 +11,9 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// fillDomain forms the groups that the target wants beyond those that are
-// whole: out of what is left of a broken group, spares, and the members of
-// other broken groups of the domain.
+// fillDomain forms the groups that the target wants in addition to the healthy groups of the
+// domain. Their members are the remaining members of a degraded group of the model, spare
+// instances, and the remaining members of other degraded groups of the domain.
 func (p *round) fillDomain(d models.Domain, target map[models.ModelName]int) {
 	healthy := map[models.ModelName]int{}
 	for _, g := range p.groups {
@@ -35,8 +35,8 @@
 	}
 }
 
-// broken lists the broken groups of a domain that are left, those of the
-// model first, those with the most members left first.
+// degradedGroups lists the degraded groups of a domain that this round hasn't ended. Groups
+// of the model come first, then groups with more remaining members.
 func (p *round) degradedGroups(d models.Domain, m models.ModelName) []models.Group {
 	var out []models.Group
 	for _, g := range p.groups {
@@ -53,7 +53,7 @@
 	return out
 }
 
-// remaining lists the members of a broken group that are there.
+// remainingMembers lists the members of a group that are alive and not leaving.
 func (p *round) remainingMembers(g models.Group) []models.Member {
 	var out []models.Member
 	for _, m := range g.Members {
@@ -112,7 +112,8 @@
 	return true
 }
 
-// newName names a group by the state that it was planned on.
+// newGroupID derives the ID of a new group from the offset of the state that it is planned
+// on, so that all daemons choose the same ID.
 func (p *round) newGroupID(m models.ModelName) models.GroupID {
 	const maxModelNameLen = 40
 	if len(m) > maxModelNameLen {
@@ -126,9 +127,9 @@
 	return models.Member{ID: i.ID, Addr: i.Addr, Accelerators: i.Accelerators, ChecksFences: i.ChecksFences}
 }
 
-// swapBack puts an instance that holds the weights in the place of a member
-// that still loads them. So a member that comes back soon after it was
-// replaced makes the group whole at once, and replacing early costs nothing.
+// replaceLoadingMembers replaces a member that is still loading weights by a free instance
+// that has already loaded them. If a member returns soon after it was replaced, its group is
+// complete again at once, so replacing members early costs nothing.
 func (p *round) replaceLoadingMembers() {
 	for _, g := range p.groups {
 		m, declared := p.State.Models[g.Model]
--- a/planner/orders.go
+++ b/planner/orders.go
@@ -10,16 +10,16 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// OrderKey is the key of the order of turn for orders to an instance: its
-// fabric domain, so that one daemon gives a group all of its orders.
+// OrderKey returns the rendezvous hashing key that selects the daemon that gives orders to
+// the instances of a fabric domain. The key is per domain so that one daemon gives all
+// orders to a group.
 func OrderKey(d models.Domain) string { return "orders/" + string(d) }
 
-// Orders lists the orders that make the instances do what the state says,
-// and that let spares load weights ahead of need. Only instances whose own
-// word is at hand get one: an order is never given on a guess. Orders that
-// make an instance load weights are given to the group first that lacks the
-// fewest, and no more at once than the rules allow: a group with seven of
-// eight loaded serves nobody.
+// Orders returns, by domain, the orders that bring the instances in line with the state and
+// that make spares preload weights. Only instances with fresh evidence get an order. At most
+// Rules.MaxLoads instances load weights concurrently, and the groups with the fewest
+// members that lack weights come first: a group with seven of eight members loaded can't
+// serve yet.
 func Orders(in Input) map[models.Domain][]types.Dispatch {
 	o := &orderRound{Input: in, dispatches: map[models.Domain][]types.Dispatch{}, loadingDomains: map[models.Domain]bool{}}
 	for id, e := range in.Evidence {
@@ -42,19 +42,20 @@
 	return o.dispatches
 }
 
-// ordering is one round of orders.
+// orderRound is the working state of one call of Orders.
 type orderRound struct {
 	Input
 	dispatches map[models.Domain][]types.Dispatch
 	loading    int
-	// busy are the domains in which a group's member loads or is told to.
+	// loadingDomains holds the domains in which a group member is loading weights or is
+	// ordered to.
 	loadingDomains map[models.Domain]bool
-	// preparing counts the spares of each domain that hold weights or are
-	// told to load them.
+	// prepared counts the spares of each domain that have preloaded weights, are loading
+	// them, or are ordered to.
 	prepared map[models.Domain]int
 }
 
-// lacking counts the members that have no weights yet.
+// membersWithoutWeights counts the members that don't have the group's weights yet.
 func membersWithoutWeights(in Input, g models.Group) int {
 	n := 0
 	for _, m := range g.Members {
@@ -95,10 +96,9 @@
 	}
 }
 
-// orderSpare tells an instance of no group to leave the group that it still
-// believes in, or to load weights ahead of need. The fence is the last
-// offset applied: larger than that of any group that has ended, smaller than
-// that of any group formed later.
+// orderSpare orders an instance that belongs to no group to leave the group that it still
+// reports, or to preload weights. The fence is the last applied offset: it is larger than
+// that of any group that has ended, and smaller than that of any group formed later.
 func (o *orderRound) orderSpare(i models.Instance) {
 	e, known := o.Evidence[i.ID]
 	_, owned := o.State.Owner(i.ID)
@@ -116,11 +116,11 @@
 	o.dispatches[i.Domain] = append(o.dispatches[i.Domain], types.Dispatch{Instance: i.ID, Addr: i.Addr, Decided: o.Now, Order: order})
 }
 
-// sparesPrepared is how many spares of a domain hold weights ahead of need.
+// maxPreparedSparesPerDomain is how many spares of a domain preload weights.
 const maxPreparedSparesPerDomain = 2
 
-// prepare tells which model's weights a spare should load: those that most
-// groups of its domain serve. It waits while a group of the domain loads.
+// modelToPrepare returns the model whose weights a spare should preload: the model with the
+// most groups in its domain. It returns false while a group member of the domain is loading.
 func (o *orderRound) modelToPrepare(i models.Instance, e Evidence) (models.Model, bool) {
 	_, drained := o.State.Drained[i.ID]
 	if drained || i.Leaving || e.Status.Leaving || !e.stable(o.Now) {
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -12,47 +12,48 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// Rules are the bounds that the planner works with.
+// Rules holds the limits and timeouts that the planner works with.
 type Rules struct {
-	// ReplaceAfter is how long a group waits for a missing member. Waiting
-	// is short, because a member that comes back while its replacement
-	// still loads is taken back: see swapBack.
+	// ReplaceAfter is how long a member may be unreachable before it is replaced.
+	// It can be short, because a member that returns while its replacement is still
+	// loading weights rejoins the group: see replaceLoadingMembers.
 	ReplaceAfter time.Duration
-	// Bound is the age beyond which evidence counts for nothing.
+	// Bound is the age at which evidence about an instance becomes stale.
 	Bound time.Duration
-	// MaxUnsettled is how many groups may be on their way to serving, in
-	// all, and MaxUnsettledDomain in one fabric domain.
+	// MaxStarting is how many groups may be starting (not all members loaded) in
+	// total, and MaxStartingPerDomain in one fabric domain.
 	MaxStarting          int
 	MaxStartingPerDomain int
-	// MaxLoads is how many instances may load weights at once.
+	// MaxLoads is how many instances may load weights concurrently.
 	MaxLoads int
 }
 
-// DefaultRules returns the rules for a wait and a bound.
+// DefaultRules returns the default limits with the given ReplaceAfter and Bound.
 func DefaultRules(replaceAfter, bound time.Duration) Rules {
 	return Rules{ReplaceAfter: replaceAfter, Bound: bound, MaxStarting: 64, MaxStartingPerDomain: 8, MaxLoads: 128}
 }
 
-// Input is what one round of planning sees.
+// Input is the input of one planning round.
 type Input struct {
 	State *state.State
-	// Instances is the platform's list.
+	// Instances is the platform's instance list.
 	Instances map[models.InstanceID]models.Instance
 	Evidence  map[models.InstanceID]Evidence
 	Now       time.Time
 	Rules     Rules
 }
 
-// Proposal is a record that should be appended.
+// Proposal is a record that the planner wants appended to the log.
 type Proposal struct {
 	Body state.Body
-	// Key is what the order of turn is taken from: the fabric domain.
+	// Key is the rendezvous hashing key that selects the daemon that appends the
+	// record: the fabric domain.
 	Key string
 }
 
-// Plan returns what should change. The same input gives the same proposals,
-// names of new groups included, so that two daemons that plan on the same
-// state do not form two groups.
+// Plan returns the changes to make to the replica groups. It is deterministic, including
+// the IDs of new groups, so that two daemons that plan on the same state don't form two
+// groups.
 func Plan(in Input) []Proposal {
 	p := newRound(in)
 	p.retireUnwanted()
@@ -65,37 +66,37 @@
 	return p.proposals
 }
 
-// health is how a group is doing.
+// groupHealth is the health of a replica group.
 type groupHealth uint8
 
 const (
-	// healthWhole: every member is there, or has been away for less time
-	// than a group waits.
+	// groupHealthy: every member is reachable, or has been unreachable for no longer than
+	// Rules.ReplaceAfter.
 	groupHealthy groupHealth = iota
-	// healthBroken: a member is missing.
+	// groupDegraded: a member has been unreachable for longer than Rules.ReplaceAfter.
 	groupDegraded
-	// healthUnwanted: the configuration or a leaving member ends the group.
+	// groupUnwanted: the configuration no longer wants the group, or a member is leaving.
 	groupUnwanted
 )
 
-// round is one round of planning.
+// round is the working state of one planning round.
 type round struct {
 	Input
 	domains []models.Domain
 	zones   map[models.Domain]models.Zone
-	// engines lists each domain's engines by id.
+	// engines lists the engines of each domain, sorted by ID.
 	engines map[models.Domain][]models.Instance
 	groups  []models.Group
 	health  map[models.GroupID]groupHealth
-	// reasons tells why a group is broken or unwanted.
+	// reasons holds why each degraded or unwanted group is so.
 	reasons       map[models.GroupID]string
 	starting      map[models.Domain]int
 	startingTotal int
-	// committed counts the groups of a model that are whole, formed in this
-	// round, or broken for so short a time that none is formed elsewhere.
+	// provisioned counts the groups of each model that are healthy, are formed in this
+	// round, or are degraded but still within the relocation grace period.
 	provisioned map[models.ModelName]int
-	// taken are the instances, and ended the groups, that a proposal of
-	// this round uses up.
+	// reserved holds the instances that a proposal of this round uses, ended the groups
+	// that a proposal of this round ends.
 	reserved  map[models.InstanceID]bool
 	ended     map[models.GroupID]bool
 	formed    int
@@ -135,7 +136,7 @@
 	p.proposals = append(p.proposals, Proposal{Body: body, Key: string(d)})
 }
 
-// present reports whether the instance answers.
+// alive reports whether there is fresh evidence that the instance responds.
 func (p *round) alive(id models.InstanceID) bool {
 	return p.Evidence[id].alive(p.Now, p.Rules.Bound)
 }
@@ -145,8 +146,8 @@
 	return drained || p.Instances[id].Leaving || p.Evidence[id].Status.Leaving
 }
 
-// missing reports whether the instance has been away for longer than a group
-// waits.
+// missing reports whether the instance has been unreachable for longer than
+// Rules.ReplaceAfter.
 func (p *round) missing(id models.InstanceID) bool {
 	e, known := p.Evidence[id]
 	return known && !p.alive(id) && e.Away(p.Now) > p.Rules.ReplaceAfter
@@ -169,8 +170,8 @@
 	return groupHealthy, ""
 }
 
-// unwanted tells why the configuration does not want a group; empty if it
-// does.
+// unwantedReason returns why the configuration no longer wants a group, or "" if it
+// still does.
 func (p *round) unwantedReason(g models.Group) string {
 	m, declared := p.State.Models[g.Model]
 	switch {
@@ -188,7 +189,7 @@
 	return ""
 }
 
-// settled reports whether every member is loaded for the group.
+// allLoaded reports whether every member has joined the group and loaded its weights.
 func (p *round) allLoaded(g models.Group) bool {
 	for _, m := range g.Members {
 		s := p.Evidence[m.ID].Status
@@ -199,7 +200,7 @@
 	return true
 }
 
-// quiet reports whether every member that answers runs nothing.
+// idle reports whether no reachable member has requests in flight.
 func (p *round) idle(g models.Group) bool {
 	for _, m := range g.Members {
 		if p.alive(m.ID) && p.Evidence[m.ID].Status.InFlight > 0 {
@@ -209,12 +210,14 @@
 	return true
 }
 
-// movePatience is how many times longer than for a spare a group waits before
-// another one is formed in its stead from other instances: that takes a
-// whole load of weights.
+// relocationGraceFactor times Rules.ReplaceAfter is how long a degraded group is waited
+// for before a group is formed instead of it from entirely different instances. It is longer
+// than the wait before a spare replaces a member, because all members of the new group have
+// to load weights.
 const relocationGraceFactor = 5
 
-// patient reports whether a broken group may still be waited for.
+// withinRelocationGrace reports whether a group is degraded and all of its members have been
+// unreachable for no longer than the relocation grace period.
 func (p *round) withinRelocationGrace(g models.Group) bool {
 	if p.health[g.ID] != groupDegraded {
 		return false
--- a/planner/rendezvous.go
+++ b/planner/rendezvous.go
@@ -8,11 +8,10 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Rank tells how many of the daemons come before self in the order of turn
-// for a key, 0 for the one whose turn it is. Every daemon that knows the
-// same others computes the same order, and it changes little as daemons
-// come and go. A wrong rank costs an append or an order in vain; it never
-// endangers an invariant.
+// Rank returns how many daemons precede self in the rendezvous hashing order for a key; the
+// daemon with rank 0 acts first. Daemons that know the same set of daemons compute the same
+// order, and it changes little when daemons join or leave. A wrong rank only wastes an
+// append or an order; no invariant depends on it.
 func Rank(self models.DaemonID, others []models.DaemonID, key string) int {
 	own := rendezvousWeight(self, key)
 	rank := 0
@@ -27,7 +26,7 @@
 	return rank
 }
 
-// Order lists the daemons in their order of turn for a key.
+// Order returns the daemons in the rendezvous hashing order for a key.
 func Order(daemons []models.DaemonID, key string) []models.DaemonID {
 	out := slices.Clone(daemons)
 	slices.SortFunc(out, func(a, b models.DaemonID) int {
@@ -47,7 +46,8 @@
 	return Mix(h.Sum64())
 }
 
-// Mix spreads the bits of a hash whose inputs differ in few of them.
+// Mix is a 64-bit finalizer (that of MurmurHash3). It spreads the bits of hashes of inputs
+// that differ in only a few bits.
 func Mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/planner/retire.go
+++ b/planner/retire.go
@@ -5,13 +5,13 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// atOnce is the part of a model's groups, one in so many but at least one,
-// that may be retired at a time for a new version or another size.
+// rolloutDivisor bounds how many groups of a model may retire at the same time when its
+// version or group size changes: its replicas divided by rolloutDivisor, but at least one.
 const rolloutDivisor = 4
 
-// retireUnwanted lets unwanted groups finish their requests and ends them
-// once they are quiet. A changed model is changed a few groups at a time; a
-// leaving member can't wait.
+// retireUnwanted retires unwanted groups, so that they finish their requests, and ends them
+// once they are idle. A changed model is rolled out a few groups at a time; groups with a
+// leaving member are retired at once.
 func (p *round) retireUnwanted() {
 	retiring := map[models.ModelName]int{}
 	for _, g := range p.groups {
@@ -41,8 +41,8 @@
 
 func groupRef(g models.Group) state.GroupRef { return state.GroupRef{ID: g.ID, Fence: g.Fence} }
 
-// endSurplus retires whole groups that the target has no place for, and ends
-// broken ones whose model has enough groups without them.
+// endSurplus retires healthy groups that exceed the target, and ends degraded groups whose
+// model reaches its number of replicas without them.
 func (p *round) endSurplus(target Target) {
 	healthy := map[models.Domain]map[models.ModelName]int{}
 	for _, g := range p.groups {
--- a/planner/supply.go
+++ b/planner/supply.go
@@ -8,7 +8,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// supplies counts what each domain has to offer.
+// supplies returns the capacity of each domain.
 func (p *round) supplies() []supply {
 	out := make([]supply, 0, len(p.domains))
 	at := map[models.Domain]int{}
@@ -30,10 +30,9 @@
 	return out
 }
 
-// usable reports whether an instance counts as supply: it can take work now,
-// or it is the member of a group that is whole, or it will be free once its
-// group has been retired. If the last did not count, the target would change
-// while a group retires, and change back afterwards, for ever.
+// usable reports whether an instance counts as capacity: it is free and can take work, or
+// belongs to a healthy group, or will be free once its group has ended. Without the last
+// case the target would change while a group retires and change back afterwards, forever.
 func (p *round) usable(id models.InstanceID) bool {
 	if p.leaving(id) {
 		return false
@@ -49,7 +48,7 @@
 	}
 }
 
-// wanted lists the models by name.
+// wantedModels lists the models that want replicas, sorted by name.
 func (p *round) wantedModels() []models.Model {
 	var out []models.Model
 	for _, name := range slices.Sorted(maps.Keys(p.State.Models)) {
@@ -60,9 +59,9 @@
 	return out
 }
 
-// free lists the engines of a domain that belong to no group and can take
-// work, those with the least to do for the model first: weights at hand, few
-// absences lately, then by id.
+// freeInstances lists the engines of a domain that belong to no group and can take work.
+// Engines that have the model's weights come first, then engines with fewer absences, then
+// by ID.
 func (p *round) freeInstances(d models.Domain, m models.Model) []models.Instance {
 	var out []models.Instance
 	for _, i := range p.engines[d] {
--- a/planner/why.go
+++ b/planner/why.go
@@ -8,8 +8,8 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// WhyFree tells an operator why an instance that could take work belongs to
-// no group. It follows the decisions of Plan on the same input.
+// WhyFree explains to an operator why an instance that could take work belongs to no group.
+// It follows the decisions of Plan on the same input.
 func WhyFree(in Input, i models.Instance) string {
 	p := newRound(in)
 	for _, proposal := range Plan(in) {
