--- a/state/apply.go
+++ b/state/apply.go
@@ -8,53 +8,55 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Reasons for which the fold refuses a record. Outcome.Refused wraps one.
+// Reasons for which Apply refuses a record. Outcome.Refused wraps one of them, or
+// ErrUndecodable.
 var (
-	// ErrDuplicate: a record with this id was folded before.
+	// ErrDuplicate: a record with this ID has already been applied.
 	ErrDuplicate = errors.New("already applied")
-	// ErrStale: the author had not seen the present revision.
+	// ErrStale: the record is based on an outdated revision.
 	ErrStale = errors.New("changed in the meantime")
-	// ErrUnknown: the record names something that does not exist.
+	// ErrUnknown: the record refers to an entity that doesn't exist.
 	ErrUnknown = errors.New("not found")
-	// ErrInUse: the record takes or drops something that is still in use.
+	// ErrInUse: the record uses an instance or a group ID that is not available.
 	ErrInUse = errors.New("in use")
-	// ErrInvalid: the record's values are out of range.
+	// ErrInvalid: the record holds an invalid value.
 	ErrInvalid = errors.New("not valid")
 )
 
-// Outcome tells what became of one record. It is the same on every daemon.
+// Outcome is the result of applying one record. It is the same on every daemon.
 type Outcome struct {
 	Offset models.Offset
 	Record models.RecordID
-	// Refused is nil for a record that took effect.
+	// Refused is why the record was refused; nil if it took effect.
 	Refused error
 	Events  []Event
 }
 
-// Event tells what a record changed: one of the types below.
+// Event is a change that a record made: one of the types in this package with an event
+// method.
 type Event interface{ event() }
 
 type (
-	// ConfigChanged tells that a ChangeConfig was accepted.
+	// ConfigChanged: a ChangeConfig was accepted.
 	ConfigChanged struct{ Operator models.OperatorName }
-	// GroupFormed tells of a new group.
+	// GroupFormed: a group was formed.
 	GroupFormed struct {
 		Group  models.Group
 		Reason string
 	}
-	// GroupRetired tells that a group takes no new requests.
+	// GroupRetired: a group takes no new requests.
 	GroupRetired struct {
 		Group  models.Group
 		Reason string
 	}
-	// GroupEnded tells that a group is gone.
+	// GroupEnded: a group was removed.
 	GroupEnded struct {
 		Group  models.Group
 		Reason string
 	}
-	// DaemonJoined tells of a daemon or its new incarnation.
+	// DaemonJoined: a daemon or its new incarnation joined the roster.
 	DaemonJoined struct{ Daemon models.Daemon }
-	// DaemonLeft tells that a daemon is off the roster.
+	// DaemonLeft: a daemon was removed from the roster.
 	DaemonLeft struct {
 		Daemon models.Daemon
 		Reason string
@@ -68,11 +70,11 @@
 func (DaemonJoined) event()  {}
 func (DaemonLeft) event()    {}
 
-// ErrGap is returned by Apply for an offset that is not the next one.
+// ErrGap is returned by Apply for an offset that doesn't follow the last applied one.
 var ErrGap = errors.New("offset out of order")
 
-// Apply folds the record at the given offset. It returns ErrGap, and
-// changes nothing, unless the offset is the one after the last applied.
+// Apply applies the record at the given offset. It returns ErrGap, and changes nothing,
+// unless the offset follows the last applied one.
 func (s *State) Apply(offset models.Offset, data []byte) (Outcome, error) {
 	if offset != s.Applied+1 {
 		return Outcome{}, fmt.Errorf("%w: got %d after %d", ErrGap, offset, s.Applied)
@@ -188,8 +190,8 @@
 	return fmt.Errorf("%w: instance %s belongs to group %s", ErrInUse, id, owner)
 }
 
-// group returns the group that a reference names, if it still is the one
-// that the author saw.
+// resolveGroup returns the group that ref refers to. It returns ErrStale if the group has
+// been formed anew since the author saw it.
 func (s *State) resolveGroup(ref GroupRef) (models.Group, error) {
 	g, ok := s.Groups[ref.ID]
 	if !ok {
--- a/state/change.go
+++ b/state/change.go
@@ -7,8 +7,8 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// applyChange applies all operations of a change or none, and notes either
-// in the audit trail.
+// applyChangeConfig applies all operations of a change or none, and adds an audit entry in
+// both cases.
 func (s *State) applyChangeConfig(offset models.Offset, rec Record, change ChangeConfig) ([]Event, error) {
 	next := s.draftConfig()
 	err := next.applyOps(offset, change.Ops)
@@ -33,8 +33,8 @@
 	s.ConfigOffset = offset
 }
 
-// Preview returns the state as the operations would leave it if they came
-// next, or the reason for which they would be refused.
+// Preview returns the state after the operations if they were applied next, or the reason
+// for which they would be refused.
 func (s *State) Preview(ops []Op) (*State, error) {
 	c := s.draftConfig()
 	if err := c.applyOps(s.Applied+1, ops); err != nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-// config is a scratch copy of what operators declare.
+// draftConfig is a copy of the declared configuration to which a change is applied.
 type draftConfig struct {
 	models     map[models.ModelName]models.Model
 	workspaces map[models.WorkspaceName]models.Workspace
@@ -60,8 +60,8 @@
 	operators  map[models.OperatorName]models.Operator
 	policy     models.Policy
 	drained    map[models.InstanceID]models.Drain
-	// touched tells whether this change has changed an entity already; a
-	// second change to it is not checked against the author's revision.
+	// changed holds the entities that this change has already modified. Further operations
+	// on them aren't checked against the author's revision.
 	changed map[string]bool
 }
 
@@ -157,20 +157,19 @@
 	return nil
 }
 
-// Conflict is the ErrStale of a change whose author had not seen an entity's
-// present revision.
+// Conflict is the ErrStale of a change that is based on an outdated revision of an entity.
 type Conflict struct {
 	Entity  string
 	Present models.Revision
 	Base    models.Revision
 }
 
-// Error tells both revisions.
+// Error returns a message with both revisions.
 func (c *Conflict) Error() string {
 	return fmt.Sprintf("%v: %s is at revision %d, the change is based on %d", ErrStale, c.Entity, c.Present, c.Base)
 }
 
-// Unwrap makes a conflict an ErrStale.
+// Unwrap returns ErrStale.
 func (c *Conflict) Unwrap() error { return ErrStale }
 
 func (c *draftConfig) checkBase(entity string, base, current models.Revision) error {
@@ -184,8 +183,8 @@
 	return nil
 }
 
-// checkReferences refuses a configuration in which a workspace may use a
-// model or service that is not declared.
+// checkReferences returns ErrInvalid if a workspace may use a model or service that is not
+// declared.
 func (c *draftConfig) checkReferences() error {
 	for _, w := range sorted(c.workspaces) {
 		for _, r := range w.Models {
--- a/state/checkpoint.go
+++ b/state/checkpoint.go
@@ -7,12 +7,12 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// CheckpointPartLen is how many bytes of a state one part carries at most.
-// It keeps a part well below MaxRecordLen.
+// MaxCheckpointPartLen is the maximum number of bytes in a checkpoint part. It keeps the
+// encoded record well below MaxRecordLen.
 const MaxCheckpointPartLen = 256 << 10
 
-// SplitCheckpoint makes the records that carry a marshalled state. newID
-// gives each a fresh id.
+// SplitCheckpoint splits a marshalled state into CheckpointPart records. newID returns a new
+// ID for each record.
 func SplitCheckpoint(at models.Offset, data []byte, author models.DaemonID, now time.Time, newID func() models.RecordID) []Record {
 	parts := max(1, (len(data)+MaxCheckpointPartLen-1)/MaxCheckpointPartLen)
 	out := make([]Record, 0, parts)
@@ -26,16 +26,16 @@
 	return out
 }
 
-// checkpointKey tells the checkpoints of racing writers apart.
+// checkpointKey distinguishes the checkpoints of concurrent writers.
 type checkpointKey struct {
 	author models.DaemonID
 	at     models.Offset
 	parts  int
 }
 
-// JoinCheckpoint returns the newest state of which all parts are among the
-// encoded records, and the offset it was taken at; 0 if there is none.
-// Records that are not parts are passed over.
+// JoinCheckpoint returns the newest marshalled state of which all parts are among the encoded
+// records, and its offset; 0 if there is none. It skips records that are not checkpoint
+// parts.
 func JoinCheckpoint(records [][]byte) (models.Offset, []byte) {
 	parts := map[checkpointKey]map[int][]byte{}
 	for _, data := range records {
@@ -66,8 +66,7 @@
 	return newest.at, whole
 }
 
-// Restore reads a marshalled state and checks that it was taken at the
-// offset.
+// Restore decodes a marshalled state and checks that its offset is at.
 func Restore(at models.Offset, data []byte) (*State, error) {
 	s, err := Unmarshal(data)
 	if err != nil {
--- a/state/claim.go
+++ b/state/claim.go
@@ -6,23 +6,22 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Claim says that one request, and no other, may run under a key.
+// Claim reserves an idempotency key for one request.
 type Claim struct {
-	// Key is a hash of the workspace and the caller's key.
+	// Key is a hash of the workspace and the caller's idempotency key.
 	Key     string           `msgpack:"k"`
 	Request models.RequestID `msgpack:"r"`
-	// At is when the claim was proposed, by its author's clock.
+	// At is when the claim was proposed, by the author's clock.
 	At time.Time `msgpack:"t"`
 }
 
-// ClaimKeys claims keys. Of each key the first claim holds; a claim that
-// comes later is passed over. Claims are batched: the record itself is never
-// refused.
+// ClaimKeys claims a batch of keys. The first claim of each key wins; later ones are
+// ignored. The record itself is never refused.
 type ClaimKeys struct {
 	Claims []Claim `msgpack:"c"`
 }
 
-// ReleaseKeys gives up claims of requests that are known not to have run.
+// ReleaseKeys releases the claims of requests that are known not to have run.
 type ReleaseKeys struct {
 	Claims []Claim `msgpack:"c"`
 }
@@ -30,8 +29,8 @@
 func (ClaimKeys) body()   {}
 func (ReleaseKeys) body() {}
 
-// KeptClaims is for how long a claim is remembered, counted by the times in
-// the claims themselves, so that all daemons forget it at the same record.
+// ClaimRetention is how long a claim is kept. It is measured by the times in the claims
+// themselves, so that all daemons expire a claim at the same record.
 const ClaimRetention = 15 * time.Minute
 
 func (s *State) applyClaimKeys(body ClaimKeys) []Event {
@@ -51,7 +50,7 @@
 	return []Event{event}
 }
 
-// heldClaims lists the claims in the order in which they will be forgotten.
+// orderedClaims lists the claims in the order in which they expire.
 func (s *State) orderedClaims() []Claim {
 	out := make([]Claim, 0, len(s.Claims))
 	listed := make(map[string]bool, len(s.Claims))
@@ -64,14 +63,14 @@
 	return out
 }
 
-// KeysClaimed tells which request holds each key of a ClaimKeys, in the
-// order of its claims.
+// KeysClaimed lists the request that holds each key of a ClaimKeys, in the order of its
+// claims.
 type KeysClaimed struct{ Holders []models.RequestID }
 
 func (KeysClaimed) event() {}
 
-// forgetClaims drops the oldest claims. They stand in the order in which they
-// were folded, which is that of their times but for the clocks' differences.
+// expireClaims removes expired claims. It goes by the order in which the claims were applied,
+// which is that of their times except for clock skew between the authors.
 func (s *State) expireClaims() {
 	for len(s.claimKeys) > 0 {
 		oldest, held := s.Claims[s.claimKeys[0]]
--- a/state/export_test.go
+++ b/state/export_test.go
@@ -1,4 +1,4 @@
 package state
 
-// ForgetIDs drops the ids of recent records, for comparing states.
+// ForgetIDs removes the IDs of recent records, so that states can be compared without them.
 func (s *State) ForgetIDs() { s.recentIDs = nil }
--- a/state/op.go
+++ b/state/op.go
@@ -6,62 +6,62 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Op is one operation of a ChangeConfig. Each carries in Base the revision
-// of its entity that the author saw, 0 for an entity that did not exist.
+// Op is one operation of a ChangeConfig. Its field Base is the revision of the entity in the
+// author's state, 0 if the entity didn't exist.
 type Op interface{ op() }
 
 type (
-	// PutModel declares a model.
+	// PutModel creates or replaces a model.
 	PutModel struct {
 		Base  models.Revision `msgpack:"b"`
 		Model models.Model    `msgpack:"v"`
 	}
-	// DropModel takes a model away.
+	// DropModel removes a model.
 	DropModel struct {
 		Base models.Revision  `msgpack:"b"`
 		Name models.ModelName `msgpack:"n"`
 	}
-	// PutWorkspace declares a workspace.
+	// PutWorkspace creates or replaces a workspace.
 	PutWorkspace struct {
 		Base      models.Revision  `msgpack:"b"`
 		Workspace models.Workspace `msgpack:"v"`
 	}
-	// DropWorkspace takes a workspace away.
+	// DropWorkspace removes a workspace.
 	DropWorkspace struct {
 		Base models.Revision      `msgpack:"b"`
 		Name models.WorkspaceName `msgpack:"n"`
 	}
-	// PutService declares a plain service.
+	// PutService creates or replaces a plain service.
 	PutService struct {
 		Base    models.Revision `msgpack:"b"`
 		Service models.Service  `msgpack:"v"`
 	}
-	// DropService takes a plain service away.
+	// DropService removes a plain service.
 	DropService struct {
 		Base models.Revision    `msgpack:"b"`
 		Name models.ServiceName `msgpack:"n"`
 	}
-	// PutOperator declares an operator.
+	// PutOperator creates or replaces an operator.
 	PutOperator struct {
 		Base     models.Revision `msgpack:"b"`
 		Operator models.Operator `msgpack:"v"`
 	}
-	// DropOperator takes an operator away.
+	// DropOperator removes an operator.
 	DropOperator struct {
 		Base models.Revision     `msgpack:"b"`
 		Name models.OperatorName `msgpack:"n"`
 	}
-	// PutPolicy sets the weights of the two measures.
+	// PutPolicy sets the weights of downtime and stranded accelerators.
 	PutPolicy struct {
 		Base   models.Revision `msgpack:"b"`
 		Policy models.Policy   `msgpack:"v"`
 	}
-	// DrainInstance takes an instance out of use.
+	// DrainInstance drains an instance: the planner doesn't use it.
 	DrainInstance struct {
 		Base     models.Revision   `msgpack:"b"`
 		Instance models.InstanceID `msgpack:"i"`
 	}
-	// UndrainInstance puts a drained instance to use again.
+	// UndrainInstance makes a drained instance usable again.
 	UndrainInstance struct {
 		Base     models.Revision   `msgpack:"b"`
 		Instance models.InstanceID `msgpack:"i"`
--- a/state/property_test.go
+++ b/state/property_test.go
@@ -12,8 +12,8 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// The generators draw from few names, so that records often touch the same
-// entities, and from few revisions, so that many are stale.
+// The generators draw from few names, so that records often change the same entities, and
+// from few revisions, so that many records are stale.
 
 func genModel(t *rapid.T) models.Model {
 	return models.Model{
@@ -112,8 +112,8 @@
 	}
 }
 
-// genLog draws a log with doubled, late and undecodable records, and returns
-// what stands at each offset.
+// genLog draws a log with duplicate, stale and undecodable records, and returns the encoded
+// record at each offset.
 func genLog(t *rapid.T) [][]byte {
 	s := state.New()
 	var log [][]byte
@@ -121,7 +121,7 @@
 		var data []byte
 		switch choice := rapid.IntRange(0, 9).Draw(t, "kind"); {
 		case choice == 0 && len(log) > 0:
-			data = log[rapid.IntRange(0, len(log)-1).Draw(t, "doubled")]
+			data = log[rapid.IntRange(0, len(log)-1).Draw(t, "duplicate")]
 		case choice == 1:
 			data = rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "garbage")
 		default:
@@ -182,8 +182,8 @@
 	return d
 }
 
-// TestFoldFromAnyCheckpoint folds a log from its start and from a checkpoint
-// at any point; both give the same state.
+// TestReplayFromAnyCheckpoint checks that replaying a log from its start and from a
+// checkpoint at any offset results in the same state.
 func TestReplayFromAnyCheckpoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := genLog(t)
@@ -203,13 +203,13 @@
 		}
 		applyAll(t, restored, log)
 		if digest(t, restored) != digest(t, full) {
-			t.Fatal("the fold from a checkpoint differs")
+			t.Fatal("the state replayed from a checkpoint differs")
 		}
 	})
 }
 
-// TestRefusedChangesNothing compares everything but the trail of records
-// before and after a record that is refused.
+// TestRefusedRecordChangesNothing checks that a refused record changes nothing in the state
+// except for the applied offset, the audit entries and the recent record IDs.
 func TestRefusedRecordChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := state.New()
@@ -256,17 +256,17 @@
 	second := encode(state.SplitCheckpoint(12, data[1:], "d2", time.Time{}, newID))
 	c.Assert(first, qt.HasLen, 3)
 
-	c.Run("two writers at once", func(c *qt.C) {
+	c.Run("two concurrent writers", func(c *qt.C) {
 		at, got := state.JoinCheckpoint([][]byte{first[0], second[0], first[1], second[2], second[1], first[2]})
 		c.Assert(at, qt.Equals, models.Offset(12))
 		c.Assert(got, qt.DeepEquals, data[1:])
 	})
-	c.Run("the newest lacks a part", func(c *qt.C) {
+	c.Run("newest checkpoint incomplete", func(c *qt.C) {
 		at, got := state.JoinCheckpoint([][]byte{first[0], second[0], first[1], second[2], first[2], []byte("garbage")})
 		c.Assert(at, qt.Equals, models.Offset(10))
 		c.Assert(got, qt.DeepEquals, data)
 	})
-	c.Run("none is whole", func(c *qt.C) {
+	c.Run("no checkpoint complete", func(c *qt.C) {
 		at, got := state.JoinCheckpoint([][]byte{first[0], second[1]})
 		c.Assert(at, qt.Equals, models.Offset(0))
 		c.Assert(got, qt.HasLen, 0)
--- a/state/record.go
+++ b/state/record.go
@@ -1,7 +1,7 @@
-// Package state is the agreed state: a pure, deterministic fold over the
-// records of the platform's log. Every daemon folds the same records in the
-// same order and so holds the same state; Digest proves it. The package
-// reads no clock, draws no random numbers and does no input or output.
+// Package state is the replicated state: a deterministic state machine over the records of
+// the platform's log. All daemons apply the same records in the same order and so have the
+// same state, which Digest verifies. The package reads no clock, uses no random numbers and
+// does no I/O.
 package state
 
 import (
@@ -17,20 +17,18 @@
 
 // Record is one entry of the log.
 type Record struct {
-	// ID is the same in every try to append the record.
+	// ID is the same in every attempt to append the record.
 	ID     models.RecordID
 	Author models.DaemonID
-	// At is the author's wall clock. It is shown to operators and decides
-	// nothing.
+	// At is the author's wall clock time. It is only displayed to operators.
 	At   time.Time
 	Body Body
 }
 
-// Body is what a record asks for: one of the types in this file.
+// Body is the content of a record: one of the types in this package with a body method.
 type Body interface{ body() }
 
-// ChangeConfig changes the declared configuration. All of its operations
-// take effect or none does.
+// ChangeConfig changes the declared configuration. Its operations are applied atomically.
 type ChangeConfig struct {
 	Operator models.OperatorName `msgpack:"w"`
 	Note     string              `msgpack:"n"`
@@ -39,56 +37,56 @@
 	Ops  []Op   `msgpack:"-"`
 }
 
-// FormGroup forms a group of instances that belong to no other group once
-// the replaced groups have ended.
+// FormGroup ends the groups in Replaces and forms a group. Its members must belong to no
+// group or to a replaced one.
 type FormGroup struct {
 	Group models.Group `msgpack:"g"`
-	// ModelRevision is the revision of the model that the author saw.
+	// ModelRevision is the revision of the model in the author's state.
 	ModelRevision models.Revision `msgpack:"r"`
-	// Replaces are groups that end as this one forms.
+	// Replaces lists the groups that the new group replaces.
 	Replaces []GroupRef `msgpack:"x"`
 	Reason   string     `msgpack:"w"`
 }
 
-// RetireGroup lets a group finish its requests and take no new ones.
+// RetireGroup drains a group: it finishes its requests and takes no new ones.
 type RetireGroup struct {
 	Group  GroupRef `msgpack:"g"`
 	Reason string   `msgpack:"w"`
 }
 
-// EndGroup ends a group; its instances are free.
+// EndGroup ends a group and frees its instances.
 type EndGroup struct {
 	Group  GroupRef `msgpack:"g"`
 	Reason string   `msgpack:"w"`
 }
 
-// GroupRef names a group as its author saw it.
+// GroupRef identifies a group as it is in the author's state.
 type GroupRef struct {
 	ID    models.GroupID `msgpack:"i"`
 	Fence models.Fence   `msgpack:"f"`
 }
 
-// JoinDaemon adds a daemon to the roster, or its new incarnation.
+// JoinDaemon adds a daemon to the roster, or replaces it by its new incarnation.
 type JoinDaemon struct {
 	Daemon models.Daemon `msgpack:"d"`
-	// Was is the incarnation that the author saw under this name, 0 for
-	// none.
+	// Was is the incarnation of the daemon in the author's state, 0 if it wasn't on the
+	// roster.
 	Was uint64 `msgpack:"w"`
 }
 
-// LeaveDaemon takes an incarnation of a daemon off the roster.
+// LeaveDaemon removes an incarnation of a daemon from the roster.
 type LeaveDaemon struct {
 	ID          models.DaemonID `msgpack:"i"`
 	Incarnation uint64          `msgpack:"n"`
 	Reason      string          `msgpack:"w"`
 }
 
-// CheckpointPart carries one part of a checkpoint of the whole state. The
-// fold skips it; a daemon that starts reads it.
+// CheckpointPart carries one part of a checkpoint of the state. Apply skips it; a daemon
+// reads it at startup.
 type CheckpointPart struct {
-	// At is the offset of the last record folded into the checkpoint.
+	// At is the offset of the last record applied to the state in the checkpoint.
 	At models.Offset `msgpack:"a"`
-	// Part counts from 0 to Parts-1.
+	// Part is the index of the part, from 0 to Parts-1.
 	Part  int    `msgpack:"p"`
 	Parts int    `msgpack:"n"`
 	Data  []byte `msgpack:"d"`
@@ -102,13 +100,14 @@
 func (LeaveDaemon) body()    {}
 func (CheckpointPart) body() {}
 
-// ErrUndecodable is returned for bytes that are no record.
+// ErrUndecodable is returned for bytes that can't be decoded.
 var ErrUndecodable = errors.New("not a record")
 
-// MaxRecordLen is the longest encoded record accepted, in bytes.
+// MaxRecordLen is the maximum length of an encoded record in bytes.
 const MaxRecordLen = 1 << 20
 
-// kind numbers are part of the log's format and never change their meaning.
+// kind identifies the type of a record body or an operation. The numbers are part of the log
+// format and never change their meaning.
 type kind uint8
 
 const (
@@ -137,7 +136,7 @@
 	Body msgpack.RawMessage `msgpack:"b"`
 }
 
-// Encode writes a record as it stands on the log.
+// Encode encodes a record for the log.
 func Encode(rec Record) ([]byte, error) {
 	wire := wireRecord{ID: rec.ID, Author: rec.Author, At: rec.At, Kind: bodyKind(rec.Body)}
 	body, err := pack.Marshal(rec.Body)
@@ -157,7 +156,7 @@
 	return pack.Marshal(wire)
 }
 
-// Decode reads a record; it returns ErrUndecodable for anything else.
+// Decode decodes a record. It returns ErrUndecodable if data is not a record.
 func Decode(data []byte) (rec Record, err error) {
 	if len(data) > MaxRecordLen {
 		return Record{}, fmt.Errorf("%w: %d bytes, allowed are %d", ErrUndecodable, len(data), MaxRecordLen)
--- a/state/state.go
+++ b/state/state.go
@@ -13,21 +13,20 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// RememberedIDs is how many of the last record ids the state keeps, to tell
-// a doubled record from a new one. A proposer tries for at most ten seconds
-// and the log takes some hundred appends a second, so a record's tries lie
-// within a few thousand offsets. A double that comes even later meets the
-// revision checks, which refuse it as stale.
+// MaxRecentIDs is how many record IDs the state keeps to detect duplicate records. A
+// proposer retries for at most ten seconds and the log takes a few hundred appends per
+// second, so all attempts to append a record are within a few thousand offsets. A duplicate
+// that arrives even later is refused as stale by the revision checks.
 const MaxRecentIDs = 4096
 
-// KeptAudit is how many audit entries the state keeps: about a week at
-// 7,100 changes a day.
+// MaxAuditEntries is how many audit entries the state keeps: about a week at 7,100 changes
+// per day.
 const MaxAuditEntries = 50000
 
-// State is everything that the daemons agree on. Values in its maps are
-// never changed in place, so a Clone may share them.
+// State is the replicated state of all daemons. Values in its maps are never modified in
+// place, so clones share them.
 type State struct {
-	// Applied is the offset of the last record folded.
+	// Applied is the offset of the last applied record.
 	Applied    models.Offset
 	Models     map[models.ModelName]models.Model
 	Workspaces map[models.WorkspaceName]models.Workspace
@@ -41,23 +40,22 @@
 	// ConfigOffset is the offset of the last accepted ChangeConfig.
 	ConfigOffset models.Offset
 
-	// Claims are the keys of requests that may run only once. A Clone is
-	// without them.
+	// Claims holds the claims of idempotency keys, by key. A clone has none.
 	Claims map[string]Claim
 
-	// claimOrder lists the keys of claims as they were folded, newestClaim
-	// is the latest time in any.
+	// claimKeys lists the claimed keys in the order in which they were applied.
+	// latestClaimTime is the latest time in any claim.
 	claimKeys       []string
 	latestClaimTime time.Time
 
-	// owner is derived from Groups.
+	// owner maps instances to their groups. It is derived from Groups.
 	owner map[models.InstanceID]models.GroupID
-	// recent lists the last RememberedIDs ids, oldest first.
+	// recentIDs lists the last MaxRecentIDs record IDs, oldest first.
 	recentIDs []models.RecordID
 	seenIDs   map[models.RecordID]struct{}
 }
 
-// New returns the state before the first record.
+// New returns the initial state, before the first record.
 func New() *State {
 	return &State{
 		Models:     map[models.ModelName]models.Model{},
@@ -80,9 +78,8 @@
 	return g, ok
 }
 
-// Clone returns a copy that later records do not change. A clone is for
-// reading, not for folding on; it is without claims, of which there may be
-// many.
+// Clone returns a copy that records applied later don't change. A clone is read-only:
+// records must not be applied to it. It has no claims, because there may be many.
 func (s *State) Clone() *State {
 	c := *s
 	c.Models = maps.Clone(s.Models)
@@ -100,8 +97,7 @@
 	return &c
 }
 
-// snapshot is the canonical form of a state: the same state always gives
-// the same bytes.
+// snapshot is the canonical encoding of a state: equal states have equal bytes.
 type snapshot struct {
 	Applied         models.Offset       `msgpack:"o"`
 	ConfigOffset    models.Offset       `msgpack:"c"`
@@ -119,7 +115,7 @@
 	LatestClaimTime time.Time           `msgpack:"kt"`
 }
 
-// Marshal writes the state in its canonical form.
+// Marshal returns the canonical encoding of the state.
 func (s *State) Marshal() ([]byte, error) {
 	data, err := pack.Marshal(snapshot{
 		Applied:         s.Applied,
@@ -143,7 +139,7 @@
 	return data, nil
 }
 
-// Unmarshal reads what Marshal wrote.
+// Unmarshal decodes a state encoded by Marshal.
 func Unmarshal(data []byte) (*State, error) {
 	var snap snapshot
 	if err := pack.Unmarshal(data, &snap); err != nil {
@@ -188,7 +184,7 @@
 	return s, nil
 }
 
-// Digest is a hash of the whole state, in hex. Two daemons that applied the
+// Digest returns a hex-encoded hash of the whole state. Two daemons that have applied the
 // same offset have the same digest.
 func (s *State) Digest() (string, error) {
 	data, err := s.Marshal()
