--- a/router/admit.go
+++ b/router/admit.go
@@ -8,44 +8,46 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// ErrOverloaded is returned for a request that would only wait.
+// ErrOverloaded is returned for a request that exceeds the capacity, or the fair share of its
+// workspace. It would only wait in a queue.
 var ErrOverloaded = errors.New("too many requests are in flight")
 
-// QueueFactor is how many requests, in parts of what a group runs at once, it
-// is sent in all: a little more than it runs, so that it never idles, and no
-// more, so that none waits for long. The sum over all daemons keeps this,
-// however old the groups' reports are.
+// QueueFactor is the number of requests that all daemons together may have in flight at a
+// group, relative to the number that it runs concurrently. It is above 1 so that the group
+// never idles, and low so that requests don't queue for long. The sum over all daemons
+// respects it even if the groups' load reports are stale.
 const QueueFactor = 1.5
 
 const (
-	// openPart is the part of a daemon's capacity that anybody may fill.
-	// The rest is for workspaces that have less than their share.
+	// unreservedFraction is the fraction of a daemon's capacity that any workspace may use.
+	// The rest is reserved for workspaces that use less than their fair share.
 	unreservedFraction = 0.7
-	// lowestPart is the part that requests of priority 0 may fill; each
-	// higher priority may fill more, the highest everything.
+	// lowestPriorityFraction is the fraction of the capacity that requests of priority 0 may
+	// use. The fraction increases linearly up to 1 for maxPriority.
 	lowestPriorityFraction = 0.8
 	maxPriority            = 9
 )
 
-// Admission keeps, for one model, a daemon's requests in flight within its
-// capacity and shares that between workspaces by their weights.
+// Admission is the admission control of a daemon. For each model it limits the requests in
+// flight to the daemon's capacity and divides the capacity between workspaces by their
+// weights.
 type Admission struct {
 	mu    sync.Mutex
 	pools map[models.ModelName]*pool
 }
 
-// pool holds the requests in flight for one model.
+// pool counts the requests in flight for one model.
 type pool struct {
 	total    int
 	inFlight map[models.WorkspaceName]int
 	shares   map[models.WorkspaceName]int
 }
 
-// NewAdmission returns an admission with nothing in flight.
+// NewAdmission returns an Admission without requests in flight.
 func NewAdmission() *Admission { return &Admission{pools: map[models.ModelName]*pool{}} }
 
-// Enter counts a request in, or returns ErrOverloaded at once. A capacity
-// below 0 is not known and sets no bound.
+// Enter admits a request, or returns ErrOverloaded without waiting. A negative capacity is
+// unknown and sets no limit. An admitted request must be ended by Leave.
 func (a *Admission) Enter(m models.ModelName, w models.Workspace, capacity, priority int) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -63,7 +65,7 @@
 	return nil
 }
 
-// Reasons within ErrOverloaded.
+// Reasons wrapped together with ErrOverloaded.
 var (
 	errFull      = errors.New("its groups are full")
 	errOverShare = errors.New("the workspace has more than its share")
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// Leave counts a request out.
+// Leave ends a request that Enter admitted.
 func (a *Admission) Leave(m models.ModelName, w models.WorkspaceName) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/router/admit_test.go
+++ b/router/admit_test.go
@@ -19,8 +19,8 @@
 	return entered
 }
 
-// TestFloodTakesNothing lets one workspace flood: another still gets its
-// share, at once for a part and whole as the flood's requests end.
+// TestAdmissionFairUnderFlood checks that a workspace that floods the daemon leaves another
+// workspace its share: a part at once, and the rest as requests of the flood end.
 func TestAdmissionFairUnderFlood(t *testing.T) {
 	c := qt.New(t)
 	a := router.NewAdmission()
@@ -32,7 +32,7 @@
 		a.Leave("m", flood.Name)
 		c.Assert(admitMany(a, flood, 100, 9, 1)+admitMany(a, quiet, 100, 9, 1) <= 1, qt.IsTrue)
 	}
-	// As the flood's requests end, the quiet workspace comes to its half.
+	// As requests of the flood end, the quiet workspace reaches its half of the capacity.
 	c.Assert(admitMany(a, quiet, 100, 9, 1000) <= 1, qt.IsTrue)
 	c.Assert(a.Enter("m", flood, 100, 9), qt.ErrorIs, router.ErrOverloaded)
 }
--- a/router/choose.go
+++ b/router/choose.go
@@ -15,23 +15,23 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// Reasons why a request finds no upstream.
+// Reasons why no upstream is found for a request.
 var (
 	ErrUnknownModel   = errors.New("no such model")
 	ErrUnknownService = errors.New("no such service")
 	ErrNotAllowed     = errors.New("not allowed for this workspace")
-	// ErrNoUpstream: nothing that may run the request can take it now.
+	// ErrNoUpstream: no upstream that is allowed to run the request can take it now.
 	ErrNoUpstream = errors.New("nothing can take the request now")
 )
 
-// Table is what the choice is made from.
+// Table is the routing table: the data from which upstreams are chosen.
 type Table struct {
 	State *state.State
 	Gates map[models.GroupID]planner.Gate
-	// Daemons is how many daemons serve, this one included.
+	// Daemons is the number of serving daemons, including this one.
 	Daemons int
-	// Capacity is how many requests this daemon may have in flight at each
-	// group; a group that does not tell how many it runs is not in it.
+	// Capacity is how many requests this daemon may have in flight at each group. It has no
+	// entry for groups that don't report how many requests they run concurrently.
 	Capacity map[models.GroupID]int
 	// Services lists the instances of each plain service.
 	Services map[models.ServiceName][]ServiceInstance
@@ -40,12 +40,12 @@
 // ServiceInstance is one instance of a plain service.
 type ServiceInstance struct {
 	Instance models.Instance
-	// OpenUntil is the time from which the instance takes no requests
-	// unless newer evidence comes.
+	// OpenUntil is the time from which the instance gets no requests unless newer evidence
+	// arrives.
 	OpenUntil time.Time
 }
 
-// Target is where a request is to run. Group is zero for a plain service.
+// Target is the upstream chosen for a request. Group is the zero value for a plain service.
 type Target struct {
 	Group     models.Group
 	Addr      netip.AddrPort
@@ -54,38 +54,39 @@
 	Domain    models.Domain
 }
 
-// Busy tells how many requests this daemon has in flight at an address.
+// InFlightFunc returns how many requests this daemon has in flight at an address.
 type InFlightFunc func(netip.AddrPort) int
 
-// affinitySlack is how much busier than the least busy group, in parts of
-// what it runs at once, a group may be and still be preferred for its cache.
+// affinityLoadSlack is how much a group's load may exceed that of the least loaded group for
+// the group to be preferred for its prefix cache. Load is relative to the group's slots.
 const affinityLoadSlack = 0.25
 
-// Prompt is what the choice needs to know of a prompt.
+// Prompt describes a prompt for cache affinity.
 type Prompt struct {
-	// Prefix is a hash of its beginning; Seen tells that this came before.
+	// Prefix is a hash of the beginning of the prompt. Seen is set if a recent prompt had the
+	// same prefix.
 	Prefix uint64
 	Seen   bool
 }
 
-// candidate is a group that may take the request now.
+// candidate is a group that can take the request now.
 type candidate struct {
 	group models.Group
-	// busy is the part of its slots that is taken, as far as is known: what
-	// this daemon has in flight, taken for what each of the others has, and
-	// the queue that the engine reports. What it reports as running is left
-	// out: it is a second old, and all daemons would follow it at once to
-	// the group that was idle then.
+	// load is the estimated load relative to the group's slots: the requests that this
+	// daemon has in flight at the group, times the number of daemons (assuming that the
+	// others have as many), plus the queue length that the engine reports. The reported
+	// number of running requests is not used: it is a second old, and all daemons would
+	// send to the same group that was idle then.
 	load float64
 }
 
-// ChooseGroup returns where a request for the model should run: among the
-// groups that the place rules allow, an open one that has not been tried and
-// is not full: the least busy one, or, for a prompt whose beginning came
-// before, one that is not much busier and comes first in an order that
-// depends on that beginning. So prompts that begin alike meet in the same
-// cache, whichever daemon they come through, without relying on cache events,
-// which come late and with gaps.
+// ChooseGroup chooses the group that runs a request for the model. It considers groups that
+// the placement rules allow, that are open and not full, and whose address is not in
+// exclude. It chooses the least loaded of them. For a prompt prefix that has been seen before,
+// it chooses by rendezvous hashing of the prefix among the groups whose load is at most
+// affinityLoadSlack higher. So prompts with the same prefix use the same cache,
+// whichever daemon they arrive at, without relying on cache events, which arrive late and
+// with gaps.
 func (t Table) ChooseGroup(w models.Workspace, m models.ModelName, p Prompt, now time.Time, inFlight InFlightFunc, exclude []netip.AddrPort) (Target, error) {
 	candidates, err := t.candidates(w, m, now, inFlight, exclude)
 	if err != nil {
@@ -107,7 +108,7 @@
 	return targetOf(best), nil
 }
 
-// affinity is the weight of a group in the order for a prefix.
+// affinityWeight returns the rendezvous hashing weight of a group for a prefix.
 func affinityWeight(prefix uint64, id models.GroupID) uint64 {
 	h := fnv.New64a()
 	var buf [8]byte
@@ -117,8 +118,7 @@
 	return planner.Mix(h.Sum64())
 }
 
-// candidates lists the groups that may take the request now; there is at
-// least one if there is no error.
+// candidates returns the groups that can take the request now, or an error if there are none.
 func (t Table) candidates(w models.Workspace, m models.ModelName, now time.Time, inFlight InFlightFunc, exclude []netip.AddrPort) ([]candidate, error) {
 	model, ok := t.State.Models[m]
 	if !ok {
@@ -151,8 +151,8 @@
 	}
 }
 
-// CapacityFor sums up what this daemon may have in flight for a model at the
-// groups where the workspace may run; -1 if it is not known.
+// CapacityFor returns how many requests this daemon may have in flight for a model, over all
+// open groups that the workspace may use; -1 if the capacity of none of them is known.
 func (t Table) CapacityFor(w models.Workspace, m models.ModelName, now time.Time) int {
 	total, known := 0, false
 	for id, g := range t.State.Groups {
@@ -169,8 +169,8 @@
 	return total
 }
 
-// mayRun applies every place rule: the model's, the workspace's, and which
-// versions the workspace may use.
+// placementAllowed checks the placement rules of the model and the workspace, and whether
+// the workspace may use the group's version.
 func (t Table) placementAllowed(w models.Workspace, model models.Model, g models.Group) bool {
 	return g.Model == model.Name && w.AllowsModel(g.Model, g.Version) &&
 		model.Place.Allows(g.Zone, g.Domain) && w.Place.Allows(g.Zone, g.Domain)
@@ -184,8 +184,8 @@
 	return target
 }
 
-// ChooseService returns the instance of a plain service that should run a
-// call: the one with the least work of this daemon's.
+// ChooseService chooses the instance of a plain service that runs a request: the one with
+// the fewest requests of this daemon in flight.
 func (t Table) ChooseService(w models.Workspace, name models.ServiceName, now time.Time, inFlight InFlightFunc, exclude []netip.AddrPort) (Target, error) {
 	service, ok := t.State.Services[name]
 	if !ok {
--- a/router/choose_test.go
+++ b/router/choose_test.go
@@ -24,8 +24,8 @@
 	return models.Place{Zones: zones, Domains: domains}
 }
 
-// TestPlaceRulesAreNeverBroken draws configurations and requests: where a
-// request is sent, every rule allows.
+// TestChooseGroupRespectsPlacementRules checks for random configurations and requests that
+// the chosen group is open and allowed by all placement rules.
 func TestChooseGroupRespectsPlacementRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -60,8 +60,8 @@
 	})
 }
 
-// TestAffinity sends prompts that begin alike to one group until it is much
-// busier than another.
+// TestPrefixAffinity checks that prompts with the same prefix go to the same group until its
+// load is much higher than that of another.
 func TestPrefixAffinity(t *testing.T) {
 	c := qt.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/router/limit.go
+++ b/router/limit.go
@@ -9,13 +9,13 @@
 	"github.com/lupinkeel/lupinkeel/planner"
 )
 
-// ErrOverLimit is returned for a request beyond its workspace's limit.
+// ErrOverLimit is returned for a request that exceeds its workspace's concurrency limit.
 var ErrOverLimit = errors.New("the workspace has as many requests in flight as it may")
 
-// Allotment is this daemon's part of a limit that holds over all daemons
-// that serve. The parts of all daemons add up to the limit, and each daemon
-// works its own out without asking: what does not divide evenly goes to the
-// first in an order that all compute alike.
+// Allotment returns this daemon's share of a limit that applies to all serving daemons
+// together. The shares add up to the limit. Each daemon computes its own share without
+// communication: the remainder of the division goes to the first daemons in the rendezvous
+// hashing order for key, which is the same for all daemons.
 //
 // See ExampleAllotment.
 func Allotment(limit int, self models.DaemonID, serving []models.DaemonID, key string) int {
@@ -32,17 +32,17 @@
 	return share
 }
 
-// Limits counts the requests of each workspace that a daemon has in flight.
+// Limits enforces the concurrency limits of workspaces at one daemon.
 type Limits struct {
 	mu       sync.Mutex
 	inFlight map[models.WorkspaceName]int
 }
 
-// NewLimits returns limits with nothing in flight.
+// NewLimits returns Limits without requests in flight.
 func NewLimits() *Limits { return &Limits{inFlight: map[models.WorkspaceName]int{}} }
 
-// Take counts a request in, or returns ErrOverLimit at once. A limit of 0
-// is none.
+// Take admits a request, or returns ErrOverLimit without waiting. w.Concurrent is 0 for no
+// limit; allotment is this daemon's share of it. An admitted request must be ended by Give.
 func (l *Limits) Take(w models.Workspace, allotment int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// Give counts a request out.
+// Give ends a request that Take admitted.
 func (l *Limits) Give(w models.WorkspaceName) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,30 +62,30 @@
 	}
 }
 
-// The retry budget: each request brings a tenth of a retry, and as many may
-// be saved up as a burst needs. A daemon begins with all of them: its first
-// requests may meet a group that has just died.
+// The retry budget is a token bucket: each request adds retryRatio of a retry, up to
+// retryBurst. The bucket is full at startup, because a daemon's first requests may be sent
+// to a group that has just failed.
 const (
 	retryRatio = 0.1
 	retryBurst = 10
 )
 
-// Budget keeps retries to a tenth of the requests, so that failing upstreams
-// can't make a daemon multiply its load. The zero value is ready to use.
+// Budget limits retries to a tenth of the requests, so that failing upstreams don't make a
+// daemon multiply its load. The zero value is a full budget.
 type Budget struct {
 	mu sync.Mutex
-	// used are the retries that are missing from the most that are saved.
+	// spent is how many retries the budget is below retryBurst.
 	spent float64
 }
 
-// Earn notes a request.
+// Earn adds the budget for one request.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(0, b.spent-retryRatio)
 }
 
-// Spend takes one retry, if there is one.
+// Spend takes one retry from the budget. It returns false if there is none left.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/router/limit_test.go
+++ b/router/limit_test.go
@@ -21,7 +21,7 @@
 	// Output: 10
 }
 
-// TestAllotmentsAddUp checks the sum over any number of daemons.
+// TestAllotmentsSumToLimit checks that the shares of all daemons add up to the limit.
 func TestAllotmentsSumToLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var serving []models.DaemonID
@@ -70,8 +70,7 @@
 	c.Assert(retries >= 95, qt.IsTrue, qt.Commentf("%d", retries))
 }
 
-// TestRequestEnds walks requests through their steps and looks at what may
-// be said of them.
+// TestRequestOutcomes takes requests through sequences of steps and checks their outcomes.
 func TestRequestOutcomes(t *testing.T) {
 	type step func(*router.Request) error
 	send, notRun, failed, answer := (*router.Request).Send, (*router.Request).NotRun, (*router.Request).Failed, (*router.Request).Answer
@@ -79,17 +78,17 @@
 		name       string
 		repeatable bool
 		steps      []step
-		whole      bool
+		complete   bool
 		want       router.End
 	}{
 		{"never sent", true, nil, false, router.EndNotRun},
-		{"whole", true, []step{send, answer}, true, router.EndWhole},
+		{"complete", true, []step{send, answer}, true, router.EndWhole},
 		{"broke off", true, []step{send, answer}, false, router.EndMayHaveRun},
 		{"refused with proof", false, []step{send, notRun}, false, router.EndNotRun},
-		{"refused, then whole", false, []step{send, notRun, send, answer}, true, router.EndWhole},
+		{"refused, then complete", false, []step{send, notRun, send, answer}, true, router.EndWhole},
 		{"failed once, refused once", true, []step{send, failed, send, notRun}, false, router.EndMayHaveRun},
 		{"failed, not repeatable", false, []step{send, failed}, false, router.EndMayHaveRun},
-		{"held by another", false, []step{(*router.Request).HeldElsewhere}, false, router.EndMayHaveRun},
+		{"key held by another request", false, []step{(*router.Request).HeldElsewhere}, false, router.EndMayHaveRun},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -97,7 +96,7 @@
 			for _, s := range test.steps {
 				c.Assert(s(r), qt.IsNil)
 			}
-			c.Assert(r.Finish(test.whole), qt.Equals, test.want)
+			c.Assert(r.Finish(test.complete), qt.Equals, test.want)
 			c.Assert(r.Send(), qt.ErrorIs, router.ErrPhase)
 		})
 	}
--- a/router/prefixes.go
+++ b/router/prefixes.go
@@ -2,21 +2,21 @@
 
 import "sync"
 
-// keptPrefixes is how many beginnings of prompts a daemon remembers.
+// maxPrefixes is how many prompt prefixes a daemon remembers.
 const maxPrefixes = 4096
 
-// Prefixes remembers the beginnings of prompts that came lately. A beginning
-// that comes for the first time is in no cache that matters.
+// Prefixes is the set of recently seen prompt prefixes. A prefix that is not in the set is
+// not worth routing by, because no engine is likely to have it cached.
 type Prefixes struct {
 	mu    sync.Mutex
 	seen  map[uint64]struct{}
 	order []uint64
 }
 
-// NewPrefixes returns an empty memory.
+// NewPrefixes returns an empty set.
 func NewPrefixes() *Prefixes { return &Prefixes{seen: map[uint64]struct{}{}} }
 
-// Seen remembers a beginning and reports whether it came before.
+// Seen adds a prefix to the set and reports whether the set already had it.
 func (p *Prefixes) Seen(prefix uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/router/request.go
+++ b/router/request.go
@@ -1,7 +1,6 @@
-// Package router decides about requests: who may ask for what, which group
-// or service instance runs a request, whether it may be tried again, and
-// what may be said of it at its end. It does no input or output and takes
-// time as a value.
+// Package router routes requests: it decides whether a request is admitted, which replica
+// group or service instance runs it, whether it may be retried, and what its outcome is. It
+// does no I/O and takes the current time as a parameter.
 package router
 
 import (
@@ -11,62 +10,62 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Phase is how far a request has come.
+// Phase is the progress of a request.
 type Phase uint8
 
 // The phases of a request, in order.
 const (
-	// PhaseQueued: nothing has been sent for this request.
+	// PhaseQueued: the request may be sent; no current attempt is at an upstream.
 	PhaseQueued Phase = iota
-	// PhaseSent: an upstream may have begun to run it.
+	// PhaseSent: an upstream may have started to run the request.
 	PhaseSent
-	// PhaseAnswering: a part of the answer has gone to the caller.
+	// PhaseAnswering: a part of the answer has been sent to the caller.
 	PhaseAnswering
-	// PhaseDone: the request has its end.
+	// PhaseDone: the request has an outcome.
 	PhaseDone
 )
 
-// End is what became of a request.
+// End is the outcome of a request.
 type End string
 
-// The ends of a request.
+// The outcomes of a request. EndNone means that it has none yet.
 const (
 	EndNone End = ""
-	// EndWhole: the caller got the whole answer.
+	// EndWhole: the caller received the complete answer.
 	EndWhole End = "whole"
-	// EndNotRun: no upstream ran the request, and none will.
+	// EndNotRun: no upstream has run the request, and none will.
 	EndNotRun End = "not-run"
-	// EndMayHaveRun: the caller got no whole answer, and an upstream may
-	// have run the request.
+	// EndMayHaveRun: the caller received no complete answer, and an upstream may have run
+	// the request.
 	EndMayHaveRun End = "may-have-run"
 )
 
-// ErrPhase is returned for a step that the request's phase does not allow.
+// ErrPhase is returned for a step that is not allowed in the request's phase.
 var ErrPhase = errors.New("step not allowed in this phase")
 
-// Request is the state of one request.
+// Request is the state machine of one request.
 type Request struct {
 	ID models.RequestID
-	// Repeatable tells that running the request twice does no harm.
+	// Repeatable is set if the request is idempotent: running it twice does no harm.
 	Repeatable bool
 
 	phase Phase
 	end   End
 	tries int
-	// ran tells that a try may have run, even if a later one did not.
+	// mayHaveRun is set once an attempt may have run, even if a later attempt didn't.
 	mayHaveRun bool
 }
 
-// Phase returns how far the request has come.
+// Phase returns the phase of the request.
 func (r *Request) Phase() Phase { return r.phase }
 
-// End returns what became of the request.
+// End returns the outcome of the request.
 func (r *Request) End() End { return r.end }
 
-// Tries returns how often the request was sent.
+// Tries returns how many times the request has been sent.
 func (r *Request) Tries() int { return r.tries }
 
-// Send notes that the request is about to be sent to an upstream.
+// Send records that the request is about to be sent to an upstream.
 func (r *Request) Send() error {
 	if r.phase != PhaseQueued {
 		return r.phaseError("send")
@@ -76,18 +75,19 @@
 	return nil
 }
 
-// NotRun notes an upstream's proof that this try was not run, or that it
-// never reached one. The request may be sent again.
+// NotRun records that the current attempt has not run: the upstream proved it, or the
+// request never reached an upstream. The request may be sent again.
 func (r *Request) NotRun() error {
 	if r.phase != PhaseSent {
-		return r.phaseError("take back")
+		return r.phaseError("requeue")
 	}
 	r.phase = PhaseQueued
 	return nil
 }
 
-// Failed notes that this try may have run and gave no whole answer. Only a
-// repeatable request of which the caller has seen nothing may be sent again.
+// Failed records that the current attempt may have run and has returned no complete answer.
+// Only a repeatable request may be sent again, and only if no part of the answer has been
+// sent to the caller.
 func (r *Request) Failed() error {
 	if r.phase != PhaseSent {
 		return r.phaseError("fail")
@@ -99,18 +99,18 @@
 	return nil
 }
 
-// HeldElsewhere notes that another request with the same key may run or may
-// have run, so that this one must not be sent.
+// HeldElsewhere records that another request with the same idempotency key may be running or
+// may have run, so that this request must not be sent.
 func (r *Request) HeldElsewhere() error {
 	if r.phase != PhaseQueued {
-		return r.phaseError("hold back")
+		return r.phaseError("hold")
 	}
 	r.mayHaveRun = true
 	r.phase = PhaseSent
 	return nil
 }
 
-// Answer notes that the first part of the answer goes to the caller.
+// Answer records that the first part of the answer is about to be sent to the caller.
 func (r *Request) Answer() error {
 	if r.phase != PhaseSent {
 		return r.phaseError("answer")
@@ -119,11 +119,11 @@
 	return nil
 }
 
-// MayRetry reports whether the request may be sent (again).
+// MayRetry reports whether the request may be sent, for the first time or again.
 func (r *Request) MayRetry() bool { return r.phase == PhaseQueued }
 
-// Finish gives the request its end and returns it. whole tells that the
-// caller got the whole answer.
+// Finish sets the outcome of the request and returns it. complete tells whether the caller
+// received the complete answer.
 func (r *Request) Finish(complete bool) End {
 	switch {
 	case r.phase == PhaseDone:
--- a/router/suspects.go
+++ b/router/suspects.go
@@ -6,21 +6,20 @@
 	"time"
 )
 
-// suspectFor is how long an upstream that refused to serve is passed over.
-// Daemons ask instances twice a second, so that by then the gate is closed if
-// the upstream is at fault.
+// suspectTTL is how long an upstream is avoided after a failure. Daemons probe instances
+// twice per second, so that a faulty upstream's gate is closed by then.
 const suspectTTL = time.Second
 
-// Suspects are the upstreams that lately refused to serve or broke off. They
-// are passed over while anything else can run a request: a group that fails
-// at once has the least work and would draw all requests to itself, until no
-// retry is left. The zero value is ready to use.
+// Suspects is the set of upstreams that have recently refused to serve or broken off an
+// answer. They are avoided while another upstream can run a request: a group that fails
+// immediately has the lowest load and would attract all requests until the retry budget is
+// exhausted. The zero value is an empty set.
 type Suspects struct {
 	mu     sync.Mutex
 	expiry map[netip.AddrPort]time.Time
 }
 
-// Note puts an upstream among the suspects.
+// Note adds an upstream to the set.
 func (s *Suspects) Note(addr netip.AddrPort, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,14 +29,14 @@
 	s.expiry[addr] = now.Add(suspectTTL)
 }
 
-// Clear takes out an upstream that answered.
+// Clear removes an upstream that has answered.
 func (s *Suspects) Clear(addr netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.expiry, addr)
 }
 
-// List returns the upstreams to pass over now.
+// List returns the upstreams to avoid now.
 func (s *Suspects) List(now time.Time) []netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/router/suspects_test.go
+++ b/router/suspects_test.go
@@ -21,6 +21,6 @@
 	c.Assert(s.List(now), qt.HasLen, 2)
 
 	s.Clear(a)
-	c.Assert(slices.Equal(s.List(now), []netip.AddrPort{b}), qt.IsTrue, qt.Commentf("an upstream that answers is none"))
-	c.Assert(s.List(now.Add(suspectTTL)), qt.HasLen, 0, qt.Commentf("after a while it is asked again"))
+	c.Assert(slices.Equal(s.List(now), []netip.AddrPort{b}), qt.IsTrue, qt.Commentf("an upstream that answered is not avoided"))
+	c.Assert(s.List(now.Add(suspectTTL)), qt.HasLen, 0, qt.Commentf("an upstream is used again after suspectTTL"))
 }
