--- a/query/answer.go
+++ b/query/answer.go
@@ -14,8 +14,7 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// Facts is what a question is answered from: what one daemon knows at one
-// time.
+// Facts is the data that queries are evaluated on: a snapshot of what one daemon knows.
 type Facts struct {
 	Now       time.Time
 	Self      models.DaemonID
@@ -24,33 +23,33 @@
 	Evidence  map[models.InstanceID]planner.Evidence
 	Gates     map[models.GroupID]planner.Gate
 	Daemons   []Daemon
-	// Rules are the planner's, for questions about what it will do.
+	// Rules are the planner's rules, for queries about its decisions.
 	Rules planner.Rules
 }
 
-// Daemon is one daemon as the answering one knows it.
+// Daemon is what the daemon that evaluates the query knows of a daemon.
 type Daemon struct {
 	Status types.PeerStatus
-	// Age is how old the status is.
+	// Age is the age of the status.
 	Age      time.Duration
 	OnRoster bool
 }
 
-// Answer is what a question gives.
+// Answer is the result of a query: a table or a text.
 type Answer struct {
 	Columns []string   `json:"columns,omitempty"`
 	Rows    [][]string `json:"rows,omitempty"`
-	// Text is a sentence, or the configuration as commands.
+	// Text is an explanation, or the configuration as commands.
 	Text string `json:"text,omitempty"`
 }
 
-// Errors of a question.
+// Errors of queries.
 var (
 	ErrUnknownTable  = errors.New("no such table")
 	ErrUnknownColumn = errors.New("no such column")
 )
 
-// tables are what can be shown, by name.
+// tables holds the function that computes each table, by name.
 var tables = map[string]func(Facts) Answer{
 	"groups":     showGroups,
 	"instances":  showInstances,
@@ -64,10 +63,10 @@
 	"state":      showState,
 }
 
-// Tables lists what can be shown.
+// Tables lists the names that Show accepts.
 func Tables() []string { return append(sortedKeys(tables), "config") }
 
-// Ask answers a question. Changes are none of its business.
+// Ask evaluates a query. It returns ErrSyntax for a change.
 func Ask(f Facts, c *Command) (Answer, error) {
 	switch {
 	case c.Show != nil && c.Show.What == "config":
@@ -98,8 +97,8 @@
 	return answer, nil
 }
 
-// matches compares numbers as numbers and all else as text; "~" looks for a
-// part of the text.
+// matches reports whether a value satisfies the condition. It compares numbers numerically
+// and other values as strings; "~" tests for a substring.
 func matches(value string, c *Cond) bool {
 	comparison := strings.Compare(value, c.Value)
 	a, errA := strconv.ParseFloat(value, 64)
@@ -155,7 +154,7 @@
 	case gate.Open(f.Now):
 		return ""
 	case gate.Why == "":
-		return "nothing has been heard of a member for too long"
+		return "the evidence about a member is stale"
 	default:
 		return gate.Why
 	}
@@ -274,8 +273,8 @@
 	return answer
 }
 
-// showState tells how far the answering daemon has folded the log. Daemons
-// at the same offset show the same digest.
+// showState shows the offset up to which this daemon has applied the log. Daemons at the
+// same offset have the same digest.
 func showState(f Facts) Answer {
 	digest, err := f.State.Digest()
 	if err != nil {
@@ -315,8 +314,8 @@
 	return answer
 }
 
-// whyStranded tells why the instance's accelerators serve nobody; empty if
-// they do serve.
+// strandedReason returns why the instance's accelerators are stranded, or "" if the
+// instance's group serves.
 func strandedReason(f Facts, i models.Instance) string {
 	group, owned := f.State.Owner(i.ID)
 	switch {
@@ -369,7 +368,7 @@
 	}
 }
 
-// whyAllStranded sums the stranded accelerators up by reason.
+// strandedSummary returns the number of stranded accelerators by reason.
 func strandedSummary(f Facts) Answer {
 	rows := showStranded(f).Rows
 	if len(rows) == 0 {
--- a/query/change.go
+++ b/query/change.go
@@ -11,23 +11,22 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// Errors of a change that is written well and means nothing.
+// Errors of changes with valid syntax.
 var (
 	ErrUnknownAttr = errors.New("no such value")
 	ErrBadAttr     = errors.New("bad value")
 	ErrNotFound    = errors.New("not found")
 )
 
-// Words with a meaning of their own in lists.
+// Keywords that stand for an empty list.
 const (
 	keywordAny  = "any"
 	keywordNone = "none"
 )
 
-// Compile turns changes into operations on the configuration that the state
-// holds. Each operation is based on the revision in that state, unless the
-// change names one itself. Several changes to one entity build on one
-// another.
+// Compile compiles changes into operations on the configuration of the state. Each operation
+// is based on the entity's revision in that state, unless the change gives a revision
+// ("at revision"). Several changes of one entity apply on top of each other.
 func Compile(s *state.State, changes []*Change) ([]state.Op, error) {
 	c := &compiler{state: s, draft: newDraft(s)}
 	for _, change := range changes {
@@ -44,7 +43,7 @@
 	ops   []state.Op
 }
 
-// draft holds the entities as the changes so far leave them.
+// draft holds the entities after the changes compiled so far.
 type draft struct {
 	models     map[models.ModelName]models.Model
 	workspaces map[models.WorkspaceName]models.Workspace
@@ -176,7 +175,7 @@
 	if !exists {
 		return w, fmt.Errorf("%w: workspace %s", ErrNotFound, name)
 	}
-	// The lists are the state's own; a change works on copies.
+	// The lists are shared with the state and must not be modified in place.
 	w.Models, w.Services = slices.Clone(w.Models), slices.Clone(w.Services)
 	return w, nil
 }
@@ -221,7 +220,7 @@
 	return nil
 }
 
-// setter puts the values of one attribute onto an entity.
+// setter sets an attribute of an entity.
 type setter func(values []string) error
 
 func setAttrs(attrs []*Attr, known map[string]setter) error {
@@ -306,7 +305,8 @@
 	}
 }
 
-// setList sets a list; the single word empty stands for no entries.
+// setList returns a setter for a list. The single value emptyKeyword stands for the empty
+// list.
 func setList[S ~string](field *[]S, emptyKeyword string) setter {
 	return func(values []string) error {
 		if len(values) == 1 && values[0] == emptyKeyword {
--- a/query/diff.go
+++ b/query/diff.go
@@ -7,14 +7,14 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// Effective leaves out the operations that would put an entity as it is
-// already. Applying a file twice changes nothing the second time.
+// Effective returns the operations without those that would change nothing, so that applying
+// a file a second time makes no change.
 func Effective(s *state.State, ops []state.Op) []state.Op {
 	return slices.DeleteFunc(slices.Clone(ops), func(op state.Op) bool { return isUnchanged(s, op) })
 }
 
-// isPresent compares entities as they are printed: an empty list and none
-// are the same.
+// isUnchanged reports whether the operation would leave the state as it is. It compares
+// entities in their printed form, so that nil and empty lists are equal.
 func isUnchanged(s *state.State, op state.Op) bool {
 	switch op := op.(type) {
 	case state.PutModel:
@@ -39,8 +39,8 @@
 	}
 }
 
-// Prune returns the removals of everything that the changes do not set, so
-// that the changes become the whole configuration.
+// Prune returns changes that remove all entities and drains that the given changes don't
+// set. Together, they make the given changes the complete configuration.
 func Prune(s *state.State, changes []*Change) []*Change {
 	declared := map[string]bool{}
 	for _, c := range changes {
@@ -79,8 +79,8 @@
 	return []*Change{{Remove: &Remove{Kind: kind, Name: name}}}
 }
 
-// Diff lists the lines of the configuration that a change takes away, with
-// "-" before them, and those that it brings, with "+".
+// Diff returns the lines of the configuration that differ: removed lines begin with "- ",
+// added lines with "+ ".
 func Diff(before, after *state.State) string {
 	oldLines := strings.SplitAfter(Print(before), "\n")
 	newLines := strings.SplitAfter(Print(after), "\n")
--- a/query/fuzz_test.go
+++ b/query/fuzz_test.go
@@ -55,7 +55,7 @@
 	})
 }
 
-// TestPrintReadsBack prints a configuration and makes it anew from the text.
+// TestPrintRoundTrip checks that a printed configuration recreates the same configuration.
 func TestPrintRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	text := `set model brief version v1 members 4 replicas 2 zones a, b domains f1
--- a/query/parse.go
+++ b/query/parse.go
@@ -1,9 +1,9 @@
-// Package query is the operators' language: one small grammar for asking
-// and changing, the same on the command line, in a file and over HTTP. A
-// file of its commands is the configuration format.
+// Package query implements the operators' command language: one grammar for queries and
+// configuration changes, used on the command line, in files and over HTTP. A configuration
+// file is a list of its commands.
 //
-// A command ends with its line or with ";". A line that begins with white
-// space continues the one before. "#" starts a comment.
+// A command ends at the end of the line or with ";". A line that begins with white space
+// continues the previous line. "#" starts a comment.
 package query
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// ErrSyntax is returned for text that is no command. It tells the place.
+// ErrSyntax is returned for text that can't be parsed.
 var ErrSyntax = errors.New("can't read the command")
 
 // Script is a list of commands.
@@ -23,7 +23,7 @@
 	Commands []*Command `parser:"EOL* (@@ (EOL+ | EOF))*"`
 }
 
-// Command is one command.
+// Command is a query or a change. Exactly one of its pointers is set.
 type Command struct {
 	Pos    lexer.Position
 	Show   *Show   `parser:"  @@"`
@@ -33,13 +33,13 @@
 	Change *Change `parser:"| @@"`
 }
 
-// Show asks for a table.
+// Show queries the rows of a table, or the configuration.
 type Show struct {
 	What  string  `parser:"\"show\" @Word"`
 	Conds []*Cond `parser:"(\"where\" @@ (\"and\" @@)*)?"`
 }
 
-// Cond is one condition on a column.
+// Cond compares a column with a value.
 type Cond struct {
 	Pos   lexer.Position
 	Field string `parser:"@Word"`
@@ -47,7 +47,7 @@
 	Value string `parser:"@(Word | String)"`
 }
 
-// Why asks for a reason.
+// Why asks why an entity is in its current state.
 type Why struct {
 	What string `parser:"\"why\" @(\"group\" | \"instance\" | \"request\" | \"stranded\" | \"daemon\")"`
 	Name string `parser:"@(Word | String)?"`
@@ -58,7 +58,7 @@
 	Request string `parser:"\"where\" \"request\" @(Word | String)"`
 }
 
-// Change asks for a change.
+// Change is a configuration change. Exactly one of its operations is set.
 type Change struct {
 	Pos     lexer.Position
 	Set     *Set    `parser:"( @@"`
@@ -72,27 +72,27 @@
 	Note    string  `parser:"(\"because\" @String)?"`
 }
 
-// Set puts values on an entity, which is made if it does not exist.
+// Set sets attributes of an entity. It creates the entity if it doesn't exist.
 type Set struct {
 	Kind  string  `parser:"\"set\" @(\"model\" | \"workspace\" | \"service\" | \"operator\")"`
 	Name  string  `parser:"@Word"`
 	Attrs []*Attr `parser:"@@*"`
 }
 
-// Attr is one value or list of values.
+// Attr is an attribute with its value or list of values.
 type Attr struct {
 	Pos    lexer.Position
 	Key    string   `parser:"(?! \"because\" | \"at\") @Word"`
 	Values []string `parser:"@(Word | String) (\",\" @(Word | String))*"`
 }
 
-// Remove takes an entity away.
+// Remove removes an entity.
 type Remove struct {
 	Kind string `parser:"\"remove\" @(\"model\" | \"workspace\" | \"service\" | \"operator\")"`
 	Name string `parser:"@Word"`
 }
 
-// Allow lets a workspace use models or services, or takes that back.
+// Allow grants a workspace the use of models or services, or revokes it (Verb is "deny").
 type Allow struct {
 	Verb      string   `parser:"@(\"allow\" | \"deny\") \"workspace\""`
 	Workspace string   `parser:"@Word"`
@@ -100,13 +100,13 @@
 	Names     []string `parser:"@Word (\",\" @Word)*"`
 }
 
-// Limit changes what a workspace may take.
+// Limit sets the share or the concurrency limit of a workspace.
 type Limit struct {
 	Workspace string  `parser:"\"limit\" \"workspace\" @Word"`
 	Attrs     []*Attr `parser:"@@+"`
 }
 
-// Weigh sets the weights between the two measures.
+// Weigh sets the weights of downtime and stranded accelerators in planning.
 type Weigh struct {
 	Downtime int `parser:"\"weigh\" \"downtime\" @Word"`
 	Stranded int `parser:"\"stranded\" @Word"`
@@ -130,10 +130,10 @@
 	participle.UseLookahead(2),
 )
 
-// MaxScriptLen is the longest text accepted, in bytes.
+// MaxScriptLen is the maximum length of the text in bytes.
 const MaxScriptLen = 1 << 20
 
-// Parse reads commands. Its error wraps ErrSyntax and names line and column.
+// Parse parses commands. A syntax error wraps ErrSyntax and has the line and column.
 //
 // See ExampleParse.
 func Parse(text string) ([]*Command, error) {
--- a/query/preview.go
+++ b/query/preview.go
@@ -7,7 +7,7 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// Preview tells what the planner would do first if the state were next.
+// Preview returns the changes that the planner's next round would propose in the given state.
 func Preview(f Facts, next *state.State) Answer {
 	answer := Answer{Columns: []string{"step", "group", "domain", "reason"}}
 	in := f.input()
--- a/query/print.go
+++ b/query/print.go
@@ -13,8 +13,8 @@
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Print writes the configuration as commands that would make it anew, one a
-// line. Compile reads it back.
+// Print returns the configuration as commands that recreate it, one per line. Parse and
+// Compile accept them.
 func Print(s *state.State) string {
 	var b strings.Builder
 	for _, name := range sortedKeys(s.Models) {
--- a/query/trail.go
+++ b/query/trail.go
@@ -8,8 +8,8 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// inFlight is the end of a request that has none yet, or whose daemon was
-// lost before it had one.
+// noOutcome is shown for a request that has no outcome yet, or whose daemon failed before
+// it recorded one.
 const noOutcome = "in-flight or lost"
 
 func outcomeOf(e models.TrailEntry) string {
@@ -19,7 +19,7 @@
 	return e.End
 }
 
-// WhereRequest tells where a request ran.
+// WhereRequest returns a table that shows where a request ran.
 func WhereRequest(e models.TrailEntry) Answer {
 	return Answer{
 		Columns: []string{"request", "end", "workspace", "wanted", "version", "group", "instances", "zone", "domain", "daemon", "started", "took", "tries"},
@@ -39,7 +39,7 @@
 	return strings.Join(names, ",")
 }
 
-// WhyRequest tells in a sentence why a request ended as it did.
+// WhyRequest returns a text that explains the outcome of a request.
 func WhyRequest(e models.TrailEntry) Answer {
 	place := "It was sent nowhere"
 	if len(e.Instances) > 0 {
