--- a/planner/assign.go
+++ b/planner/assign.go
@@ -215,11 +215,11 @@
 			return
 		}
 		m := wanted[model]
-		most := 0
+		maxGroups := 0
 		if m.Place.Allows(s.zone, s.domain) {
-			most = min(m.Replicas, max(0, left)/m.Members)
+			maxGroups = min(m.Replicas, max(0, left)/m.Members)
 		}
-		for n := 0; n <= most; n++ {
+		for n := 0; n <= maxGroups; n++ {
 			current[model] = n
 			extend(model+1, left-n*m.Members)
 		}
--- a/planner/form.go
+++ b/planner/form.go
@@ -64,6 +64,9 @@
 	return out
 }
 
+// formGroup proposes a new group of the model in a domain. It reports whether it did: it
+// doesn't if too few instances are available, or if the model has enough groups and none of
+// its degraded groups is there to repair.
 func (p *round) formGroup(d models.Domain, m models.Model) bool {
 	next := models.Group{Model: m.Name, Version: m.Version, Zone: p.zones[d], Domain: d}
 	form := state.FormGroup{ModelRevision: m.Revision, Reason: "its model wants more replicas"}
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -141,6 +141,7 @@
 	return p.Evidence[id].alive(p.Now, p.Rules.Bound)
 }
 
+// leaving reports whether the instance is drained or is shutting down.
 func (p *round) leaving(id models.InstanceID) bool {
 	_, drained := p.State.Drained[id]
 	return drained || p.Instances[id].Leaving || p.Evidence[id].Status.Leaving
--- a/planner/supply.go
+++ b/planner/supply.go
@@ -11,7 +11,7 @@
 // supplies returns the capacity of each domain.
 func (p *round) supplies() []supply {
 	out := make([]supply, 0, len(p.domains))
-	at := map[models.Domain]int{}
+	index := map[models.Domain]int{}
 	for _, d := range p.domains {
 		s := supply{domain: d, zone: p.zones[d], healthy: map[models.ModelName]int{}, accelerators: p.engines[d][0].Accelerators}
 		for _, i := range p.engines[d] {
@@ -19,11 +19,11 @@
 				s.usable++
 			}
 		}
-		at[d] = len(out)
+		index[d] = len(out)
 		out = append(out, s)
 	}
 	for _, g := range p.groups {
-		if i, known := at[g.Domain]; known && p.health[g.ID] == groupHealthy && !p.ended[g.ID] {
+		if i, known := index[g.Domain]; known && p.health[g.ID] == groupHealthy && !p.ended[g.ID] {
 			out[i].healthy[g.Model]++
 		}
 	}
--- a/router/admit.go
+++ b/router/admit.go
@@ -46,7 +46,7 @@
 // NewAdmission returns an Admission without requests in flight.
 func NewAdmission() *Admission { return &Admission{pools: map[models.ModelName]*pool{}} }
 
-// Enter admits a request, or returns ErrOverloaded without waiting. A negative capacity is
+// Enter admits a request, or returns ErrOverloaded without waiting. A capacity below 0 is
 // unknown and sets no limit. An admitted request must be ended by Leave.
 func (a *Admission) Enter(m models.ModelName, w models.Workspace, capacity, priority int) error {
 	a.mu.Lock()
--- a/router/choose.go
+++ b/router/choose.go
@@ -57,9 +57,9 @@
 // InFlightFunc returns how many requests this daemon has in flight at an address.
 type InFlightFunc func(netip.AddrPort) int
 
-// affinityLoadSlack is how much a group's load may exceed that of the least loaded group for
-// the group to be preferred for its prefix cache. Load is relative to the group's slots.
-const affinityLoadSlack = 0.25
+// affinityUtilizationSlack is how much a group's utilization may exceed that of the least utilized
+// group for the group to be preferred for its prefix cache.
+const affinityUtilizationSlack = 0.25
 
 // Prompt describes a prompt for cache affinity.
 type Prompt struct {
@@ -72,19 +72,19 @@
 // candidate is a group that can take the request now.
 type candidate struct {
 	group models.Group
-	// load is the estimated load relative to the group's slots: the requests that this
-	// daemon has in flight at the group, times the number of daemons (assuming that the
-	// others have as many), plus the queue length that the engine reports. The reported
-	// number of running requests is not used: it is a second old, and all daemons would
-	// send to the same group that was idle then.
-	load float64
+	// utilization is the estimated fraction of the group's slots that is in use: the
+	// requests that this daemon has in flight at the group, times the number of daemons
+	// (assuming that the others have as many), plus the queue length that the engine
+	// reports. The reported number of running requests is not used: it is a second old, and
+	// all daemons would send to the same group that was idle then.
+	utilization float64
 }
 
 // ChooseGroup chooses the group that runs a request for the model. It considers groups that
 // the placement rules allow, that are open and not full, and whose address is not in
-// exclude. It chooses the least loaded of them. For a prompt prefix that has been seen before,
-// it chooses by rendezvous hashing of the prefix among the groups whose load is at most
-// affinityLoadSlack higher. So prompts with the same prefix use the same cache,
+// exclude. It chooses the least utilized of them. For a prompt prefix that has been seen
+// before, it chooses by rendezvous hashing of the prefix among the groups whose utilization
+// is at most affinityUtilizationSlack higher. So prompts with the same prefix use the same cache,
 // whichever daemon they arrive at, without relying on cache events, which arrive late and
 // with gaps.
 func (t Table) ChooseGroup(w models.Workspace, m models.ModelName, p Prompt, now time.Time, inFlight InFlightFunc, exclude []netip.AddrPort) (Target, error) {
@@ -92,16 +92,16 @@
 	if err != nil {
 		return Target{}, err
 	}
-	lowest := slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.load, b.load) }).load
+	lowest := slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.utilization, b.utilization) }).utilization
 	slack := 0.0
 	if p.Seen {
-		slack = affinityLoadSlack
+		slack = affinityUtilizationSlack
 	}
 	var best models.Group
 	var bestWeight uint64
 	for _, c := range candidates {
 		weight := affinityWeight(p.Prefix, c.group.ID)
-		if c.load <= lowest+slack && (best.ID == "" || weight > bestWeight) {
+		if c.utilization <= lowest+slack && (best.ID == "" || weight > bestWeight) {
 			best, bestWeight = c.group, weight
 		}
 	}
@@ -139,7 +139,7 @@
 			continue
 		}
 		load := t.Gates[id].Load
-		out = append(out, candidate{group: g, load: float64(load.Queued+own*max(1, t.Daemons)) / float64(max(1, load.Slots))})
+		out = append(out, candidate{group: g, utilization: float64(load.Queued+own*max(1, t.Daemons)) / float64(max(1, load.Slots))})
 	}
 	switch {
 	case len(out) > 0:
--- a/router/choose_test.go
+++ b/router/choose_test.go
@@ -61,7 +61,7 @@
 }
 
 // TestPrefixAffinity checks that prompts with the same prefix go to the same group until its
-// load is much higher than that of another.
+// utilization is much higher than that of another.
 func TestPrefixAffinity(t *testing.T) {
 	c := qt.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/state/apply.go
+++ b/state/apply.go
@@ -37,26 +37,26 @@
 type Event interface{ event() }
 
 type (
-	// ConfigChanged: a ChangeConfig was accepted.
+	// ConfigChanged is the event of an accepted ChangeConfig.
 	ConfigChanged struct{ Operator models.OperatorName }
-	// GroupFormed: a group was formed.
+	// GroupFormed is the event of a new group.
 	GroupFormed struct {
 		Group  models.Group
 		Reason string
 	}
-	// GroupRetired: a group takes no new requests.
+	// GroupRetired is the event of a group that takes no new requests any longer.
 	GroupRetired struct {
 		Group  models.Group
 		Reason string
 	}
-	// GroupEnded: a group was removed.
+	// GroupEnded is the event of a removed group.
 	GroupEnded struct {
 		Group  models.Group
 		Reason string
 	}
-	// DaemonJoined: a daemon or its new incarnation joined the roster.
+	// DaemonJoined is the event of a daemon, or its new incarnation, that joined the roster.
 	DaemonJoined struct{ Daemon models.Daemon }
-	// DaemonLeft: a daemon was removed from the roster.
+	// DaemonLeft is the event of a daemon that was removed from the roster.
 	DaemonLeft struct {
 		Daemon models.Daemon
 		Reason string
--- a/state/checkpoint.go
+++ b/state/checkpoint.go
@@ -59,11 +59,11 @@
 			newest = key
 		}
 	}
-	var whole []byte
+	var joined []byte
 	for part := range newest.parts {
-		whole = append(whole, parts[newest][part]...)
+		joined = append(joined, parts[newest][part]...)
 	}
-	return newest.at, whole
+	return newest.at, joined
 }
 
 // Restore decodes a marshalled state and checks that its offset is at.
--- a/state/claim.go
+++ b/state/claim.go
@@ -40,7 +40,7 @@
 		if c.At.After(s.latestClaimTime) {
 			s.latestClaimTime = c.At
 		}
-		if _, held := s.Claims[c.Key]; !held {
+		if _, claimed := s.Claims[c.Key]; !claimed {
 			s.Claims[c.Key] = c
 			s.claimKeys = append(s.claimKeys, c.Key)
 		}
@@ -55,7 +55,7 @@
 	out := make([]Claim, 0, len(s.Claims))
 	listed := make(map[string]bool, len(s.Claims))
 	for _, key := range s.claimKeys {
-		if c, held := s.Claims[key]; held && !listed[key] {
+		if c, claimed := s.Claims[key]; claimed && !listed[key] {
 			listed[key] = true
 			out = append(out, c)
 		}
@@ -73,8 +73,8 @@
 // which is that of their times except for clock skew between the authors.
 func (s *State) expireClaims() {
 	for len(s.claimKeys) > 0 {
-		oldest, held := s.Claims[s.claimKeys[0]]
-		if held && s.latestClaimTime.Sub(oldest.At) <= ClaimRetention {
+		oldest, claimed := s.Claims[s.claimKeys[0]]
+		if claimed && s.latestClaimTime.Sub(oldest.At) <= ClaimRetention {
 			return
 		}
 		delete(s.Claims, s.claimKeys[0])
