--- a/planner/why.go
+++ b/planner/why.go
@@ -20,7 +20,7 @@
 	supplies := p.supplies()
 	target := assign(supplies, p.wantedModels(), in.State.Policy)
 	if !in.Evidence[i.ID].stable(in.Now) {
-		return "it is flapping: it keeps becoming unreachable and returning"
+		return "it keeps going away and coming back"
 	}
 	for _, name := range slices.Sorted(maps.Keys(in.State.Models)) {
 		m := in.State.Models[name]
--- a/query/answer.go
+++ b/query/answer.go
@@ -154,7 +154,7 @@
 	case gate.Open(f.Now):
 		return ""
 	case gate.Why == "":
-		return "the evidence about a member is stale"
+		return "nothing has been heard of a member for too long"
 	default:
 		return gate.Why
 	}
--- a/router/choose_test.go
+++ b/router/choose_test.go
@@ -79,7 +79,7 @@
 	prompt := router.Prompt{Prefix: 7, Seen: true}
 	first, err := table.ChooseGroup(w, "m", prompt, now, idle, nil)
 	c.Assert(err, qt.IsNil)
-	busy := func(n int) router.InFlightFunc {
+	inFlightAtFirst := func(n int) router.InFlightFunc {
 		return func(a netip.AddrPort) int {
 			if a == first.Addr {
 				return n
@@ -88,7 +88,7 @@
 		}
 	}
 	for n, same := range map[int]bool{2: true, 3: false, 12: false} {
-		next, err := table.ChooseGroup(w, "m", prompt, now, busy(n), nil)
+		next, err := table.ChooseGroup(w, "m", prompt, now, inFlightAtFirst(n), nil)
 		c.Assert(err, qt.IsNil)
 		c.Assert(next.Addr == first.Addr, qt.Equals, same, qt.Commentf("with %d in flight", n))
 	}
