--- a/query/trail.go
+++ b/query/trail.go
@@ -8,23 +8,23 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// inFlight is the end of a request that has none yet, or whose daemon was
-// lost before it had one.
-const inFlight = "in-flight or lost"
+// noOutcome is shown for a request that has no outcome yet, or whose daemon failed before
+// it recorded one.
+const noOutcome = "in-flight or lost"
 
-func endOf(e models.TrailEntry) string {
+func outcomeOf(e models.TrailEntry) string {
 	if e.End == "" {
-		return inFlight
+		return noOutcome
 	}
 	return e.End
 }
 
-// WhereRequest tells where a request ran.
+// WhereRequest returns a table that shows where a request ran.
 func WhereRequest(e models.TrailEntry) Answer {
 	return Answer{
 		Columns: []string{"request", "end", "workspace", "wanted", "version", "group", "instances", "zone", "domain", "daemon", "started", "took", "tries"},
 		Rows: [][]string{{
-			string(e.Request), endOf(e), string(e.Workspace), e.Wanted, string(e.Version), string(e.Group), instanceList(e),
+			string(e.Request), outcomeOf(e), string(e.Workspace), e.Wanted, string(e.Version), string(e.Group), instanceList(e),
 			string(e.Zone), string(e.Domain), string(e.Daemon), e.Started.UTC().Format(time.RFC3339Nano),
 			e.Took.Round(time.Millisecond).String(), fmt.Sprint(e.Tries),
 		}},
@@ -39,13 +39,13 @@
 	return strings.Join(names, ",")
 }
 
-// WhyRequest tells in a sentence why a request ended as it did.
+// WhyRequest returns a text that explains the outcome of a request.
 func WhyRequest(e models.TrailEntry) Answer {
 	place := "It was sent nowhere"
 	if len(e.Instances) > 0 {
 		place = fmt.Sprintf("It was sent to %s in zone %s, fabric domain %s", instanceList(e), e.Zone, e.Domain)
 	}
-	text := fmt.Sprintf("Request %s ended %s after %d tries. %s.", e.Request, endOf(e), e.Tries, place)
+	text := fmt.Sprintf("Request %s ended %s after %d tries. %s.", e.Request, outcomeOf(e), e.Tries, place)
 	if e.Reason != "" {
 		text += " The reason: " + e.Reason + "."
 	}
--- a/router/choose.go
+++ b/router/choose.go
@@ -15,23 +15,23 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// Reasons why a request finds no upstream.
+// Reasons why no upstream is found for a request.
 var (
 	ErrUnknownModel   = errors.New("no such model")
 	ErrUnknownService = errors.New("no such service")
 	ErrNotAllowed     = errors.New("not allowed for this workspace")
-	// ErrNoUpstream: nothing that may run the request can take it now.
+	// ErrNoUpstream: no upstream that is allowed to run the request can take it now.
 	ErrNoUpstream = errors.New("nothing can take the request now")
 )
 
-// Table is what the choice is made from.
+// Table is the routing table: the data from which upstreams are chosen.
 type Table struct {
 	State *state.State
 	Gates map[models.GroupID]planner.Gate
-	// Daemons is how many daemons serve, this one included.
+	// Daemons is the number of serving daemons, including this one.
 	Daemons int
-	// Capacity is how many requests this daemon may have in flight at each
-	// group; a group that does not tell how many it runs is not in it.
+	// Capacity is how many requests this daemon may have in flight at each group. It has no
+	// entry for groups that don't report how many requests they run concurrently.
 	Capacity map[models.GroupID]int
 	// Services lists the instances of each plain service.
 	Services map[models.ServiceName][]ServiceInstance
@@ -40,12 +40,12 @@
 // ServiceInstance is one instance of a plain service.
 type ServiceInstance struct {
 	Instance models.Instance
-	// OpenUntil is the time from which the instance takes no requests
-	// unless newer evidence comes.
+	// OpenUntil is the time from which the instance gets no requests unless newer evidence
+	// arrives.
 	OpenUntil time.Time
 }
 
-// Target is where a request is to run. Group is zero for a plain service.
+// Target is the upstream chosen for a request. Group is the zero value for a plain service.
 type Target struct {
 	Group     models.Group
 	Addr      netip.AddrPort
@@ -54,61 +54,62 @@
 	Domain    models.Domain
 }
 
-// Busy tells how many requests this daemon has in flight at an address.
-type Busy func(netip.AddrPort) int
+// InFlightFunc returns how many requests this daemon has in flight at an address.
+type InFlightFunc func(netip.AddrPort) int
 
-// affinitySlack is how much busier than the least busy group, in parts of
-// what it runs at once, a group may be and still be preferred for its cache.
-const affinitySlack = 0.25
+// affinityUtilizationSlack is how much a group's utilization may exceed that of the least utilized
+// group for the group to be preferred for its prefix cache.
+const affinityUtilizationSlack = 0.25
 
-// Prompt is what the choice needs to know of a prompt.
+// Prompt describes a prompt for cache affinity.
 type Prompt struct {
-	// Prefix is a hash of its beginning; Seen tells that this came before.
+	// Prefix is a hash of the beginning of the prompt. Seen is set if a recent prompt had the
+	// same prefix.
 	Prefix uint64
 	Seen   bool
 }
 
-// candidate is a group that may take the request now.
+// candidate is a group that can take the request now.
 type candidate struct {
 	group models.Group
-	// busy is the part of its slots that is taken, as far as is known: what
-	// this daemon has in flight, taken for what each of the others has, and
-	// the queue that the engine reports. What it reports as running is left
-	// out: it is a second old, and all daemons would follow it at once to
-	// the group that was idle then.
-	busy float64
+	// utilization is the estimated fraction of the group's slots that is in use: the
+	// requests that this daemon has in flight at the group, times the number of daemons
+	// (assuming that the others have as many), plus the queue length that the engine
+	// reports. The reported number of running requests is not used: it is a second old, and
+	// all daemons would send to the same group that was idle then.
+	utilization float64
 }
 
-// ChooseGroup returns where a request for the model should run: among the
-// groups that the place rules allow, an open one that has not been tried and
-// is not full: the least busy one, or, for a prompt whose beginning came
-// before, one that is not much busier and comes first in an order that
-// depends on that beginning. So prompts that begin alike meet in the same
-// cache, whichever daemon they come through, without relying on cache events,
-// which come late and with gaps.
-func (t Table) ChooseGroup(w models.Workspace, m models.ModelName, p Prompt, now time.Time, busy Busy, tried []netip.AddrPort) (Target, error) {
-	candidates, err := t.candidates(w, m, now, busy, tried)
+// ChooseGroup chooses the group that runs a request for the model. It considers groups that
+// the placement rules allow, that are open and not full, and whose address is not in
+// exclude. It chooses the least utilized of them. For a prompt prefix that has been seen
+// before, it chooses by rendezvous hashing of the prefix among the groups whose utilization
+// is at most affinityUtilizationSlack higher. So prompts with the same prefix use the same cache,
+// whichever daemon they arrive at, without relying on cache events, which arrive late and
+// with gaps.
+func (t Table) ChooseGroup(w models.Workspace, m models.ModelName, p Prompt, now time.Time, inFlight InFlightFunc, exclude []netip.AddrPort) (Target, error) {
+	candidates, err := t.candidates(w, m, now, inFlight, exclude)
 	if err != nil {
 		return Target{}, err
 	}
-	least := slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.busy, b.busy) }).busy
+	lowest := slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.utilization, b.utilization) }).utilization
 	slack := 0.0
 	if p.Seen {
-		slack = affinitySlack
+		slack = affinityUtilizationSlack
 	}
 	var best models.Group
 	var bestWeight uint64
 	for _, c := range candidates {
-		weight := affinity(p.Prefix, c.group.ID)
-		if c.busy <= least+slack && (best.ID == "" || weight > bestWeight) {
+		weight := affinityWeight(p.Prefix, c.group.ID)
+		if c.utilization <= lowest+slack && (best.ID == "" || weight > bestWeight) {
 			best, bestWeight = c.group, weight
 		}
 	}
 	return targetOf(best), nil
 }
 
-// affinity is the weight of a group in the order for a prefix.
-func affinity(prefix uint64, id models.GroupID) uint64 {
+// affinityWeight returns the rendezvous hashing weight of a group for a prefix.
+func affinityWeight(prefix uint64, id models.GroupID) uint64 {
 	h := fnv.New64a()
 	var buf [8]byte
 	binary.BigEndian.PutUint64(buf[:], prefix)
@@ -117,9 +118,8 @@
 	return planner.Mix(h.Sum64())
 }
 
-// candidates lists the groups that may take the request now; there is at
-// least one if there is no error.
-func (t Table) candidates(w models.Workspace, m models.ModelName, now time.Time, busy Busy, tried []netip.AddrPort) ([]candidate, error) {
+// candidates returns the groups that can take the request now, or an error if there are none.
+func (t Table) candidates(w models.Workspace, m models.ModelName, now time.Time, inFlight InFlightFunc, exclude []netip.AddrPort) ([]candidate, error) {
 	model, ok := t.State.Models[m]
 	if !ok {
 		return nil, fmt.Errorf("%w: %s", ErrUnknownModel, m)
@@ -130,16 +130,16 @@
 	var out []candidate
 	full := false
 	for id, g := range t.State.Groups {
-		if !t.mayRun(w, model, g) || !t.Gates[id].Open(now) || slices.Contains(tried, g.Members[0].Addr) {
+		if !t.placementAllowed(w, model, g) || !t.Gates[id].Open(now) || slices.Contains(exclude, g.Members[0].Addr) {
 			continue
 		}
-		own := busy(g.Members[0].Addr)
+		own := inFlight(g.Members[0].Addr)
 		if capacity, known := t.Capacity[id]; known && own >= capacity {
 			full = true
 			continue
 		}
 		load := t.Gates[id].Load
-		out = append(out, candidate{group: g, busy: float64(load.Queued+own*max(1, t.Daemons)) / float64(max(1, load.Slots))})
+		out = append(out, candidate{group: g, utilization: float64(load.Queued+own*max(1, t.Daemons)) / float64(max(1, load.Slots))})
 	}
 	switch {
 	case len(out) > 0:
@@ -151,17 +151,17 @@
 	}
 }
 
-// CapacityFor sums up what this daemon may have in flight for a model at the
-// groups where the workspace may run; -1 if it is not known.
+// CapacityFor returns how many requests this daemon may have in flight for a model, over all
+// open groups that the workspace may use; -1 if the capacity of none of them is known.
 func (t Table) CapacityFor(w models.Workspace, m models.ModelName, now time.Time) int {
 	total, known := 0, false
 	for id, g := range t.State.Groups {
-		if !t.mayRun(w, t.State.Models[m], g) || !t.Gates[id].Open(now) {
+		if !t.placementAllowed(w, t.State.Models[m], g) || !t.Gates[id].Open(now) {
 			continue
 		}
-		capacity, told := t.Capacity[id]
+		capacity, reported := t.Capacity[id]
 		total += capacity
-		known = known || told
+		known = known || reported
 	}
 	if !known {
 		return -1
@@ -169,9 +169,9 @@
 	return total
 }
 
-// mayRun applies every place rule: the model's, the workspace's, and which
-// versions the workspace may use.
-func (t Table) mayRun(w models.Workspace, model models.Model, g models.Group) bool {
+// placementAllowed checks the placement rules of the model and the workspace, and whether
+// the workspace may use the group's version.
+func (t Table) placementAllowed(w models.Workspace, model models.Model, g models.Group) bool {
 	return g.Model == model.Name && w.AllowsModel(g.Model, g.Version) &&
 		model.Place.Allows(g.Zone, g.Domain) && w.Place.Allows(g.Zone, g.Domain)
 }
@@ -184,9 +184,9 @@
 	return target
 }
 
-// ChooseService returns the instance of a plain service that should run a
-// call: the one with the least work of this daemon's.
-func (t Table) ChooseService(w models.Workspace, name models.ServiceName, now time.Time, busy Busy, tried []netip.AddrPort) (Target, error) {
+// ChooseService chooses the instance of a plain service that runs a request: the one with
+// the fewest requests of this daemon in flight.
+func (t Table) ChooseService(w models.Workspace, name models.ServiceName, now time.Time, inFlight InFlightFunc, exclude []netip.AddrPort) (Target, error) {
 	service, ok := t.State.Services[name]
 	if !ok {
 		return Target{}, fmt.Errorf("%w: %s", ErrUnknownService, name)
@@ -195,15 +195,15 @@
 		return Target{}, fmt.Errorf("%w: service %s", ErrNotAllowed, name)
 	}
 	var best models.Instance
-	bestWork := 0
+	lowest := 0
 	for _, s := range t.Services[name] {
 		i := s.Instance
 		allowed := service.Place.Allows(i.Zone, i.Domain) && w.Place.Allows(i.Zone, i.Domain)
-		if !allowed || !now.Before(s.OpenUntil) || slices.Contains(tried, i.Addr) {
+		if !allowed || !now.Before(s.OpenUntil) || slices.Contains(exclude, i.Addr) {
 			continue
 		}
-		if work := busy(i.Addr); best.ID == "" || work < bestWork {
-			best, bestWork = i, work
+		if n := inFlight(i.Addr); best.ID == "" || n < lowest {
+			best, lowest = i, n
 		}
 	}
 	if best.ID == "" {
--- a/router/choose_test.go
+++ b/router/choose_test.go
@@ -24,9 +24,9 @@
 	return models.Place{Zones: zones, Domains: domains}
 }
 
-// TestPlaceRulesAreNeverBroken draws configurations and requests: where a
-// request is sent, every rule allows.
-func TestPlaceRulesAreNeverBroken(t *testing.T) {
+// TestChooseGroupRespectsPlacementRules checks for random configurations and requests that
+// the chosen group is open and allowed by all placement rules.
+func TestChooseGroupRespectsPlacementRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		s := state.New()
@@ -60,9 +60,9 @@
 	})
 }
 
-// TestAffinity sends prompts that begin alike to one group until it is much
-// busier than another.
-func TestAffinity(t *testing.T) {
+// TestPrefixAffinity checks that prompts with the same prefix go to the same group until its
+// utilization is much higher than that of another.
+func TestPrefixAffinity(t *testing.T) {
 	c := qt.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	s := state.New()
@@ -79,7 +79,7 @@
 	prompt := router.Prompt{Prefix: 7, Seen: true}
 	first, err := table.ChooseGroup(w, "m", prompt, now, idle, nil)
 	c.Assert(err, qt.IsNil)
-	busy := func(n int) router.Busy {
+	inFlightAtFirst := func(n int) router.InFlightFunc {
 		return func(a netip.AddrPort) int {
 			if a == first.Addr {
 				return n
@@ -88,7 +88,7 @@
 		}
 	}
 	for n, same := range map[int]bool{2: true, 3: false, 12: false} {
-		next, err := table.ChooseGroup(w, "m", prompt, now, busy(n), nil)
+		next, err := table.ChooseGroup(w, "m", prompt, now, inFlightAtFirst(n), nil)
 		c.Assert(err, qt.IsNil)
 		c.Assert(next.Addr == first.Addr, qt.Equals, same, qt.Commentf("with %d in flight", n))
 	}
--- a/state/state.go
+++ b/state/state.go
@@ -13,21 +13,20 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// RememberedIDs is how many of the last record ids the state keeps, to tell
-// a doubled record from a new one. A proposer tries for at most ten seconds
-// and the log takes some hundred appends a second, so a record's tries lie
-// within a few thousand offsets. A double that comes even later meets the
-// revision checks, which refuse it as stale.
-const RememberedIDs = 4096
-
-// KeptAudit is how many audit entries the state keeps: about a week at
-// 7,100 changes a day.
-const KeptAudit = 50000
-
-// State is everything that the daemons agree on. Values in its maps are
-// never changed in place, so a Clone may share them.
+// MaxRecentIDs is how many record IDs the state keeps to detect duplicate records. A
+// proposer retries for at most ten seconds and the log takes a few hundred appends per
+// second, so all attempts to append a record are within a few thousand offsets. A duplicate
+// that arrives even later is refused as stale by the revision checks.
+const MaxRecentIDs = 4096
+
+// MaxAuditEntries is how many audit entries the state keeps: about a week at 7,100 changes
+// per day.
+const MaxAuditEntries = 50000
+
+// State is the replicated state of all daemons. Values in its maps are never modified in
+// place, so clones share them.
 type State struct {
-	// Applied is the offset of the last record folded.
+	// Applied is the offset of the last applied record.
 	Applied    models.Offset
 	Models     map[models.ModelName]models.Model
 	Workspaces map[models.WorkspaceName]models.Workspace
@@ -41,23 +40,22 @@
 	// ConfigOffset is the offset of the last accepted ChangeConfig.
 	ConfigOffset models.Offset
 
-	// Claims are the keys of requests that may run only once. A Clone is
-	// without them.
+	// Claims holds the claims of idempotency keys, by key. A clone has none.
 	Claims map[string]Claim
 
-	// claimOrder lists the keys of claims as they were folded, newestClaim
-	// is the latest time in any.
-	claimOrder  []string
-	newestClaim time.Time
+	// claimKeys lists the claimed keys in the order in which they were applied.
+	// latestClaimTime is the latest time in any claim.
+	claimKeys       []string
+	latestClaimTime time.Time
 
-	// owner is derived from Groups.
+	// owner maps instances to their groups. It is derived from Groups.
 	owner map[models.InstanceID]models.GroupID
-	// recent lists the last RememberedIDs ids, oldest first.
-	recent []models.RecordID
-	seen   map[models.RecordID]struct{}
+	// recentIDs lists the last MaxRecentIDs record IDs, oldest first.
+	recentIDs []models.RecordID
+	seenIDs   map[models.RecordID]struct{}
 }
 
-// New returns the state before the first record.
+// New returns the initial state, before the first record.
 func New() *State {
 	return &State{
 		Models:     map[models.ModelName]models.Model{},
@@ -70,7 +68,7 @@
 		Daemons:    map[models.DaemonID]models.Daemon{},
 		Claims:     map[string]Claim{},
 		owner:      map[models.InstanceID]models.GroupID{},
-		seen:       map[models.RecordID]struct{}{},
+		seenIDs:    map[models.RecordID]struct{}{},
 	}
 }
 
@@ -80,9 +78,8 @@
 	return g, ok
 }
 
-// Clone returns a copy that later records do not change. A clone is for
-// reading, not for folding on; it is without claims, of which there may be
-// many.
+// Clone returns a copy that records applied later don't change. A clone is read-only:
+// records must not be applied to it. It has no claims, because there may be many.
 func (s *State) Clone() *State {
 	c := *s
 	c.Models = maps.Clone(s.Models)
@@ -94,48 +91,47 @@
 	c.Daemons = maps.Clone(s.Daemons)
 	c.owner = maps.Clone(s.owner)
 	c.Audit = slices.Clip(s.Audit)
-	c.recent = slices.Clip(s.recent)
-	c.seen = nil
-	c.Claims, c.claimOrder = nil, nil
+	c.recentIDs = slices.Clip(s.recentIDs)
+	c.seenIDs = nil
+	c.Claims, c.claimKeys = nil, nil
 	return &c
 }
 
-// snapshot is the canonical form of a state: the same state always gives
-// the same bytes.
+// snapshot is the canonical encoding of a state: equal states have equal bytes.
 type snapshot struct {
-	Applied      models.Offset       `msgpack:"o"`
-	ConfigOffset models.Offset       `msgpack:"c"`
-	Models       []models.Model      `msgpack:"m"`
-	Workspaces   []models.Workspace  `msgpack:"w"`
-	Services     []models.Service    `msgpack:"s"`
-	Operators    []models.Operator   `msgpack:"op"`
-	Policy       models.Policy       `msgpack:"p"`
-	Drained      []models.Drain      `msgpack:"dr"`
-	Groups       []models.Group      `msgpack:"g"`
-	Daemons      []models.Daemon     `msgpack:"d"`
-	Audit        []models.AuditEntry `msgpack:"a"`
-	Recent       []models.RecordID   `msgpack:"r"`
-	Claims       []Claim             `msgpack:"k"`
-	NewestClaim  time.Time           `msgpack:"kt"`
+	Applied         models.Offset       `msgpack:"o"`
+	ConfigOffset    models.Offset       `msgpack:"c"`
+	Models          []models.Model      `msgpack:"m"`
+	Workspaces      []models.Workspace  `msgpack:"w"`
+	Services        []models.Service    `msgpack:"s"`
+	Operators       []models.Operator   `msgpack:"op"`
+	Policy          models.Policy       `msgpack:"p"`
+	Drained         []models.Drain      `msgpack:"dr"`
+	Groups          []models.Group      `msgpack:"g"`
+	Daemons         []models.Daemon     `msgpack:"d"`
+	Audit           []models.AuditEntry `msgpack:"a"`
+	RecentIDs       []models.RecordID   `msgpack:"r"`
+	Claims          []Claim             `msgpack:"k"`
+	LatestClaimTime time.Time           `msgpack:"kt"`
 }
 
-// Marshal writes the state in its canonical form.
+// Marshal returns the canonical encoding of the state.
 func (s *State) Marshal() ([]byte, error) {
 	data, err := pack.Marshal(snapshot{
-		Applied:      s.Applied,
-		ConfigOffset: s.ConfigOffset,
-		Models:       sorted(s.Models),
-		Workspaces:   sorted(s.Workspaces),
-		Services:     sorted(s.Services),
-		Operators:    sorted(s.Operators),
-		Policy:       s.Policy,
-		Drained:      sorted(s.Drained),
-		Groups:       sorted(s.Groups),
-		Daemons:      sorted(s.Daemons),
-		Audit:        s.Audit,
-		Recent:       s.recent,
-		Claims:       s.heldClaims(),
-		NewestClaim:  s.newestClaim,
+		Applied:         s.Applied,
+		ConfigOffset:    s.ConfigOffset,
+		Models:          sorted(s.Models),
+		Workspaces:      sorted(s.Workspaces),
+		Services:        sorted(s.Services),
+		Operators:       sorted(s.Operators),
+		Policy:          s.Policy,
+		Drained:         sorted(s.Drained),
+		Groups:          sorted(s.Groups),
+		Daemons:         sorted(s.Daemons),
+		Audit:           s.Audit,
+		RecentIDs:       s.recentIDs,
+		Claims:          s.orderedClaims(),
+		LatestClaimTime: s.latestClaimTime,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("encode state: %w", err)
@@ -143,7 +139,7 @@
 	return data, nil
 }
 
-// Unmarshal reads what Marshal wrote.
+// Unmarshal decodes a state encoded by Marshal.
 func Unmarshal(data []byte) (*State, error) {
 	var snap snapshot
 	if err := pack.Unmarshal(data, &snap); err != nil {
@@ -176,19 +172,19 @@
 		entry.At = entry.At.UTC()
 		s.Audit = append(s.Audit, entry)
 	}
-	s.newestClaim = snap.NewestClaim.UTC()
+	s.latestClaimTime = snap.LatestClaimTime.UTC()
 	for _, c := range snap.Claims {
 		c.At = c.At.UTC()
 		s.Claims[c.Key] = c
-		s.claimOrder = append(s.claimOrder, c.Key)
+		s.claimKeys = append(s.claimKeys, c.Key)
 	}
-	for _, id := range snap.Recent {
-		s.remember(id)
+	for _, id := range snap.RecentIDs {
+		s.rememberID(id)
 	}
 	return s, nil
 }
 
-// Digest is a hash of the whole state, in hex. Two daemons that applied the
+// Digest returns a hex-encoded hash of the whole state. Two daemons that have applied the
 // same offset have the same digest.
 func (s *State) Digest() (string, error) {
 	data, err := s.Marshal()
@@ -213,13 +209,13 @@
 	delete(s.Groups, id)
 }
 
-func (s *State) remember(id models.RecordID) {
-	if len(s.recent) == RememberedIDs {
-		delete(s.seen, s.recent[0])
-		s.recent = s.recent[1:]
+func (s *State) rememberID(id models.RecordID) {
+	if len(s.recentIDs) == MaxRecentIDs {
+		delete(s.seenIDs, s.recentIDs[0])
+		s.recentIDs = s.recentIDs[1:]
 	}
-	s.recent = append(s.recent, id)
-	s.seen[id] = struct{}{}
+	s.recentIDs = append(s.recentIDs, id)
+	s.seenIDs[id] = struct{}{}
 }
 
 func sorted[K cmp.Ordered, V any](m map[K]V) []V {
