--- a/models/config.go
+++ b/models/config.go
@@ -149,7 +149,7 @@
 	if w.Concurrent < 0 {
 		return fmt.Errorf("%w: concurrent is %d, less than 0", ErrBadValue, w.Concurrent)
 	}
-	return checkHashes(w.Tokens)
+	return checkTokenHashes(w.Tokens)
 }
 
 // AllowsModel reports whether the workspace may use this version.
@@ -184,15 +184,15 @@
 	if o.Right != RightAsk && o.Right != RightChange {
 		return fmt.Errorf("%w: right is %q, allowed are ask and change", ErrBadValue, o.Right)
 	}
-	return checkHashes(o.Tokens)
+	return checkTokenHashes(o.Tokens)
 }
 
-const hashLen = 64
+const tokenHashDigits = 64
 
-func checkHashes(hashes []string) error {
+func checkTokenHashes(hashes []string) error {
 	for _, h := range hashes {
-		if len(h) != hashLen || strings.Trim(h, "0123456789abcdef") != "" {
-			return fmt.Errorf("%w: a token is given by the %d hex digits of its SHA-256 hash", ErrBadValue, hashLen)
+		if len(h) != tokenHashDigits || strings.Trim(h, "0123456789abcdef") != "" {
+			return fmt.Errorf("%w: a token is given by the %d hex digits of its SHA-256 hash", ErrBadValue, tokenHashDigits)
 		}
 	}
 	return nil
--- a/models/upstream.go
+++ b/models/upstream.go
@@ -41,11 +41,11 @@
 
 // LifeOf tells of which life of the instance something was told, by the birth that
 // came with it.
-func (i UpstreamInstance) LifeOf(born time.Time) Life {
+func (i UpstreamInstance) LifeOf(startedAt time.Time) Life {
 	switch {
-	case born.IsZero() || i.Born.IsZero() || born.Equal(i.Born):
+	case startedAt.IsZero() || i.Born.IsZero() || startedAt.Equal(i.Born):
 		return SameLife
-	case born.Before(i.Born):
+	case startedAt.Before(i.Born):
 		return EarlierLife
 	default:
 		return LaterLife
@@ -62,11 +62,11 @@
 
 // Follows reports whether a member that was as before can have come to this
 // state since by going forward: into a later group, or further in the same.
-func (m Membership) Follows(before Membership) bool {
-	if m.Key.Epoch != before.Key.Epoch {
-		return m.Key.Epoch > before.Key.Epoch
+func (m Membership) Follows(previous Membership) bool {
+	if m.Key.Epoch != previous.Key.Epoch {
+		return m.Key.Epoch > previous.Key.Epoch
 	}
-	return m.State.rank() > before.State.rank()
+	return m.State.rank() > previous.State.rank()
 }
 
 // MemberState is how far an instance is as a member of a replica group.
