--- a/commands/ask.go
+++ b/commands/ask.go
@@ -14,20 +14,20 @@
 )
 
 func init() {
-	register(ask{})
-	register(apply{})
-	register(diff{})
+	register(askCommand{})
+	register(applyCommand{})
+	register(diffCommand{})
 }
 
 // ask carries out commands of the operators' language.
-type ask struct{}
+type askCommand struct{}
 
-func (ask) Aliases() []string { return []string{"ask", "a"} }
-func (ask) Usage() string     { return "ask a daemon, or change the configuration through it" }
-func (ask) ArgsUsage() string { return "'COMMAND [; COMMAND ...]'" }
-func (ask) Flags() []cli.Flag { return config.AskFlags() }
+func (askCommand) Aliases() []string { return []string{"ask", "a"} }
+func (askCommand) Usage() string     { return "ask a daemon, or change the configuration through it" }
+func (askCommand) ArgsUsage() string { return "'COMMAND [; COMMAND ...]'" }
+func (askCommand) Flags() []cli.Flag { return config.AskFlags() }
 
-func (ask) Execute(c *cli.Context) error {
+func (askCommand) Execute(c *cli.Context) error {
 	text := strings.Join(c.Args().Slice(), " ")
 	if strings.TrimSpace(text) == "" {
 		return fmt.Errorf("%w: ask needs a command such as 'show groups'", ErrUsage)
@@ -36,21 +36,21 @@
 }
 
 // apply carries out the commands of a file.
-type apply struct{}
+type applyCommand struct{}
 
-func (apply) Aliases() []string { return []string{"apply"} }
-func (apply) Usage() string     { return "make the changes of a file, all or none" }
-func (apply) ArgsUsage() string { return " " }
+func (applyCommand) Aliases() []string { return []string{"apply"} }
+func (applyCommand) Usage() string     { return "make the changes of a file, all or none" }
+func (applyCommand) ArgsUsage() string { return " " }
 
-func (apply) Flags() []cli.Flag {
+func (applyCommand) Flags() []cli.Flag {
 	return append(config.AskFlags(),
 		&cli.StringFlag{Name: "file", Aliases: []string{"f"}, Usage: "file of commands, - for standard input"},
 		&cli.BoolFlag{Name: "prune", Usage: "remove what the file does not set"},
 	)
 }
 
-func (apply) Execute(c *cli.Context) error {
-	text, err := readFile(c.String("file"))
+func (applyCommand) Execute(c *cli.Context) error {
+	text, err := readCommands(c.String("file"))
 	if err != nil {
 		return err
 	}
@@ -58,22 +58,22 @@
 }
 
 // diff tells what the commands of a file would change.
-type diff struct{ apply }
+type diffCommand struct{ applyCommand }
 
-func (diff) Aliases() []string { return []string{"diff"} }
-func (diff) Usage() string {
+func (diffCommand) Aliases() []string { return []string{"diff"} }
+func (diffCommand) Usage() string {
 	return "tell what apply would change, and what the planner would do first"
 }
 
-func (diff) Execute(c *cli.Context) error {
-	text, err := readFile(c.String("file"))
+func (diffCommand) Execute(c *cli.Context) error {
+	text, err := readCommands(c.String("file"))
 	if err != nil {
 		return err
 	}
 	return askDaemon(c, text, api.AskOptions{Diff: true, Prune: c.Bool("prune")})
 }
 
-func readFile(path string) (string, error) {
+func readCommands(path string) (string, error) {
 	switch path {
 	case "":
 		return "", fmt.Errorf("%w: --file is missing", ErrUsage)
--- a/commands/commands.go
+++ b/commands/commands.go
@@ -54,7 +54,7 @@
 }
 
 // group is a command that has commands of its own.
-type group interface{ Subcommands() []Command }
+type commandGroup interface{ Subcommands() []Command }
 
 var registered []Command
 
@@ -95,7 +95,7 @@
 			Name: names[0], Aliases: names[1:], Usage: c.Usage(), ArgsUsage: c.ArgsUsage(),
 			Flags: c.Flags(), Action: c.Execute, OnUsageError: usageError, HideHelpCommand: true,
 		}
-		if g, ok := c.(group); ok {
+		if g, ok := c.(commandGroup); ok {
 			command.Subcommands = cliCommands(g.Subcommands())
 		}
 		out = append(out, command)
--- a/commands/completion.go
+++ b/commands/completion.go
@@ -6,17 +6,17 @@
 	"github.com/urfave/cli/v2"
 )
 
-func init() { register(completion{}) }
+func init() { register(completionCommand{}) }
 
 // completion prints a script that completes commands in a shell.
-type completion struct{}
+type completionCommand struct{}
 
-func (completion) Aliases() []string { return []string{"completion"} }
-func (completion) Usage() string {
+func (completionCommand) Aliases() []string { return []string{"completion"} }
+func (completionCommand) Usage() string {
 	return "print a script for bash or zsh that completes commands and flags"
 }
-func (completion) ArgsUsage() string { return "bash | zsh" }
-func (completion) Flags() []cli.Flag { return nil }
+func (completionCommand) ArgsUsage() string { return "bash | zsh" }
+func (completionCommand) Flags() []cli.Flag { return nil }
 
 // The scripts ask the program itself, by the flag that urfave/cli adds.
 const (
@@ -37,7 +37,7 @@
 `
 )
 
-func (completion) Execute(c *cli.Context) error {
+func (completionCommand) Execute(c *cli.Context) error {
 	scripts := map[string]string{"bash": bashCompletion, "zsh": zshCompletion}
 	script, ok := scripts[c.Args().First()]
 	if !ok {
--- a/commands/demo.go
+++ b/commands/demo.go
@@ -21,25 +21,25 @@
 	"github.com/lupinkeel/lupinkeel/standin"
 )
 
-func init() { register(demo{}) }
+func init() { register(demoCommand{}) }
 
 // demo runs a whole small site in this process.
-type demo struct{}
+type demoCommand struct{}
 
-func (demo) Aliases() []string { return []string{"demo"} }
-func (demo) Usage() string     { return "run a whole small site in this process" }
-func (demo) ArgsUsage() string { return " " }
+func (demoCommand) Aliases() []string { return []string{"demo"} }
+func (demoCommand) Usage() string     { return "run a whole small site in this process" }
+func (demoCommand) ArgsUsage() string { return " " }
 
-func (demo) Flags() []cli.Flag {
+func (demoCommand) Flags() []cli.Flag {
 	return []cli.Flag{
 		&cli.BoolFlag{Name: "once", Usage: "send sample requests, print what was served where, and end"},
 		&cli.BoolFlag{Name: "verbose", Usage: "show the log of the daemons"},
 	}
 }
 
-const demoReadyWithin = 15 * time.Second
+const demoReadyTimeout = 15 * time.Second
 
-func (demo) Execute(c *cli.Context) error {
+func (demoCommand) Execute(c *cli.Context) error {
 	level := zerolog.ErrorLevel
 	if c.Bool("verbose") {
 		level = zerolog.InfoLevel
@@ -51,9 +51,9 @@
 	out := c.App.Writer
 	err = configureDemo(c.Context, s)
 	if err == nil && c.Bool("once") {
-		err = sampleRequests(c.Context, out, s)
+		err = sendSamples(c.Context, out, s)
 	} else if err == nil {
-		explainDemo(out, s)
+		printDemoHelp(out, s)
 		<-c.Context.Done()
 	}
 	return errors.Join(err, s.Stop())
@@ -90,7 +90,7 @@
 `
 
 func configureDemo(ctx context.Context, s *site.Site) error {
-	ctx, cancel := context.WithTimeout(ctx, demoReadyWithin)
+	ctx, cancel := context.WithTimeout(ctx, demoReadyTimeout)
 	defer cancel()
 	ready := func(v *daemon.View) bool { return v.Current(time.Now()) && len(v.State.Daemons) == len(s.Nodes) }
 	if err := s.WaitFor(ctx, "all daemons on the roster", ready); err != nil {
@@ -116,7 +116,7 @@
 	return open
 }
 
-func explainDemo(out io.Writer, s *site.Site) {
+func printDemoHelp(out io.Writer, s *site.Site) {
 	node := s.Nodes[0].Server
 	fmt.Fprintf(out, `lupinkeel demo: %d daemons, %d engines, 1 plain service, all in this process.
 
@@ -145,7 +145,7 @@
 	path   string
 	body   string
 	// whole checks the answer's body.
-	whole func(body string) bool
+	isComplete func(body string) bool
 }
 
 const (
@@ -159,46 +159,46 @@
 }
 
 func samples() []sample {
-	last := standin.Token(samplePrompt+"\n", sampleTokens-1)
-	text := standin.Answer(samplePrompt+"\n", sampleTokens)
-	whole := func(body string) bool { return strings.Contains(body, strings.TrimSpace(text)) }
-	streamed := func(body string) bool {
-		return strings.Contains(body, strings.TrimSpace(last)) && strings.HasSuffix(body, "data: [DONE]\n\n")
+	lastToken := standin.Token(samplePrompt+"\n", sampleTokens-1)
+	fullText := standin.Answer(samplePrompt+"\n", sampleTokens)
+	hasFullText := func(body string) bool { return strings.Contains(body, strings.TrimSpace(fullText)) }
+	hasFullStream := func(body string) bool {
+		return strings.Contains(body, strings.TrimSpace(lastToken)) && strings.HasSuffix(body, "data: [DONE]\n\n")
 	}
 	const chat = "/v1/chat/completions"
 	return []sample{
-		{"unary brief", http.MethodPost, chat, chatBody("brief", false), whole},
-		{"streamed brief", http.MethodPost, chat, chatBody("brief", true), streamed},
-		{"unary digest", http.MethodPost, chat, chatBody("digest", false), whole},
-		{"streamed digest", http.MethodPost, chat, chatBody("digest", true), streamed},
+		{"unary brief", http.MethodPost, chat, chatBody("brief", false), hasFullText},
+		{"streamed brief", http.MethodPost, chat, chatBody("brief", true), hasFullStream},
+		{"unary digest", http.MethodPost, chat, chatBody("digest", false), hasFullText},
+		{"streamed digest", http.MethodPost, chat, chatBody("digest", true), hasFullStream},
 		{"plain call", http.MethodGet, "/services/catalogue/pull", "", func(body string) bool { return strings.Contains(body, `"path":"/pull"`) }},
 		{"plain call, not repeatable", http.MethodPost, "/services/catalogue/ping", "station 7", func(body string) bool { return strings.Contains(body, "station 7") }},
 	}
 }
 
 // errNotWhole is returned if a sample request got no whole answer.
-var errNotWhole = errors.New("not all answers were whole")
+var errIncomplete = errors.New("not all answers were whole")
 
 // sampleRequests sends each sample through a daemon of its own.
-func sampleRequests(ctx context.Context, out io.Writer, s *site.Site) error {
+func sendSamples(ctx context.Context, out io.Writer, s *site.Site) error {
 	var rows [][]string
-	bad := 0
+	failed := 0
 	for n, sample := range samples() {
 		node := s.Nodes[n%len(s.Nodes)]
-		row, whole := sendSample(ctx, node.Server.Addr().String(), sample)
-		if !whole {
-			bad++
+		row, complete := sendSample(ctx, node.Server.Addr().String(), sample)
+		if !complete {
+			failed++
 		}
 		rows = append(rows, row)
 	}
 	printTable(out, []string{"request", "status", "whole", "daemon", "group", "instances", "zone", "domain"}, rows)
-	if bad > 0 {
-		return fmt.Errorf("%w: %d of %d", errNotWhole, bad, len(rows))
+	if failed > 0 {
+		return fmt.Errorf("%w: %d of %d", errIncomplete, failed, len(rows))
 	}
 	return nil
 }
 
-func sendSample(ctx context.Context, addr string, s sample) (row []string, whole bool) {
+func sendSample(ctx context.Context, addr string, s sample) (row []string, complete bool) {
 	req, err := http.NewRequestWithContext(ctx, s.method, "http://"+addr+s.path, bytes.NewReader([]byte(s.body)))
 	if err != nil {
 		return []string{s.name, err.Error()}, false
@@ -210,10 +210,10 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	whole = err == nil && resp.StatusCode == http.StatusOK && s.whole(string(body))
+	complete = err == nil && resp.StatusCode == http.StatusOK && s.isComplete(string(body))
 	h := resp.Header
 	return []string{
-		s.name, resp.Status, fmt.Sprint(whole), h.Get(api.HeaderDaemon), h.Get(api.HeaderGroup),
+		s.name, resp.Status, fmt.Sprint(complete), h.Get(api.HeaderDaemon), h.Get(api.HeaderGroup),
 		h.Get(api.HeaderInstances), h.Get(api.HeaderZone), h.Get(api.HeaderDomain),
-	}, whole
+	}, complete
 }
--- a/commands/gateway.go
+++ b/commands/gateway.go
@@ -35,60 +35,60 @@
 func (gatewayCommand) Flags() []cli.Flag { return append(config.GatewayFlags(), config.LogFlags()...) }
 
 func (gatewayCommand) Execute(c *cli.Context) error {
-	given := config.Given(c)
+	explicit := config.ExplicitFlags(c)
 	err := config.ReadFile(c)
 	settings, loadErr := config.LoadGateway(c)
 	level, levelErr := config.LoadLog(c)
 	if err := errors.Join(err, loadErr, levelErr); err != nil {
 		return err
 	}
-	out := logfmt.NewBounded(c.App.Writer, logQueue)
+	out := logfmt.NewBounded(c.App.Writer, maxQueuedLogLines)
 	ctx, cancel := context.WithCancel(context.WithoutCancel(c.Context))
-	writing := task.Start(ctx, "log", out.Run)
-	err = runGateway(c.Context, settings, given, logfmt.New(out, level))
+	logWriter := task.Start(ctx, "log", out.Run)
+	err = runGateway(c.Context, settings, explicit, logfmt.New(out, level))
 	cancel()
-	return errors.Join(err, task.Wait(writing))
+	return errors.Join(err, task.Wait(logWriter))
 }
 
 // logQueue is how many lines may wait to be written: some seconds' worth.
-const logQueue = 4096
+const maxQueuedLogLines = 4096
 
 const (
 	// memoryPart is the part of the memory allowed that the collector keeps
 	// the heap within; the rest is for stacks and buffers.
-	memoryPart = 0.6
-	megabyte   = 1 << 20
+	heapMemoryRatio = 0.6
+	megabyte        = 1 << 20
 	// settle is how long a daemon keeps to itself that groups seem to stand
 	// still: by then it has heard of the others' requests and has seen a few
 	// hundred pauses.
-	settle = 2 * time.Second
+	stallReportDelay = 2 * time.Second
 )
 
-func runGateway(ctx context.Context, s config.Gateway, given map[string]string, log zerolog.Logger) error {
-	if s.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * s.Memory * megabyte))
+func runGateway(ctx context.Context, s config.Gateway, explicit map[string]string, log zerolog.Logger) error {
+	if s.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(heapMemoryRatio * s.MemoryMB * megabyte))
 	}
 	set := metrics.NewSet()
 	traffic := gateway.Traffic()
 	node := cluster.New(cluster.Settings{
-		ID: s.ID, Zone: s.Zone, Peer: s.Peer, Store: s.Store, Power: s.Power, LeaseMin: s.LeaseMin, InstanceHeartbeat: s.InstanceHeartbeat,
+		ID: s.ID, Zone: s.Zone, Peer: s.Peer, Store: s.Store, Power: s.CPUCores, LeaseMin: s.LeaseMin, InstanceHeartbeat: s.InstanceHeartbeat,
 	}, traffic, set, log)
 	if err := node.Clock().CountSuspensions(timer.BootTime); err != nil {
 		log.Warn().Err(err).Msg("suspensions-not-counted")
 	}
 	g := gateway.New(gateway.Settings{
-		Zone: s.Zone, Listen: s.Listen, Ready: s.Ready, Admin: s.Metrics, KeysBound: s.KeysProof(), ConfigBound: s.ConfigBound,
-		RetryRatio: s.RetryRatio, RetrySlack: s.RetrySlack, RetryWindow: s.RetryWindow, StopGrace: s.StopGrace, Settle: settle,
+		Zone: s.Zone, Listen: s.Listen, Ready: s.Ready, Admin: s.Metrics, KeysBound: s.MaxKeysProofAge(), ConfigBound: s.ConfigBound,
+		RetryRatio: s.RetryRatio, RetrySlack: s.RetrySlack, RetryWindow: s.RetryWindow, StopGrace: s.StopGrace, Settle: stallReportDelay,
 	}, node, traffic, set, log)
 	log.Info().Str("daemon", string(s.ID)).Str("zone", string(s.Zone)).Stringer("callers", s.Listen).Stringer("peer", s.Peer).
-		Stringer("store", s.Store).Bool("strict-keys", s.StrictKeys).Dur("keys-proof", s.KeysProof()).Msg("started")
+		Stringer("store", s.Store).Bool("strict-keys", s.StrictKeys).Dur("keys-proof", s.MaxKeysProofAge()).Msg("started")
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	running := task.Start(background, "node", node.Run)
 	defer context.AfterFunc(ctx, node.StandAside)()
 	serving := task.Start(ctx, "gateway", g.Run)
-	sizing := task.Start(background, "heap", func(ctx context.Context) error { return sizeHeap(ctx, node) })
-	reloading := task.Start(background, "reload", func(ctx context.Context) error { return reload(ctx, s, given, log) })
+	sizing := task.Start(background, "heap", func(ctx context.Context) error { return tuneGC(ctx, node) })
+	reloading := task.Start(background, "reload", func(ctx context.Context) error { return reload(ctx, s, explicit, log) })
 	err := task.WaitAny(ctx, running, serving)
 	if err != nil {
 		cancel()
@@ -103,17 +103,17 @@
 // reload reads the settings again whenever the platform says that they have
 // changed, and tells what is wrong with them. All of them take effect with
 // the next start.
-func reload(ctx context.Context, s config.Gateway, given map[string]string, log zerolog.Logger) error {
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	defer signal.Stop(hups)
+func reload(ctx context.Context, s config.Gateway, explicit map[string]string, log zerolog.Logger) error {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-hups:
-			read, err := config.ReloadGateway(given)
-			log.Info().Err(err).Bool("changed", err == nil && read != s).Msg("settings-read")
+		case <-hangups:
+			reloaded, err := config.ReloadGateway(explicit)
+			log.Info().Err(err).Bool("changed", err == nil && reloaded != s).Msg("settings-read")
 		}
 	}
 }
--- a/commands/gc.go
+++ b/commands/gc.go
@@ -15,34 +15,34 @@
 	// of processor time on a day with trouble, and 399 s with twice what lives (one run
 	// each). Six daemons that know 63 instances took no less time by it, and 1.35 times
 	// the memory.
-	manyInstances = 300
+	largeViewInstances = 300
 	// gcFew and gcMany are how much the heap may grow, in percent of what lives.
-	gcFew  = 100
-	gcMany = 200
+	defaultGCPercent   = 100
+	largeViewGCPercent = 200
 	// heapEvery is how often it is looked at.
-	heapEvery = time.Second
+	gcTuneInterval = time.Second
 )
 
 // gcPercent is how much the heap of a daemon that knows so many instances may grow.
 func gcPercent(instances int) int {
-	if instances >= manyInstances {
-		return gcMany
+	if instances >= largeViewInstances {
+		return largeViewGCPercent
 	}
-	return gcFew
+	return defaultGCPercent
 }
 
 // sizeHeap lets the heap grow by what the node knows.
-func sizeHeap(ctx context.Context, node *cluster.Node) error {
-	ticks := node.Clock().Subscribe(heapEvery)
-	set := gcFew
+func tuneGC(ctx context.Context, node *cluster.Node) error {
+	ticks := node.Clock().Subscribe(gcTuneInterval)
+	current := defaultGCPercent
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticks:
 		}
-		if percent := gcPercent(len(node.View().All)); percent != set {
-			set = percent
+		if percent := gcPercent(len(node.View().All)); percent != current {
+			current = percent
 			debug.SetGCPercent(percent)
 		}
 	}
--- a/commands/load.go
+++ b/commands/load.go
@@ -13,18 +13,18 @@
 	"github.com/lupinkeel/lupinkeel/router"
 )
 
-func init() { register(loads{}) }
+func init() { register(loadCommand{}) }
 
 // loads sends a load and reports what came back.
-type loads struct{}
+type loadCommand struct{}
 
-func (loads) Aliases() []string { return []string{"load"} }
-func (loads) Usage() string     { return "send requests at a steady rate and report what came back" }
-func (loads) ArgsUsage() string { return " " }
-func (loads) Flags() []cli.Flag { return config.LoadFlags() }
+func (loadCommand) Aliases() []string { return []string{"load"} }
+func (loadCommand) Usage() string     { return "send requests at a steady rate and report what came back" }
+func (loadCommand) ArgsUsage() string { return " " }
+func (loadCommand) Flags() []cli.Flag { return config.LoadTestFlags() }
 
-func (loads) Execute(c *cli.Context) error {
-	settings, err := config.LoadLoad(c)
+func (loadCommand) Execute(c *cli.Context) error {
+	settings, err := config.LoadLoadTest(c)
 	if err != nil {
 		return err
 	}
@@ -46,11 +46,11 @@
 	if settings.JSON {
 		return json.NewEncoder(c.App.Writer).Encode(report)
 	}
-	printLoad(c.App.Writer, report)
+	printLoadReport(c.App.Writer, report)
 	return nil
 }
 
-func printLoad(w io.Writer, r load.Report) {
+func printLoadReport(w io.Writer, r load.Report) {
 	var rows [][]string
 	for _, end := range []router.End{
 		router.EndWhole, router.EndNotRun, router.EndMayHaveRun, load.EndBroken, load.EndShort, load.EndDoubled, load.EndSilent,
@@ -59,12 +59,12 @@
 	}
 	printTable(w, []string{"end", "requests"}, rows)
 	fmt.Fprintf(w, "sent %d in %.1f s, goodput %.1f/s, %.0f tokens/s\n", r.Sent, r.Seconds, r.Goodput, float64(r.Tokens)/r.Seconds)
-	line := func(p latency.Percentiles) []string {
+	percentileRow := func(p latency.Percentiles) []string {
 		return []string{fmt.Sprintf("%.1f", p.P50), fmt.Sprintf("%.1f", p.P95), fmt.Sprintf("%.1f", p.P99), fmt.Sprintf("%.1f", p.Max)}
 	}
 	printTable(w, []string{"ms", "p50", "p95", "p99", "max"}, [][]string{
-		append([]string{"first token"}, line(r.FirstToken)...),
-		append([]string{"between tokens"}, line(r.InterToken)...),
-		append([]string{"refusal"}, line(r.Refusal)...),
+		append([]string{"first token"}, percentileRow(r.FirstToken)...),
+		append([]string{"between tokens"}, percentileRow(r.InterToken)...),
+		append([]string{"refusal"}, percentileRow(r.Refusal)...),
 	})
 }
--- a/commands/serve.go
+++ b/commands/serve.go
@@ -14,18 +14,18 @@
 	"github.com/lupinkeel/lupinkeel/lib/task"
 )
 
-func init() { register(serve{}) }
+func init() { register(serveCommand{}) }
 
 // serve runs one daemon.
-type serve struct{}
+type serveCommand struct{}
 
-func (serve) Aliases() []string { return []string{"serve"} }
-func (serve) Usage() string     { return "run one daemon between callers and upstreams" }
-func (serve) ArgsUsage() string { return " " }
+func (serveCommand) Aliases() []string { return []string{"serve"} }
+func (serveCommand) Usage() string     { return "run one daemon between callers and upstreams" }
+func (serveCommand) ArgsUsage() string { return " " }
 
-func (serve) Flags() []cli.Flag { return append(config.ServeFlags(), config.LogFlags()...) }
+func (serveCommand) Flags() []cli.Flag { return append(config.ServeFlags(), config.LogFlags()...) }
 
-func (serve) Execute(c *cli.Context) error {
+func (serveCommand) Execute(c *cli.Context) error {
 	settings, err := config.LoadServe(c)
 	level, levelErr := config.LoadLog(c)
 	if err := errors.Join(err, levelErr); err != nil {
--- a/commands/standin.go
+++ b/commands/standin.go
@@ -16,27 +16,27 @@
 	"github.com/lupinkeel/lupinkeel/standin"
 )
 
-func init() { register(standins{}) }
+func init() { register(standinCommand{}) }
 
 // standins groups the stand-ins for what lupinkeel runs between.
-type standins struct{}
+type standinCommand struct{}
 
-func (standins) Aliases() []string { return []string{"standin"} }
-func (standins) Usage() string     { return "run a small stand-in for the platform or an upstream" }
-func (standins) ArgsUsage() string { return "platform | engine | service | proxy" }
-func (standins) Flags() []cli.Flag { return nil }
+func (standinCommand) Aliases() []string { return []string{"standin"} }
+func (standinCommand) Usage() string     { return "run a small stand-in for the platform or an upstream" }
+func (standinCommand) ArgsUsage() string { return "platform | engine | service | proxy" }
+func (standinCommand) Flags() []cli.Flag { return nil }
 
-func (standins) Subcommands() []Command {
-	return []Command{standinPlatform{}, standinEngine{}, standinService{}, standinProxy{}}
+func (standinCommand) Subcommands() []Command {
+	return []Command{standinPlatformCommand{}, standinEngineCommand{}, standinServiceCommand{}, standinProxyCommand{}}
 }
 
-func (standins) Execute(c *cli.Context) error {
+func (standinCommand) Execute(c *cli.Context) error {
 	return fmt.Errorf("%w: standin needs one of platform, engine, service, proxy; not %q", ErrUsage, c.Args().First())
 }
 
 // runStandin serves the handler, tells the log where, and runs what else
 // the stand-in does.
-func runStandin(c *cli.Context, addr netip.AddrPort, handler http.Handler, also ...func(context.Context, netip.AddrPort) error) error {
+func runStandin(c *cli.Context, addr netip.AddrPort, handler http.Handler, background ...func(context.Context, netip.AddrPort) error) error {
 	server, err := standin.Listen(addr, handler)
 	if err != nil {
 		return err
@@ -48,20 +48,20 @@
 	log := logfmt.New(c.App.ErrWriter, level)
 	log.Info().Str("standin", c.Command.Name).Stringer("addr", server.Addr).Msg("listening")
 	tasks := []task.Task{task.Start(c.Context, c.Command.Name, server.Run)}
-	for _, run := range also {
+	for _, run := range background {
 		tasks = append(tasks, task.Start(c.Context, "also", func(ctx context.Context) error { return run(ctx, server.Addr) }))
 	}
 	return task.Wait(tasks...)
 }
 
-type standinPlatform struct{}
+type standinPlatformCommand struct{}
 
-func (standinPlatform) Aliases() []string { return []string{"platform"} }
-func (standinPlatform) Usage() string     { return "log, instance list and weight store" }
-func (standinPlatform) ArgsUsage() string { return " " }
-func (standinPlatform) Flags() []cli.Flag { return config.StandinFlags() }
+func (standinPlatformCommand) Aliases() []string { return []string{"platform"} }
+func (standinPlatformCommand) Usage() string     { return "log, instance list and weight store" }
+func (standinPlatformCommand) ArgsUsage() string { return " " }
+func (standinPlatformCommand) Flags() []cli.Flag { return config.StandinFlags() }
 
-func (standinPlatform) Execute(c *cli.Context) error {
+func (standinPlatformCommand) Execute(c *cli.Context) error {
 	listen, err := config.LoadListen(c)
 	if err != nil {
 		return err
@@ -69,14 +69,14 @@
 	return runStandin(c, listen, standin.NewPlatform().Handler())
 }
 
-type standinEngine struct{}
+type standinEngineCommand struct{}
 
-func (standinEngine) Aliases() []string { return []string{"engine"} }
-func (standinEngine) Usage() string     { return "a model engine, one member of a replica" }
-func (standinEngine) ArgsUsage() string { return " " }
-func (standinEngine) Flags() []cli.Flag { return config.EngineFlags() }
+func (standinEngineCommand) Aliases() []string { return []string{"engine"} }
+func (standinEngineCommand) Usage() string     { return "a model engine, one member of a replica" }
+func (standinEngineCommand) ArgsUsage() string { return " " }
+func (standinEngineCommand) Flags() []cli.Flag { return config.EngineFlags() }
 
-func (standinEngine) Execute(c *cli.Context) error {
+func (standinEngineCommand) Execute(c *cli.Context) error {
 	settings, err := config.LoadEngine(c)
 	if err != nil {
 		return err
@@ -88,18 +88,18 @@
 	})
 	return runStandin(c, settings.Listen, engine.Handler(),
 		func(ctx context.Context, _ netip.AddrPort) error { return engine.Run(ctx) },
-		announce(settings.Upstream),
+		announce(settings.UpstreamStandin),
 	)
 }
 
-type standinService struct{}
+type standinServiceCommand struct{}
 
-func (standinService) Aliases() []string { return []string{"service"} }
-func (standinService) Usage() string     { return "a plain service whose calls may not be repeated" }
-func (standinService) ArgsUsage() string { return " " }
-func (standinService) Flags() []cli.Flag { return config.ServiceFlags() }
+func (standinServiceCommand) Aliases() []string { return []string{"service"} }
+func (standinServiceCommand) Usage() string     { return "a plain service whose calls may not be repeated" }
+func (standinServiceCommand) ArgsUsage() string { return " " }
+func (standinServiceCommand) Flags() []cli.Flag { return config.ServiceFlags() }
 
-func (standinService) Execute(c *cli.Context) error {
+func (standinServiceCommand) Execute(c *cli.Context) error {
 	settings, err := config.LoadService(c)
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 }
 
 // announce puts an upstream onto the platform's list once it is bound.
-func announce(u config.Upstream) func(context.Context, netip.AddrPort) error {
+func announce(u config.UpstreamStandin) func(context.Context, netip.AddrPort) error {
 	return func(ctx context.Context, bound netip.AddrPort) error {
 		instance := u.Instance
 		if !instance.Addr.IsValid() {
@@ -119,42 +119,42 @@
 	}
 }
 
-type standinProxy struct{}
+type standinProxyCommand struct{}
 
-func (standinProxy) Aliases() []string { return []string{"proxy"} }
-func (standinProxy) Usage() string     { return "TCP links that inject faults" }
-func (standinProxy) ArgsUsage() string { return "NAME=LISTEN>TARGET ..." }
-func (standinProxy) Flags() []cli.Flag { return config.StandinFlags() }
+func (standinProxyCommand) Aliases() []string { return []string{"proxy"} }
+func (standinProxyCommand) Usage() string     { return "TCP links that inject faults" }
+func (standinProxyCommand) ArgsUsage() string { return "NAME=LISTEN>TARGET ..." }
+func (standinProxyCommand) Flags() []cli.Flag { return config.StandinFlags() }
 
-func (standinProxy) Execute(c *cli.Context) error {
+func (standinProxyCommand) Execute(c *cli.Context) error {
 	listen, err := config.LoadListen(c)
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	var runs []func(context.Context, netip.AddrPort) error
+	var linkRunners []func(context.Context, netip.AddrPort) error
 	for _, arg := range c.Args().Slice() {
 		name, link, err := parseLink(arg)
 		if err != nil {
 			return err
 		}
 		mux.Handle("POST /links/"+name, link.Handler())
-		runs = append(runs, func(ctx context.Context, _ netip.AddrPort) error { return link.Run(ctx) })
+		linkRunners = append(linkRunners, func(ctx context.Context, _ netip.AddrPort) error { return link.Run(ctx) })
 	}
-	return runStandin(c, listen, mux, runs...)
+	return runStandin(c, listen, mux, linkRunners...)
 }
 
 func parseLink(arg string) (string, *standin.Link, error) {
-	name, addrs, ok := strings.Cut(arg, "=")
-	from, to, ok2 := strings.Cut(addrs, ">")
-	if !ok || !ok2 {
+	name, addrs, hasAddrs := strings.Cut(arg, "=")
+	listenText, targetText, hasTarget := strings.Cut(addrs, ">")
+	if !hasAddrs || !hasTarget {
 		return "", nil, fmt.Errorf("%w: link %q is not NAME=LISTEN>TARGET", ErrUsage, arg)
 	}
-	listen, err := netip.ParseAddrPort(from)
+	listen, err := netip.ParseAddrPort(listenText)
 	if err != nil {
 		return "", nil, fmt.Errorf("%w: link %q: %w", ErrUsage, arg, err)
 	}
-	target, err := netip.ParseAddrPort(to)
+	target, err := netip.ParseAddrPort(targetText)
 	if err != nil {
 		return "", nil, fmt.Errorf("%w: link %q: %w", ErrUsage, arg, err)
 	}
--- a/config/ask.go
+++ b/config/ask.go
@@ -26,6 +26,6 @@
 // LoadAsk reads and checks the settings.
 func LoadAsk(c *cli.Context) (Ask, error) {
 	r := &reader{c: c}
-	a := Ask{Admin: r.target("admin"), Token: c.String("token"), JSON: c.Bool("json")}
+	a := Ask{Admin: r.dialAddr("admin"), Token: c.String("token"), JSON: c.Bool("json")}
 	return a, r.err()
 }
--- a/config/config.go
+++ b/config/config.go
@@ -21,24 +21,24 @@
 const envPrefix = "LUPINKEEL_"
 
 // Env is the environment variable that sets a flag.
-func Env(flag string) string {
+func EnvVar(flag string) string {
 	return envPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
 func stringFlag(name, usage, value string) cli.Flag {
-	return &cli.StringFlag{Name: name, Usage: usage, Value: value, EnvVars: []string{Env(name)}}
+	return &cli.StringFlag{Name: name, Usage: usage, Value: value, EnvVars: []string{EnvVar(name)}}
 }
 
 func listFlag(name, usage string) cli.Flag {
-	return &cli.StringSliceFlag{Name: name, Usage: usage, EnvVars: []string{Env(name)}}
+	return &cli.StringSliceFlag{Name: name, Usage: usage, EnvVars: []string{EnvVar(name)}}
 }
 
 func durationFlag(name, usage string, value time.Duration) cli.Flag {
-	return &cli.DurationFlag{Name: name, Usage: usage, Value: value, EnvVars: []string{Env(name)}}
+	return &cli.DurationFlag{Name: name, Usage: usage, Value: value, EnvVars: []string{EnvVar(name)}}
 }
 
 func intFlag(name, usage string, value int) cli.Flag {
-	return &cli.IntFlag{Name: name, Usage: usage, Value: value, EnvVars: []string{Env(name)}}
+	return &cli.IntFlag{Name: name, Usage: usage, Value: value, EnvVars: []string{EnvVar(name)}}
 }
 
 // reader reads flags and gathers everything that is wrong with them.
@@ -47,15 +47,15 @@
 	errs []error
 }
 
-func (r *reader) fail(flag string, err error) {
-	r.errs = append(r.errs, fmt.Errorf("%w: --%s (%s): %w", ErrSetting, flag, Env(flag), err))
+func (r *reader) addError(flag string, err error) {
+	r.errs = append(r.errs, fmt.Errorf("%w: --%s (%s): %w", ErrSetting, flag, EnvVar(flag), err))
 }
 
 func (r *reader) err() error { return errors.Join(r.errs...) }
 
 var (
 	errEmpty       = errors.New("must be set")
-	errLevel       = errors.New("allowed are debug, info, warn and error")
+	errLogLevel    = errors.New("allowed are debug, info, warn and error")
 	errNotPositive = errors.New("must be more than 0")
 	errNegative    = errors.New("must not be less than 0")
 	errRatio       = errors.New("must be 0 to 1")
@@ -65,44 +65,44 @@
 func (r *reader) addr(flag string) netip.AddrPort {
 	text := r.c.String(flag)
 	if text == "" {
-		r.fail(flag, errEmpty)
+		r.addError(flag, errEmpty)
 		return netip.AddrPort{}
 	}
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		r.fail(flag, fmt.Errorf("%q is not an IP address and port such as 127.0.0.1:7000", text))
+		r.addError(flag, fmt.Errorf("%q is not an IP address and port such as 127.0.0.1:7000", text))
 	}
 	return addr
 }
 
 // source is an optional IP address to leave from.
-func (r *reader) source(flag string) netip.Addr {
+func (r *reader) sourceIP(flag string) netip.Addr {
 	text := r.c.String(flag)
 	if text == "" {
 		return netip.Addr{}
 	}
 	addr, err := netip.ParseAddr(text)
 	if err != nil {
-		r.fail(flag, fmt.Errorf("%q is not an IP address", text))
+		r.addError(flag, fmt.Errorf("%q is not an IP address", text))
 	}
 	return addr
 }
 
 // target is an address to call, not one to listen on.
-func (r *reader) target(flag string) netip.AddrPort {
+func (r *reader) dialAddr(flag string) netip.AddrPort {
 	addr := r.addr(flag)
 	if addr.IsValid() && addr.Port() == 0 {
-		r.fail(flag, errZeroPort)
+		r.addError(flag, errZeroPort)
 	}
 	return addr
 }
 
-func (r *reader) targets(flag string) []netip.AddrPort {
+func (r *reader) dialAddrs(flag string) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, text := range r.c.StringSlice(flag) {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
-			r.fail(flag, fmt.Errorf("%q is not an IP address and port", text))
+			r.addError(flag, fmt.Errorf("%q is not an IP address and port", text))
 			continue
 		}
 		out = append(out, addr)
@@ -113,35 +113,35 @@
 func name[S ~string](r *reader, flag string) S {
 	value := S(r.c.String(flag))
 	if err := models.CheckName(value); err != nil {
-		r.fail(flag, err)
+		r.addError(flag, err)
 	}
 	return value
 }
 
-func (r *reader) duration(flag string, least, most time.Duration) time.Duration {
+func (r *reader) duration(flag string, minimum, maximum time.Duration) time.Duration {
 	d := r.c.Duration(flag)
-	if d < least || d > most {
-		r.fail(flag, fmt.Errorf("%s is out of range, allowed are %s to %s", d, least, most))
+	if d < minimum || d > maximum {
+		r.addError(flag, fmt.Errorf("%s is out of range, allowed are %s to %s", d, minimum, maximum))
 	}
 	return d
 }
 
-func (r *reader) count(flag string, least, most int) int {
+func (r *reader) count(flag string, minimum, maximum int) int {
 	n := r.c.Int(flag)
-	if n < least || n > most {
-		r.fail(flag, fmt.Errorf("%d is out of range, allowed are %d to %d", n, least, most))
+	if n < minimum || n > maximum {
+		r.addError(flag, fmt.Errorf("%d is out of range, allowed are %d to %d", n, minimum, maximum))
 	}
 	return n
 }
 
-func (r *reader) hash(flag string) string {
+func (r *reader) tokenHash(flag string) string {
 	text := r.c.String(flag)
 	if text == "" {
 		return ""
 	}
-	probe := models.Operator{Name: "x", Right: models.RightAsk, Tokens: []string{text}}
-	if err := probe.Check(); err != nil {
-		r.fail(flag, err)
+	operator := models.Operator{Name: "x", Right: models.RightAsk, Tokens: []string{text}}
+	if err := operator.Check(); err != nil {
+		r.addError(flag, err)
 	}
 	return text
 }
--- a/config/file.go
+++ b/config/file.go
@@ -12,7 +12,7 @@
 )
 
 // FileEnv is the environment variable that names the settings file.
-const FileEnv = "LUPINKEEL_NODE_FILE"
+const FileEnvVar = "LUPINKEEL_NODE_FILE"
 
 // ReadFile sets the flags that the command line and the environment leave
 // open from the settings file, if there is one. Each line holds NAME=VALUE,
@@ -21,20 +21,20 @@
 // without a value stays at its default: the platform fills in nothing where it
 // has no such field.
 func ReadFile(c *cli.Context) error {
-	path := os.Getenv(FileEnv)
+	path := os.Getenv(FileEnvVar)
 	if path == "" {
 		return nil
 	}
 	file, err := os.Open(path)
 	if err != nil {
-		return fmt.Errorf("%w: settings file (%s): %w", ErrSetting, FileEnv, err)
+		return fmt.Errorf("%w: settings file (%s): %w", ErrSetting, FileEnvVar, err)
 	}
 	defer file.Close()
 	// open are the flags that the file may set.
-	open := map[string]bool{}
+	unset := map[string]bool{}
 	for _, f := range c.Command.Flags {
 		name := f.Names()[0]
-		open[name] = !c.IsSet(name)
+		unset[name] = !c.IsSet(name)
 	}
 	seen := map[string]bool{}
 	var errs []error
@@ -56,7 +56,7 @@
 		}
 		seen[name] = true
 		value = strings.TrimSpace(value)
-		if !open[name] || value == "" {
+		if !unset[name] || value == "" {
 			continue
 		}
 		if err := c.Set(name, value); err != nil {
@@ -68,32 +68,32 @@
 
 // Given are the settings of the command line and the environment, which go
 // before those of the settings file. It must be called before ReadFile.
-func Given(c *cli.Context) map[string]string {
-	given := map[string]string{}
+func ExplicitFlags(c *cli.Context) map[string]string {
+	explicit := map[string]string{}
 	for _, f := range c.Command.Flags {
 		if name := f.Names()[0]; c.IsSet(name) {
-			given[name] = fmt.Sprint(c.Value(name))
+			explicit[name] = fmt.Sprint(c.Value(name))
 		}
 	}
-	return given
+	return explicit
 }
 
 // ReloadGateway reads the settings anew: those given at the start, and the
 // settings file, which may have changed.
-func ReloadGateway(given map[string]string) (Gateway, error) {
+func ReloadGateway(explicit map[string]string) (Gateway, error) {
 	flags := GatewayFlags()
-	set := flag.NewFlagSet("gateway", flag.ContinueOnError)
+	flagSet := flag.NewFlagSet("gateway", flag.ContinueOnError)
 	for _, f := range flags {
-		if err := f.Apply(set); err != nil {
+		if err := f.Apply(flagSet); err != nil {
 			return Gateway{}, fmt.Errorf("%w: %w", ErrSetting, err)
 		}
 	}
-	c := cli.NewContext(nil, set, nil)
+	c := cli.NewContext(nil, flagSet, nil)
 	c.Command = &cli.Command{Name: "gateway", Flags: flags}
 	for _, f := range flags {
 		name := f.Names()[0]
-		value, known := given[name]
-		if !known {
+		value, found := explicit[name]
+		if !found {
 			continue
 		}
 		if err := c.Set(name, value); err != nil {
--- a/config/gateway.go
+++ b/config/gateway.go
@@ -39,9 +39,9 @@
 	StopGrace   time.Duration
 	// Power is the part of a core that the process may use; the daemons with
 	// the most of it take the duties.
-	Power float64
+	CPUCores float64
 	// Memory is what the process may use, in MB; 0 sets no bound.
-	Memory float64
+	MemoryMB float64
 }
 
 // defaultStaleKeys is how long regions lose each other at the size planned for,
@@ -51,15 +51,15 @@
 // keysPart of keysWhole is the part of the bound for taken keys within which
 // their newest state must be proved: the rest is for requests under way.
 const (
-	keysPart  = 8
-	keysWhole = 10
+	keysProofNumerator   = 8
+	keysProofDenominator = 10
 )
 
 // KeysProof is how old the proof that no key was taken away may be for a key to
 // be accepted.
-func (s Gateway) KeysProof() time.Duration {
+func (s Gateway) MaxKeysProofAge() time.Duration {
 	if s.StrictKeys {
-		return s.KeysBound * keysPart / keysWhole
+		return s.KeysBound * keysProofNumerator / keysProofDenominator
 	}
 	return s.StaleKeys
 }
@@ -78,14 +78,14 @@
 		durationFlag("instance-heartbeat", "how often instances write their entries", 1200*time.Millisecond),
 		durationFlag("keys-bound", "within what time a key that was taken away is refused", 5*time.Second),
 		durationFlag("config-bound", "within what time a configuration is in force", 2*time.Second),
-		&cli.BoolFlag{Name: "strict-keys", Usage: "refuse all keys while it can't be shown that none was taken away", Value: true, EnvVars: []string{Env("strict-keys")}},
+		&cli.BoolFlag{Name: "strict-keys", Usage: "refuse all keys while it can't be shown that none was taken away", Value: true, EnvVars: []string{EnvVar("strict-keys")}},
 		durationFlag("stale-keys", "without strict-keys, how long known keys are accepted without that proof", defaultStaleKeys),
-		&cli.Float64Flag{Name: "retry-ratio", Usage: "repeats for each request, over all daemons", Value: 0.2, EnvVars: []string{Env("retry-ratio")}},
-		&cli.Float64Flag{Name: "retry-slack", Usage: "repeats beyond the ratio in each window, over all daemons", Value: 100, EnvVars: []string{Env("retry-slack")}},
+		&cli.Float64Flag{Name: "retry-ratio", Usage: "repeats for each request, over all daemons", Value: 0.2, EnvVars: []string{EnvVar("retry-ratio")}},
+		&cli.Float64Flag{Name: "retry-slack", Usage: "repeats beyond the ratio in each window, over all daemons", Value: 100, EnvVars: []string{EnvVar("retry-slack")}},
 		durationFlag("retry-window", "window of the budget for repeats", 10*time.Second),
 		durationFlag("stop-grace", "how long a planned stop may take", 8*time.Second),
-		&cli.Float64Flag{Name: "power", Usage: "part of a core that the process may use", Value: 1, EnvVars: []string{Env("power")}},
-		&cli.Float64Flag{Name: "memory", Usage: "memory that the process may use, in MB; 0 for no bound", EnvVars: []string{Env("memory")}},
+		&cli.Float64Flag{Name: "power", Usage: "part of a core that the process may use", Value: 1, EnvVars: []string{EnvVar("power")}},
+		&cli.Float64Flag{Name: "memory", Usage: "memory that the process may use, in MB; 0 for no bound", EnvVars: []string{EnvVar("memory")}},
 	}
 }
 
@@ -100,7 +100,7 @@
 		Ready:             r.addr("ready"),
 		Metrics:           r.addr("metrics"),
 		Peer:              r.addr("peer"),
-		Store:             r.target("store"),
+		Store:             r.dialAddr("store"),
 		LeaseMin:          r.duration("lease-min", 50*time.Millisecond, time.Minute),
 		InstanceHeartbeat: r.duration("instance-heartbeat", 10*time.Millisecond, time.Minute),
 		KeysBound:         r.duration("keys-bound", 100*time.Millisecond, time.Hour),
@@ -111,14 +111,14 @@
 		RetrySlack:        c.Float64("retry-slack"),
 		RetryWindow:       r.duration("retry-window", time.Second, time.Hour),
 		StopGrace:         r.duration("stop-grace", 0, time.Hour),
-		Power:             c.Float64("power"),
-		Memory:            c.Float64("memory"),
+		CPUCores:          c.Float64("power"),
+		MemoryMB:          c.Float64("memory"),
 	}
 	if s.RetryRatio < 0 || s.RetryRatio > 1 {
-		r.fail("retry-ratio", errRatio)
+		r.addError("retry-ratio", errRatio)
 	}
 	if s.RetrySlack < 0 {
-		r.fail("retry-slack", errNegative)
+		r.addError("retry-slack", errNegative)
 	}
 	return s, r.err()
 }
--- a/config/gateway_test.go
+++ b/config/gateway_test.go
@@ -15,7 +15,7 @@
 func loadFile(t *testing.T, text string, args ...string) (Gateway, error) {
 	path := filepath.Join(t.TempDir(), "settings.conf")
 	qt.Assert(t, os.WriteFile(path, []byte(text), 0o600), qt.IsNil)
-	t.Setenv(FileEnv, path)
+	t.Setenv(FileEnvVar, path)
 	var loaded Gateway
 	app := &cli.App{
 		Commands: []*cli.Command{{Name: "gateway", Flags: GatewayFlags(), Action: func(c *cli.Context) error {
@@ -32,7 +32,7 @@
 	return loaded, err
 }
 
-const goodFile = `# written by the platform
+const validFile = `# written by the platform
 id=front-1
 zone=z1
 listen=127.0.0.1:7000
@@ -42,42 +42,42 @@
 something-newer=1
 `
 
-func TestSettingsFile(t *testing.T) {
+func TestReadFile(t *testing.T) {
 	c := qt.New(t)
-	s, err := loadFile(t, goodFile)
+	s, err := loadFile(t, validFile)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(s.ID), qt.Equals, "front-1")
 	c.Assert(s.RetrySlack, qt.Equals, 81.4)
 	c.Assert(s.KeysBound, qt.Equals, 5*time.Second)
-	s, err = loadFile(t, goodFile, "--zone", "z2")
+	s, err = loadFile(t, validFile, "--zone", "z2")
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(s.Zone), qt.Equals, "z2", qt.Commentf("a flag goes before the file"))
 }
 
 // TestReload checks that a settings file that has changed is read again, and
 // that the settings given at the start still go before it.
-func TestReload(t *testing.T) {
+func TestReloadGateway(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(t.TempDir(), "settings.conf")
-	t.Setenv(FileEnv, path)
+	t.Setenv(FileEnvVar, path)
 	write := func(text string) { c.Assert(os.WriteFile(path, []byte(text), 0o600), qt.IsNil) }
-	given := map[string]string{"zone": "z2", "keys-bound": "3s"}
-	write(goodFile)
-	s, err := ReloadGateway(given)
+	explicit := map[string]string{"zone": "z2", "keys-bound": "3s"}
+	write(validFile)
+	s, err := ReloadGateway(explicit)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(s.Zone), qt.Equals, "z2")
 	c.Assert(s.KeysBound, qt.Equals, 3*time.Second)
-	write(strings.ReplaceAll(goodFile, "81.4", "12"))
-	s, err = ReloadGateway(given)
+	write(strings.ReplaceAll(validFile, "81.4", "12"))
+	s, err = ReloadGateway(explicit)
 	c.Assert(err, qt.IsNil)
 	c.Assert(s.RetrySlack, qt.Equals, 12.0)
-	write(goodFile + "retry-window=never\n")
-	_, err = ReloadGateway(given)
+	write(validFile + "retry-window=never\n")
+	_, err = ReloadGateway(explicit)
 	c.Assert(err, qt.ErrorIs, ErrSetting)
 }
 
 // TestBadSettings checks that every setting that can't be used is named.
-func TestBadSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct{ line, want string }{
 		{"config-bound=soon", "config-bound"},
@@ -89,7 +89,7 @@
 		{"strict-keys=mostly", "strict-keys"},
 		{"stale-keys=1ms", "--stale-keys"},
 	} {
-		_, err := loadFile(t, goodFile+test.line+"\n")
+		_, err := loadFile(t, validFile+test.line+"\n")
 		c.Assert(err, qt.ErrorIs, ErrSetting, qt.Commentf("%s", test.line))
 		c.Assert(strings.Contains(err.Error(), test.want), qt.IsTrue, qt.Commentf("%v", err))
 	}
@@ -97,7 +97,7 @@
 
 // TestKeysProof checks that keys count for less than their bound where they are
 // strict, which is so unless the platform says otherwise, and else for longer.
-func TestKeysProof(t *testing.T) {
+func TestMaxKeysProofAge(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		line string
@@ -109,15 +109,15 @@
 		{"strict-keys=false", time.Hour},
 		{"strict-keys=false\nstale-keys=90s", 90 * time.Second},
 	} {
-		s, err := loadFile(t, goodFile+test.line+"\n")
+		s, err := loadFile(t, validFile+test.line+"\n")
 		c.Assert(err, qt.IsNil, qt.Commentf("%s", test.line))
-		c.Assert(s.KeysProof(), qt.Equals, test.want, qt.Commentf("%s", test.line))
+		c.Assert(s.MaxKeysProofAge(), qt.Equals, test.want, qt.Commentf("%s", test.line))
 	}
 }
 
 // TestDeployedSettings checks that the file that the platform fills in names
 // flags and nothing else.
-func TestDeployedSettings(t *testing.T) {
+func TestDeployedSettingsFile(t *testing.T) {
 	c := qt.New(t)
 	known := map[string]bool{}
 	for _, f := range GatewayFlags() {
--- a/config/load.go
+++ b/config/load.go
@@ -11,7 +11,7 @@
 )
 
 // Load holds the settings of the load tool.
-type Load struct {
+type LoadTest struct {
 	Targets  []netip.AddrPort
 	Tokens   []string
 	Model    models.ModelName
@@ -26,12 +26,12 @@
 }
 
 // LoadFlags are the flags that LoadLoad reads.
-func LoadFlags() []cli.Flag {
+func LoadTestFlags() []cli.Flag {
 	return []cli.Flag{
 		listFlag("target", "address of a daemon for callers; may be given more than once"),
 		listFlag("caller-token", "token of a workspace; may be given more than once"),
 		stringFlag("model", "model to ask for", ""),
-		&cli.Float64Flag{Name: "rate", Usage: "requests a second", Value: 10, EnvVars: []string{Env("rate")}},
+		&cli.Float64Flag{Name: "rate", Usage: "requests a second", Value: 10, EnvVars: []string{EnvVar("rate")}},
 		durationFlag("duration", "how long to send", 10*time.Second),
 		intFlag("prompt", "mean length of a prompt, in bytes", 1000),
 		intFlag("answer", "mean length of an answer, in tokens", 50),
@@ -43,10 +43,10 @@
 }
 
 // LoadLoad reads and checks the settings.
-func LoadLoad(c *cli.Context) (Load, error) {
+func LoadLoadTest(c *cli.Context) (LoadTest, error) {
 	r := &reader{c: c}
-	l := Load{
-		Targets:  r.targets("target"),
+	l := LoadTest{
+		Targets:  r.dialAddrs("target"),
 		Tokens:   c.StringSlice("caller-token"),
 		Model:    name[models.ModelName](r, "model"),
 		Rate:     c.Float64("rate"),
@@ -59,13 +59,13 @@
 		JSON:     c.Bool("json"),
 	}
 	if len(l.Targets) == 0 {
-		r.fail("target", errEmpty)
+		r.addError("target", errEmpty)
 	}
 	if len(l.Tokens) == 0 || strings.TrimSpace(strings.Join(l.Tokens, "")) == "" {
-		r.fail("caller-token", errEmpty)
+		r.addError("caller-token", errEmpty)
 	}
 	if l.Rate <= 0 {
-		r.fail("rate", errNotPositive)
+		r.addError("rate", errNotPositive)
 	}
 	return l, r.err()
 }
--- a/config/log.go
+++ b/config/log.go
@@ -15,7 +15,7 @@
 	r := &reader{c: c}
 	level, err := zerolog.ParseLevel(c.String("log-level"))
 	if err != nil || level < zerolog.DebugLevel || level > zerolog.ErrorLevel {
-		r.fail("log-level", errLevel)
+		r.addError("log-level", errLogLevel)
 	}
 	return level, r.err()
 }
--- a/config/serve.go
+++ b/config/serve.go
@@ -116,11 +116,11 @@
 		Listen:          r.addr("listen"),
 		Admin:           r.addr("admin"),
 		Peer:            r.addr("peer"),
-		Source:          r.source("source"),
-		Peers:           r.targets("peers"),
-		Log:             r.target("log"),
-		List:            r.target("list"),
-		BootstrapToken:  r.hash("bootstrap-token"),
+		Source:          r.sourceIP("source"),
+		Peers:           r.dialAddrs("peers"),
+		Log:             r.dialAddr("log"),
+		List:            r.dialAddr("list"),
+		BootstrapToken:  r.tokenHash("bootstrap-token"),
 		GateBound:       r.duration("gate-bound", 100*time.Millisecond, time.Minute),
 		CurrentBound:    r.duration("current-bound", 500*time.Millisecond, time.Minute),
 		WatchEvery:      r.duration("watch-every", 50*time.Millisecond, time.Minute),
@@ -134,7 +134,7 @@
 		StopGrace:       r.duration("stop-grace", 0, time.Hour),
 	}
 	if c.String("advertise-peer") != "" {
-		s.AdvertisePeer = r.target("advertise-peer")
+		s.AdvertisePeer = r.dialAddr("advertise-peer")
 	}
 	return s, r.err()
 }
--- a/config/standin.go
+++ b/config/standin.go
@@ -10,7 +10,7 @@
 )
 
 // Upstream holds what the stand-ins for engines and plain services share.
-type Upstream struct {
+type UpstreamStandin struct {
 	Listen   netip.AddrPort
 	Platform netip.AddrPort
 	// Instance is what the platform's list shows. Its address is that of
@@ -19,8 +19,8 @@
 }
 
 // Engine holds the settings of an engine stand-in.
-type Engine struct {
-	Upstream
+type EngineStandin struct {
+	UpstreamStandin
 	Load          time.Duration
 	Prefill       time.Duration
 	TokenGap      time.Duration
@@ -50,10 +50,10 @@
 	)
 }
 
-func loadUpstream(r *reader) Upstream {
-	u := Upstream{
+func loadUpstream(r *reader) UpstreamStandin {
+	u := UpstreamStandin{
 		Listen:   r.addr("listen"),
-		Platform: r.target("platform"),
+		Platform: r.dialAddr("platform"),
 		Instance: models.Instance{
 			ID:     name[models.InstanceID](r, "id"),
 			Zone:   name[models.Zone](r, "zone"),
@@ -61,7 +61,7 @@
 		},
 	}
 	if r.c.String("advertise") != "" {
-		u.Instance.Addr = r.target("advertise")
+		u.Instance.Addr = r.dialAddr("advertise")
 	}
 	return u
 }
@@ -70,7 +70,7 @@
 func EngineFlags() []cli.Flag {
 	return append(upstreamFlags(),
 		intFlag("accelerators", "accelerators of the instance", 1),
-		&cli.BoolFlag{Name: "ignore-fences", Usage: "obey orders and requests with any fence", EnvVars: []string{Env("ignore-fences")}},
+		&cli.BoolFlag{Name: "ignore-fences", Usage: "obey orders and requests with any fence", EnvVars: []string{EnvVar("ignore-fences")}},
 		durationFlag("load", "time to load weights once they are fetched", 200*time.Millisecond),
 		durationFlag("prefill", "time that 1,000 bytes of prompt take", 2*time.Millisecond),
 		durationFlag("token-gap", "time between two tokens", 2*time.Millisecond),
@@ -81,16 +81,16 @@
 }
 
 // LoadEngine reads and checks the settings of an engine stand-in.
-func LoadEngine(c *cli.Context) (Engine, error) {
+func LoadEngine(c *cli.Context) (EngineStandin, error) {
 	r := &reader{c: c}
-	e := Engine{
-		Upstream:      loadUpstream(r),
-		Load:          r.duration("load", 0, time.Hour),
-		Prefill:       r.duration("prefill", 0, time.Minute),
-		TokenGap:      r.duration("token-gap", 0, time.Minute),
-		Slots:         r.count("slots", 1, 10000),
-		ReportLag:     r.duration("report-lag", 0, time.Hour),
-		CachePrefixes: r.count("cache-prefixes", 0, 1_000_000),
+	e := EngineStandin{
+		UpstreamStandin: loadUpstream(r),
+		Load:            r.duration("load", 0, time.Hour),
+		Prefill:         r.duration("prefill", 0, time.Minute),
+		TokenGap:        r.duration("token-gap", 0, time.Minute),
+		Slots:           r.count("slots", 1, 10000),
+		ReportLag:       r.duration("report-lag", 0, time.Hour),
+		CachePrefixes:   r.count("cache-prefixes", 0, 1_000_000),
 	}
 	e.Instance.Kind = models.KindEngine
 	e.Instance.Accelerators = r.count("accelerators", 1, 1024)
@@ -104,7 +104,7 @@
 }
 
 // LoadService reads and checks the settings of a plain service stand-in.
-func LoadService(c *cli.Context) (Upstream, error) {
+func LoadService(c *cli.Context) (UpstreamStandin, error) {
 	r := &reader{c: c}
 	u := loadUpstream(r)
 	u.Instance.Kind = models.KindService
