--- a/models/config.go
+++ b/models/config.go
@@ -7,10 +7,11 @@
 	"strings"
 )
 
-// ErrBadValue is returned by the Check methods for a value out of range.
+// ErrBadValue is returned by the Check methods for a value that is out of range or malformed.
 var ErrBadValue = errors.New("bad value")
 
-// Limits of declared values.
+// Upper limits of the fields Model.Members, Model.Replicas, Workspace.Share, and of both
+// weights of Policy.
 const (
 	MaxMembers  = 64
 	MaxReplicas = 4096
@@ -18,14 +19,14 @@
 	MaxWeight   = 1000
 )
 
-// Place limits where something may run. An empty list allows every zone or
-// fabric domain.
+// Place limits where the instances of a model, service or workspace may run. An empty list
+// allows every zone or every fabric domain.
 type Place struct {
 	Zones   []Zone   `msgpack:"z" json:"zones,omitempty"`
 	Domains []Domain `msgpack:"d" json:"domains,omitempty"`
 }
 
-// Allows reports whether the place rule admits the zone and fabric domain.
+// Allows reports whether both the zone and the fabric domain are allowed.
 //
 // See Example_place.
 func (p Place) Allows(z Zone, d Domain) bool {
@@ -33,8 +34,8 @@
 		(len(p.Domains) == 0 || slices.Contains(p.Domains, d))
 }
 
-// Model declares a model: which version serves, on groups of how many
-// instances, how many groups are wanted and where they may stand.
+// Model declares a model: the version to serve, the number of instances in each replica
+// group, the number of replica groups, and where they may run.
 type Model struct {
 	Name     ModelName `msgpack:"n" json:"name"`
 	Version  Version   `msgpack:"v" json:"version"`
@@ -44,7 +45,8 @@
 	Revision Revision  `msgpack:"rev" json:"revision"`
 }
 
-// Check returns ErrBadName or ErrBadValue for a model that can't be served.
+// Check returns ErrBadName if a name is invalid, and ErrBadValue if Members or Replicas is
+// out of range.
 func (m Model) Check() error {
 	if err := errors.Join(CheckName(m.Name), CheckName(m.Version), m.Place.check()); err != nil {
 		return err
@@ -72,26 +74,26 @@
 	return nil
 }
 
-// Service declares a plain service and where its instances may be used.
+// Service declares a plain service, which serves no models, and where its instances may be
+// used.
 type Service struct {
 	Name     ServiceName `msgpack:"n" json:"name"`
 	Place    Place       `msgpack:"p" json:"place"`
 	Revision Revision    `msgpack:"rev" json:"revision"`
 }
 
-// Check returns ErrBadName for a service whose names can't be used.
+// Check returns ErrBadName if the service's name, a zone or a fabric domain is invalid.
 func (s Service) Check() error {
 	return errors.Join(CheckName(s.Name), s.Place.check())
 }
 
-// ModelRule names a model that a workspace may use. An empty version
-// allows whichever version the model declares.
+// ModelRule allows a workspace to use a model. An empty version allows every version of it.
 type ModelRule struct {
 	Model   ModelName `msgpack:"m" json:"model"`
 	Version Version   `msgpack:"v" json:"version,omitempty"`
 }
 
-// String writes the rule as operators do: brief or brief@v2.
+// String formats the rule as operators write it: brief or brief@v2.
 func (r ModelRule) String() string {
 	if r.Version == "" {
 		return string(r.Model)
@@ -99,7 +101,7 @@
 	return string(r.Model) + "@" + string(r.Version)
 }
 
-// ParseModelRule reads what ModelRule.String writes.
+// ParseModelRule parses the format of ModelRule.String.
 func ParseModelRule(s string) (ModelRule, error) {
 	name, version, pinned := strings.Cut(s, "@")
 	rule := ModelRule{Model: ModelName(name), Version: Version(version)}
@@ -112,23 +114,24 @@
 	return rule, nil
 }
 
-// Workspace declares who may call what, where it may run, and its share of
-// what there is.
+// Workspace declares which models and services its callers may use, where their requests
+// may run, and its share of the capacity.
 type Workspace struct {
 	Name     WorkspaceName `msgpack:"n" json:"name"`
 	Models   []ModelRule   `msgpack:"m" json:"models,omitempty"`
 	Services []ServiceName `msgpack:"s" json:"services,omitempty"`
 	Place    Place         `msgpack:"p" json:"place"`
-	// Share is the workspace's weight against the others under load.
+	// Share is the workspace's weight relative to other workspaces under load.
 	Share int `msgpack:"w" json:"share"`
-	// Concurrent caps requests in flight over all daemons; 0 sets no cap.
+	// Concurrent limits the requests in flight on all daemons together; 0 sets no limit.
 	Concurrent int `msgpack:"c" json:"concurrent,omitempty"`
-	// Tokens are SHA-256 hashes, in hex, of the tokens callers present.
+	// Tokens are the hex SHA-256 hashes of the tokens that callers send.
 	Tokens   []string `msgpack:"t" json:"tokens,omitempty"`
 	Revision Revision `msgpack:"rev" json:"revision"`
 }
 
-// Check returns ErrBadName or ErrBadValue for an unusable workspace.
+// Check returns ErrBadName if a name is invalid, and ErrBadValue if Share, Concurrent or a
+// token hash is.
 func (w Workspace) Check() error {
 	if err := errors.Join(CheckName(w.Name), w.Place.check()); err != nil {
 		return err
@@ -152,23 +155,24 @@
 	return checkTokenHashes(w.Tokens)
 }
 
-// AllowsModel reports whether the workspace may use this version.
+// AllowsModel reports whether the workspace may use this version of the model.
 func (w Workspace) AllowsModel(m ModelName, v Version) bool {
 	return slices.ContainsFunc(w.Models, func(r ModelRule) bool {
 		return r.Model == m && (r.Version == "" || r.Version == v)
 	})
 }
 
-// Right is what an operator may do.
+// Right is the permission of an operator.
 type Right string
 
-// The rights of operators; each includes the one before.
+// The rights of operators: RightAsk allows queries, RightChange allows queries and changes of
+// the configuration.
 const (
 	RightAsk    Right = "ask"
 	RightChange Right = "change"
 )
 
-// Operator declares somebody who may ask or change.
+// Operator declares a person or program that may query a daemon or change the configuration.
 type Operator struct {
 	Name     OperatorName `msgpack:"n" json:"name"`
 	Right    Right        `msgpack:"r" json:"right"`
@@ -176,7 +180,8 @@
 	Revision Revision     `msgpack:"rev" json:"revision"`
 }
 
-// Check returns ErrBadName or ErrBadValue for an unusable operator.
+// Check returns ErrBadName if the name is invalid, and ErrBadValue if the right or a token
+// hash is.
 func (o Operator) Check() error {
 	if err := CheckName(o.Name); err != nil {
 		return err
@@ -198,16 +203,16 @@
 	return nil
 }
 
-// Policy holds the operators' weights between the two measures.
+// Policy holds the weights of the two costs that the planner minimizes.
 type Policy struct {
-	// Downtime and Stranded weigh a second of group downtime against a
-	// second of one stranded accelerator.
+	// Downtime is the cost of one second of downtime of a group, Stranded the cost of one
+	// accelerator that is stranded for one second.
 	Downtime int      `msgpack:"d" json:"downtime"`
 	Stranded int      `msgpack:"s" json:"stranded"`
 	Revision Revision `msgpack:"rev" json:"revision"`
 }
 
-// Check returns ErrBadValue for weights out of range.
+// Check returns ErrBadValue if a weight is out of range.
 func (p Policy) Check() error {
 	for _, w := range []int{p.Downtime, p.Stranded} {
 		if w < 0 || w > MaxWeight {
@@ -217,7 +222,7 @@
 	return nil
 }
 
-// Drain marks an instance that an operator takes out of use.
+// Drain marks an instance that an operator is draining.
 type Drain struct {
 	Instance InstanceID `msgpack:"i" json:"instance"`
 	Revision Revision   `msgpack:"rev" json:"revision"`
--- a/models/models.go
+++ b/models/models.go
@@ -1,6 +1,6 @@
-// Package models holds the nouns that every part of lupinkeel shares:
-// instances, replica groups, the declared configuration and their names.
-// Its types carry data and checks of their own shape, no behaviour.
+// Package models defines the data types that all packages of lupinkeel share: instances,
+// replica groups, the declared configuration, routes, and their names. Besides data, the
+// types have only validation, comparison and lookup methods.
 package models
 
 import (
@@ -11,57 +11,57 @@
 	"time"
 )
 
-// Names of things. Each is a short lower-case word; see CheckName.
+// Types of names. CheckName defines their syntax.
 type (
-	// InstanceID names one upstream instance, as the platform's list does.
+	// InstanceID names an upstream instance, as in the platform's instance list.
 	InstanceID string
-	// DaemonID names one lupinkeel daemon.
+	// DaemonID names a lupinkeel daemon.
 	DaemonID string
-	// GroupID names one replica group for as long as it exists.
+	// GroupID names a replica group for as long as it exists.
 	GroupID string
 	// ModelName names a model.
 	ModelName string
-	// Version names one version of a model's weights.
+	// Version names a version of a model's weights.
 	Version string
-	// WorkspaceName names a workspace, the unit that owns requests.
+	// WorkspaceName names a workspace: the tenant to which a request belongs.
 	WorkspaceName string
 	// ServiceName names a plain service.
 	ServiceName string
-	// OperatorName names a person or program that may ask or change.
+	// OperatorName names a person or program that may query a daemon or change the
+	// configuration.
 	OperatorName string
 	// Zone names an availability zone.
 	Zone string
 	// Domain names a fabric domain.
 	Domain string
-	// RequestID names one caller's request over all its tries.
+	// RequestID identifies a caller's request across all attempts to run it.
 	RequestID string
-	// RecordID names one record over all tries to append it.
+	// RecordID identifies a record across all attempts to append it.
 	RecordID string
 )
 
-// Offset is the position of a record on the log. The first record has
-// offset 1; 0 stands for "before every record".
+// Offset is the position of a record in the log. The first record has offset 1; 0 is the
+// position before the first record.
 type Offset uint64
 
-// Fence orders what instances are told. A group's fence is the offset of
-// the record that formed it, so a later group always has a larger fence.
+// Fence is a fencing token: it orders the commands that are sent to instances. A group's fence
+// is the offset of the record that formed the group, so a later group always has a larger fence.
 type Fence = Offset
 
-// Revision is the offset of the record that last changed an entity; 0 is
-// the revision of an entity that does not exist.
+// Revision is the offset of the record that last changed an entity. An entity that does not
+// exist has revision 0.
 type Revision = Offset
 
-// MaxNameLen is the longest name accepted, in bytes.
+// MaxNameLen is the maximum length of a name, in bytes.
 const MaxNameLen = 63
 
-// ErrBadName is returned for a name that CheckName refuses.
+// ErrBadName is returned by CheckName for an invalid name.
 var ErrBadName = errors.New("bad name")
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]*$`)
 
-// CheckName returns ErrBadName unless s starts with a lower-case letter or
-// digit, continues with those, '.', '_' or '-', and has at most MaxNameLen
-// bytes.
+// CheckName returns ErrBadName unless s starts with a lower-case letter or digit, contains
+// only lower-case letters, digits, '.', '_' and '-', and has at most MaxNameLen bytes.
 func CheckName[S ~string](s S) error {
 	if len(s) > MaxNameLen || !namePattern.MatchString(string(s)) {
 		return fmt.Errorf("%w: %q", ErrBadName, string(s))
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// InstanceKind tells a model engine from a plain service.
+// InstanceKind distinguishes model engines from plain services.
 type InstanceKind string
 
 // The kinds of upstream instances.
@@ -78,7 +78,7 @@
 	KindService InstanceKind = "service"
 )
 
-// Instance is one upstream machine as the platform's list describes it.
+// Instance is an upstream instance as described in the platform's instance list.
 type Instance struct {
 	ID           InstanceID     `msgpack:"id" json:"id"`
 	Kind         InstanceKind   `msgpack:"k" json:"kind"`
@@ -86,17 +86,17 @@
 	Zone         Zone           `msgpack:"z" json:"zone"`
 	Domain       Domain         `msgpack:"d" json:"domain"`
 	Accelerators int            `msgpack:"n" json:"accelerators"`
-	// ChecksFences tells that the instance refuses orders and requests
-	// whose fence is older than the newest that it has seen.
+	// ChecksFences is true if the instance refuses orders and requests with a fence that is
+	// older than the newest one it has seen.
 	ChecksFences bool `msgpack:"f" json:"checks_fences"`
-	// Leaving tells that the platform is about to take the instance away.
+	// Leaving is true if the platform is about to remove the instance.
 	Leaving bool `msgpack:"l" json:"leaving"`
-	// Service is set for KindService only.
+	// Service is set only for KindService.
 	Service ServiceName `msgpack:"s" json:"service,omitempty"`
 }
 
-// Member is one instance of a group, with what a daemon needs to reach it
-// when the instance list is away.
+// Member is an instance of a group. It holds all that a daemon needs to reach the instance
+// while the platform's instance list is unavailable.
 type Member struct {
 	ID           InstanceID     `msgpack:"id" json:"id"`
 	Addr         netip.AddrPort `msgpack:"a" json:"addr"`
@@ -104,9 +104,8 @@
 	ChecksFences bool           `msgpack:"f" json:"checks_fences"`
 }
 
-// Group is one replica group: a fixed list of instances of one fabric
-// domain that together serve one version of one model. Members[0] takes
-// the requests.
+// Group is a replica group: a fixed list of instances of one fabric domain that together serve
+// one version of a model. Requests are sent to Members[0], the head.
 type Group struct {
 	ID      GroupID   `msgpack:"id" json:"id"`
 	Model   ModelName `msgpack:"m" json:"model"`
@@ -115,8 +114,8 @@
 	Domain  Domain    `msgpack:"d" json:"domain"`
 	Members []Member  `msgpack:"i" json:"members"`
 	Fence   Fence     `msgpack:"f" json:"fence"`
-	// Retiring is the offset of the record that told the group to take no
-	// new requests; 0 while it may take them.
+	// Retiring is the offset of the record since which the group accepts no new requests; 0
+	// while the group accepts requests.
 	Retiring Offset `msgpack:"r" json:"retiring,omitempty"`
 }
 
@@ -130,7 +129,7 @@
 	return false
 }
 
-// Accelerators is the number of accelerators of all members.
+// Accelerators returns the number of accelerators of all members together.
 func (g Group) Accelerators() int {
 	total := 0
 	for _, m := range g.Members {
@@ -139,19 +138,19 @@
 	return total
 }
 
-// Daemon is one entry of the roster.
+// Daemon is an entry of the roster, the list of the daemons in the cluster.
 type Daemon struct {
 	ID   DaemonID `msgpack:"id" json:"id"`
 	Zone Zone     `msgpack:"z" json:"zone"`
-	// Peer is where the daemon listens for other daemons.
+	// Peer is the address on which the daemon listens for other daemons.
 	Peer netip.AddrPort `msgpack:"p" json:"peer"`
-	// Incarnation differs between two processes that ran under one name.
+	// Incarnation differs between two processes that ran under the same ID.
 	Incarnation uint64 `msgpack:"n" json:"incarnation"`
-	// Joined is the offset of the record that added this incarnation.
+	// Joined is the offset of the record that added this incarnation to the roster.
 	Joined Offset `msgpack:"j" json:"joined"`
 }
 
-// AuditEntry tells of one change that an operator asked for.
+// AuditEntry records a change of the configuration that an operator requested.
 type AuditEntry struct {
 	Offset   Offset       `msgpack:"o" json:"offset"`
 	At       time.Time    `msgpack:"t" json:"at"`
@@ -159,6 +158,6 @@
 	Daemon   DaemonID     `msgpack:"d" json:"daemon"`
 	Change   string       `msgpack:"c" json:"change"`
 	Note     string       `msgpack:"n" json:"note"`
-	// Refused is the reason, empty for an accepted change.
+	// Refused is the reason for which the change was refused; empty for an accepted change.
 	Refused string `msgpack:"r" json:"refused,omitempty"`
 }
--- a/models/requests.go
+++ b/models/requests.go
@@ -5,58 +5,59 @@
 	"time"
 )
 
-// NoLimit stands for the limit of an instance that takes any number of requests.
+// NoLimit is the rate limit of an instance that accepts requests at any rate.
 const NoLimit = math.MaxFloat64
 
-// RequestHead is what a caller tells about a request beside its body.
+// RequestHead holds what a caller's headers say about a request.
 type RequestHead struct {
 	ID RequestID
-	// Deadline is how long the caller will wait; 0 if it does not tell.
+	// Deadline is the time that the caller will wait; 0 if the caller sets no deadline.
 	Deadline time.Duration
-	// Key is the caller's key; empty without one.
+	// Key is the caller's API key; empty if the request has none.
 	Key string
 	// Model is set for requests to model engines.
 	Model        ModelName
 	PromptTokens int
 	AnswerTokens int
-	// After is the id of the last event of a stream that the caller has;
-	// Resumed tells that it names one.
+	// After is the ID of the last event of a stream that the caller has received. It is valid
+	// only if Resumed is true.
 	After   int64
 	Resumed bool
 }
 
-// Attempt is what a daemon adds to a request that it sends to an instance.
+// Attempt holds what a daemon adds to the headers of a request that it sends to an instance.
 type Attempt struct {
-	// Left is how long the caller still waits.
+	// Left is the time until the caller's deadline.
 	Left      time.Duration
 	Instance  InstanceID
 	Workspace WorkspaceName
-	// Priority ranks the request at the instance, 0 to 9.
+	// Priority is the priority of the request at the instance, from 0 (most urgent) to 9.
 	Priority int
-	// After is the last event that need not be sent again, if Resume is set.
+	// After is the ID of the last event that the caller has received. It is valid only if
+	// Resume is true.
 	After  int64
 	Resume bool
 }
 
-// AnswerHead is what an instance tells about its answer.
+// AnswerHead holds what the headers of an instance's response say.
 type AnswerHead struct {
-	// ID is the request that the answer belongs to.
+	// ID is the request to which the response belongs.
 	ID RequestID
-	// NotRun proves that the request was not run and will not be.
+	// NotRun is true if the instance guarantees that it did not run the request and never will.
 	NotRun bool
-	// Signed tells that the answer bears the instance's signature.
+	// Signed is true if the response carries the instance's response stamp.
 	Signed bool
-	// Fault names the instance that keeps a group from running; empty if
-	// the answer names none.
+	// Fault is the instance that prevents its group from running; empty if the response names
+	// none.
 	Fault InstanceID
-	// Limit is how many requests a second the instance takes from all daemons
-	// together: NoLimit if it names none, NaN if what it names can't be read.
+	// Limit is the number of requests per second that the instance accepts from all daemons
+	// together: NoLimit if the response sets no limit, NaN if the limit can't be parsed.
 	Limit float64
-	// Rest is for how long the instance wants nothing from the daemon that it answers, 0
-	// if it does not say.
+	// Rest is the time during which the instance wants no requests from the daemon that
+	// receives the response; 0 if the response does not ask for a pause.
 	Rest time.Duration
-	// Leaving tells that the instance is about to leave.
+	// Leaving is true if the instance is about to leave.
 	Leaving bool
-	// Unreadable names the headers of Rest and Leaving that can't be read as they stand.
+	// Unreadable lists the headers of Rest and Leaving whose values are malformed.
 	Unreadable []string
 }
--- a/models/routing.go
+++ b/models/routing.go
@@ -5,92 +5,92 @@
 	"time"
 )
 
-// RouteKind tells how often a request of a route may be run.
+// RouteKind defines whether a request of a route may be run more than once, and how it is
+// answered.
 type RouteKind string
 
 // The kinds of routes.
 const (
-	// RouteRepeatable requests may be run more than once.
+	// RouteRepeatable is for idempotent requests, which may be run more than once.
 	RouteRepeatable RouteKind = "repeatable"
-	// RouteOnce requests are run at most once.
+	// RouteOnce is for requests that must run at most once.
 	RouteOnce RouteKind = "once"
-	// RouteStream requests are answered with a series of events.
+	// RouteStream is for requests whose response is a stream of events.
 	RouteStream RouteKind = "stream"
 )
 
-// Route sends the requests of one host whose path begins with Prefix to an
-// upstream service.
+// Route routes the requests for a host whose path begins with Prefix to upstream services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Timeout is how long a request may be held, Aim how soon it should be
-	// answered or its first event sent, Pause the longest gap between two
-	// events that callers put up with.
+	// Timeout limits the duration of a request. Aim is the target latency of the response or,
+	// for a stream, of its first event. Pause is the target for the longest gap between two
+	// events.
 	Timeout time.Duration
 	Aim     time.Duration
 	Pause   time.Duration
-	// Attempts is how many instances one request may be sent to.
+	// Attempts is the maximum number of instances to which a request is sent.
 	Attempts int
-	// Priority ranks requests; 0 is the most urgent.
+	// Priority is the priority of the route's requests; 0 is the most urgent.
 	Priority int
 	Targets  []RouteTarget
-	// Open routes need no key.
+	// Open is true if requests need no API key.
 	Open bool
-	// Resumable streams may be continued on another instance.
+	// Resumable is true if a stream may be continued on another instance.
 	Resumable bool
 }
 
-// Repeatable reports whether a request of the route may be run again.
+// Repeatable reports whether a request of the route may be run more than once.
 func (r Route) Repeatable() bool {
 	return r.Kind == RouteRepeatable || (r.Kind == RouteStream && r.Resumable)
 }
 
-// RouteTarget is one service of a route and its weight against the others.
+// RouteTarget is a service of a route, with its weight relative to the route's other services.
 type RouteTarget struct {
 	Service ServiceName
 	Weight  int
 }
 
-// UpstreamService is a service that requests are routed to.
+// UpstreamService is a service to which requests are routed.
 type UpstreamService struct {
 	Name       ServiceName
 	HealthPath string
-	// MaxConnections is how many connections an instance takes from all
-	// daemons together.
+	// MaxConnections is the number of connections that an instance accepts from all daemons
+	// together.
 	MaxConnections int
-	// Engine describes model engines; nil for a plain service.
+	// Engine is the profile of the service's model engines; nil for a plain service.
 	Engine *EngineProfile
 }
 
-// EngineProfile describes how fast a service's engines work and what may be
-// loaded onto them.
+// EngineProfile describes the speed of a service's engines and the models that they can load.
 type EngineProfile struct {
-	// Slots is how many requests a replica group runs at once.
+	// Slots is the number of requests that a replica group runs concurrently.
 	Slots int
-	// Step is how long a pass takes that gives every running request one
-	// token; each running request adds PerRequest, and PerThousandTokens for
-	// every thousand tokens of its context.
+	// Step is the base duration of a decode step, which generates one token for every running
+	// request. Each running request adds PerRequest, and PerThousandTokens for every thousand
+	// tokens of its context.
 	Step              time.Duration
 	PerRequest        time.Duration
 	PerThousandTokens time.Duration
-	// ReadPerSecond is how many prompt tokens are read in a second, Chunk
-	// how many of them in one step at most.
+	// ReadPerSecond is the prefill speed, in prompt tokens per second; Chunk is the maximum
+	// number of prompt tokens that one step processes.
 	ReadPerSecond float64
 	Chunk         int
-	// Stride is how many steps a pass takes before its tokens go out.
+	// Stride is the number of steps after which an engine sends the generated tokens.
 	Stride int
-	// LoadsPerSecond and LoadsAtOnce bound what the weight store gives.
+	// LoadsPerSecond limits the rate at which loads from the weight store start, LoadsAtOnce
+	// how many run concurrently.
 	LoadsPerSecond float64
 	LoadsAtOnce    int
-	// FormTime is how long a complete group takes to open.
+	// FormTime is the time that a group needs to open once all its members are ready.
 	FormTime time.Duration
 	Models   []ModelProfile
 }
 
-// ReadTime is how long an engine takes to read prompts of so many tokens, 0 if
-// that is not described.
+// ReadTime returns the prefill time of prompts with that many tokens, or 0 if the profile sets
+// no prefill speed.
 func (e *EngineProfile) ReadTime(tokens int) time.Duration {
 	if e.ReadPerSecond <= 0 {
 		return 0
@@ -98,16 +98,16 @@
 	return time.Duration(float64(tokens) / e.ReadPerSecond * float64(time.Second))
 }
 
-// ModelProfile describes one model that engines can load.
+// ModelProfile describes a model that engines can load.
 type ModelProfile struct {
 	Name ModelName
 	// Size is the number of instances of a replica group.
 	Size int
-	// Share is the part of all instances that the model needs at first.
+	// Share is the fraction of all instances that the model needs initially.
 	Share float64
-	// Pace is a factor on all times of the engine.
+	// Pace is the factor by which the model multiplies all durations of the engine profile.
 	Pace float64
-	// Load is how long weights take to load from the weight store, Warm
+	// Load is the time to load the weights from the weight store, Warm the time to load them
 	// from the instance's own host.
 	Load time.Duration
 	Warm time.Duration
@@ -123,13 +123,14 @@
 	return ModelProfile{}, false
 }
 
-// KeyHolder is the workspace that a key belongs to.
+// KeyHolder is the workspace to which an API key belongs, with the priority of its requests.
 type KeyHolder struct {
 	Workspace WorkspaceName
 	Priority  int
 }
 
-// CallerLimits bound what a caller may send and how long it may take.
+// CallerLimits limits the size of a caller's request, and the time that a caller may take to
+// send its headers or leave a connection idle.
 type CallerLimits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -137,20 +138,20 @@
 	IdleTimeout   time.Duration
 }
 
-// Routing is one version of the configuration that decides where requests
-// go. It is never changed once it is in use.
+// Routing is a version of the routing configuration. It is immutable once it is in use.
 type Routing struct {
 	Version int64
 	// Hosts holds each host's routes, the longest prefix first.
 	Hosts    map[string][]Route
 	Services map[ServiceName]UpstreamService
-	// Keys is empty where the configuration declares no workspaces.
+	// Keys maps API keys to their workspaces. Keyed is true if the configuration declares
+	// workspaces: only then do requests need a key.
 	Keys   map[string]KeyHolder
 	Keyed  bool
 	Limits CallerLimits
 }
 
-// Match returns the route of a host and path.
+// Match returns the route with the longest prefix that matches the host and path.
 func (r *Routing) Match(host, path string) (Route, bool) {
 	for _, route := range r.Hosts[host] {
 		if strings.HasPrefix(path, route.Prefix) {
--- a/models/trail.go
+++ b/models/trail.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// TrailEntry tells where one request ran and what became of it.
+// TrailEntry is an entry of the trail, the log of requests: it records where a request ran and
+// how it ended.
 type TrailEntry struct {
 	Request   RequestID     `msgpack:"r" json:"request"`
 	Workspace WorkspaceName `msgpack:"w" json:"workspace"`
-	// Wanted is the model or the plain service that the caller named.
+	// Wanted is the model or plain service that the caller requested.
 	Wanted    string       `msgpack:"m" json:"wanted"`
 	Version   Version      `msgpack:"v" json:"version,omitempty"`
 	Group     GroupID      `msgpack:"g" json:"group,omitempty"`
@@ -15,12 +16,13 @@
 	Domain    Domain       `msgpack:"d" json:"domain,omitempty"`
 	Daemon    DaemonID     `msgpack:"n" json:"daemon"`
 	Started   time.Time    `msgpack:"t" json:"started"`
-	// Took is how long the request has taken, so far if it has no end.
+	// Took is the duration of the request; for a request in flight, until the entry was
+	// written.
 	Took  time.Duration `msgpack:"o" json:"took"`
 	Tries int           `msgpack:"x" json:"tries"`
-	// End is whole, not-run or may-have-run; empty for a request that was
-	// still in flight when the entry was written.
+	// End is "whole" (the caller got the complete response), "not-run" or "may-have-run"; it is
+	// empty if the request was in flight when the entry was written.
 	End string `msgpack:"e" json:"end"`
-	// Reason tells why the request did not end whole.
+	// Reason is the reason for an End other than "whole".
 	Reason string `msgpack:"y" json:"reason,omitempty"`
 }
--- a/models/upstream.go
+++ b/models/upstream.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// UpstreamInstance is one instance behind the daemons, as its own entry in
-// the platform's store describes it.
+// UpstreamInstance is an upstream instance as described by its own entry in the platform's
+// store.
 type UpstreamInstance struct {
 	ID InstanceID
-	// Born is when the instance started, by its own clock. One that starts again
-	// under its id knows nothing of before. It is zero where that is not told.
+	// Born is the start time of the instance by its own clock; zero if unknown. An instance
+	// that restarts under the same ID has lost all its earlier state.
 	Born     time.Time `msgpack:",omitempty"`
 	Service  ServiceName
 	Addr     netip.AddrPort
@@ -18,29 +18,31 @@
 	Domain   Domain
 	Slots    int
 	Draining bool
-	// Loaded is the model that the instance runs or, as far as is known, ran
-	// last since its start; it joins a group of that model fastest. Staged are
-	// those that lie on its host.
+	// Loaded is the model that the instance runs or, as far as known, the last one it ran since
+	// its start; the instance joins a group of this model fastest. Staged lists the models
+	// whose weights are stored on the instance's host.
 	Loaded ModelName
 	Staged []ModelName
 	Group  Membership
-	// Heartbeat counts the instance's writes of its entry.
+	// Heartbeat is the number of times that the instance has written its entry.
 	Heartbeat int64
 }
 
-// Life tells how what was told of an instance stands to what is known of it.
+// Life is the result of comparing the incarnation of an instance in a report with the known
+// incarnation. An instance begins a new incarnation, or life, at each start.
 type Life int
 
-// The lives of an instance.
+// The results of LifeOf.
 const (
-	// SameLife is also taken where one of the two does not tell its birth.
+	// SameLife is also the result if either start time is unknown.
 	SameLife Life = iota
+	// EarlierLife means that the report is about an earlier incarnation than the known one.
 	EarlierLife
+	// LaterLife means that the report is about a later incarnation than the known one.
 	LaterLife
 )
 
-// LifeOf tells of which life of the instance something was told, by the birth that
-// came with it.
+// LifeOf compares the incarnation with the given start time with the incarnation i.
 func (i UpstreamInstance) LifeOf(startedAt time.Time) Life {
 	switch {
 	case startedAt.IsZero() || i.Born.IsZero() || startedAt.Equal(i.Born):
@@ -52,16 +54,16 @@
 	}
 }
 
-// Membership is what an instance tells of the group that it is in. A zero
-// Key stands for no group.
+// Membership is the membership in a group as the instance reports it. Key is zero if the
+// instance is in no group.
 type Membership struct {
 	Key   GroupKey
 	Rank  int
 	State MemberState
 }
 
-// Follows reports whether a member that was as before can have come to this
-// state since by going forward: into a later group, or further in the same.
+// Follows reports whether m is a later membership than previous: a membership in a later group,
+// or a later state in the same group.
 func (m Membership) Follows(previous Membership) bool {
 	if m.Key.Epoch != previous.Key.Epoch {
 		return m.Key.Epoch > previous.Key.Epoch
@@ -69,11 +71,10 @@
 	return m.State.rank() > previous.State.rank()
 }
 
-// MemberState is how far an instance is as a member of a replica group.
+// MemberState is the state of an instance as a member of a replica group.
 type MemberState string
 
-// The states of a member. Only a group's head is ever open, closing or
-// broken.
+// The states of a member. Only the head of a group can be open, closing or broken.
 const (
 	MemberNone    MemberState = ""
 	MemberJoining MemberState = "joining"
@@ -83,7 +84,7 @@
 	MemberBroken  MemberState = "broken"
 )
 
-// Known reports whether there is such a state.
+// Known reports whether s is one of the defined states.
 func (s MemberState) Known() bool {
 	switch s {
 	case MemberNone, MemberJoining, MemberReady, MemberOpen, MemberClosing, MemberBroken:
@@ -93,7 +94,7 @@
 	}
 }
 
-// rank orders the states that a member of one group goes through.
+// rank orders the states through which a member passes within a group.
 func (s MemberState) rank() int {
 	switch s {
 	case MemberNone:
@@ -109,8 +110,8 @@
 	}
 }
 
-// GroupKey names one composition of a replica group: the same name is never
-// used with another epoch for other members.
+// GroupKey identifies a replica group with a given list of members. A group with other members
+// never has both the same name and the same epoch.
 type GroupKey struct {
 	Name  GroupID `msgpack:"n"`
 	Epoch int64   `msgpack:"e"`
