--- a/config/config.go
+++ b/config/config.go
@@ -1,6 +1,6 @@
-// Package config turns flags and environment variables into checked
-// settings, one file a section. A setting that can't be used is refused at
-// the start with the names of its flag and its environment variable.
+// Package config loads and validates the settings of each command from flags, environment
+// variables and the settings file. The error for an invalid setting names its flag and its
+// environment variable.
 package config
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// ErrSetting is returned for a setting that can't be used.
+// ErrSetting is returned for an invalid setting.
 var ErrSetting = errors.New("bad setting")
 
 const envPrefix = "LUPINKEEL_"
 
-// Env is the environment variable that sets a flag.
+// EnvVar returns the name of the environment variable that sets a flag.
 func EnvVar(flag string) string {
 	return envPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
@@ -41,7 +41,7 @@
 	return &cli.IntFlag{Name: name, Usage: usage, Value: value, EnvVars: []string{EnvVar(name)}}
 }
 
-// reader reads flags and gathers everything that is wrong with them.
+// reader reads and validates flags and collects the errors of all invalid ones.
 type reader struct {
 	c    *cli.Context
 	errs []error
@@ -75,7 +75,8 @@
 	return addr
 }
 
-// source is an optional IP address to leave from.
+// sourceIP reads an optional IP address that is the source address of connections. The result is
+// not valid if the flag is not set.
 func (r *reader) sourceIP(flag string) netip.Addr {
 	text := r.c.String(flag)
 	if text == "" {
@@ -88,7 +89,7 @@
 	return addr
 }
 
-// target is an address to call, not one to listen on.
+// dialAddr reads an address to connect to. Unlike a listen address, it needs a port other than 0.
 func (r *reader) dialAddr(flag string) netip.AddrPort {
 	addr := r.addr(flag)
 	if addr.IsValid() && addr.Port() == 0 {
--- a/config/file.go
+++ b/config/file.go
@@ -11,15 +11,14 @@
 	"github.com/urfave/cli/v2"
 )
 
-// FileEnv is the environment variable that names the settings file.
+// FileEnvVar is the environment variable that holds the path of the settings file.
 const FileEnvVar = "LUPINKEEL_NODE_FILE"
 
-// ReadFile sets the flags that the command line and the environment leave
-// open from the settings file, if there is one. Each line holds NAME=VALUE,
-// with the flag's name; empty lines and those that begin with # are passed
-// over, and so are names of no flag, since a newer platform may add some. A name
-// without a value stays at its default: the platform fills in nothing where it
-// has no such field.
+// ReadFile reads the settings file, if FileEnvVar is set, and sets the flags that neither the
+// command line nor the environment sets. Each line has the form NAME=VALUE, where NAME is the
+// name of a flag. Empty lines and lines that begin with # are ignored. Unknown names are ignored
+// too, since a newer platform may add some. A flag with an empty value keeps its default: the
+// platform writes an empty value for a setting that it does not know.
 func ReadFile(c *cli.Context) error {
 	path := os.Getenv(FileEnvVar)
 	if path == "" {
@@ -30,7 +29,7 @@
 		return fmt.Errorf("%w: settings file (%s): %w", ErrSetting, FileEnvVar, err)
 	}
 	defer file.Close()
-	// open are the flags that the file may set.
+	// unset holds whether a flag is not set yet and may be set by the file.
 	unset := map[string]bool{}
 	for _, f := range c.Command.Flags {
 		name := f.Names()[0]
@@ -66,8 +65,8 @@
 	return errors.Join(append(errs, lines.Err())...)
 }
 
-// Given are the settings of the command line and the environment, which go
-// before those of the settings file. It must be called before ReadFile.
+// ExplicitFlags returns the values of the flags that are set on the command line or in the
+// environment, which take precedence over the settings file. It must be called before ReadFile.
 func ExplicitFlags(c *cli.Context) map[string]string {
 	explicit := map[string]string{}
 	for _, f := range c.Command.Flags {
@@ -78,8 +77,8 @@
 	return explicit
 }
 
-// ReloadGateway reads the settings anew: those given at the start, and the
-// settings file, which may have changed.
+// ReloadGateway loads the settings of a daemon again, from the flags that were explicitly set at
+// the start and from the current settings file.
 func ReloadGateway(explicit map[string]string) (Gateway, error) {
 	flags := GatewayFlags()
 	flagSet := flag.NewFlagSet("gateway", flag.ContinueOnError)
--- a/config/gateway.go
+++ b/config/gateway.go
@@ -9,12 +9,13 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Gateway holds the settings of a daemon on the users' platform.
+// Gateway holds the settings of the gateway command, a daemon on the users' platform.
 type Gateway struct {
 	ID   models.DaemonID
 	Zone models.Zone
-	// Listen is where callers come, Ready where the balancer asks, Metrics
-	// where metrics are served, Peer where other daemons come.
+	// Listen is the address for callers, Ready for the readiness probe of the load balancer,
+	// Metrics for metrics, and Peer for other daemons. Store is the address of the platform's
+	// store.
 	Listen  netip.AddrPort
 	Ready   netip.AddrPort
 	Metrics netip.AddrPort
@@ -22,41 +23,44 @@
 	Store   netip.AddrPort
 	// LeaseMin is the shortest lease that the store grants.
 	LeaseMin time.Duration
-	// InstanceHeartbeat is how often instances write their entries.
+	// InstanceHeartbeat is the interval at which instances write their entries.
 	InstanceHeartbeat time.Duration
-	// KeysBound is within what time a key that was taken away is refused,
-	// ConfigBound within what a configuration is in force.
+	// KeysBound is the maximum time after which a revoked API key is refused, ConfigBound the
+	// maximum time after which a new configuration is in force.
 	KeysBound   time.Duration
 	ConfigBound time.Duration
-	// StrictKeys tells that no key may be accepted later than KeysBound after it
-	// was taken away. Otherwise a daemon that can't show that its keys are
-	// current accepts those it knows for up to StaleKeys.
-	StrictKeys  bool
-	StaleKeys   time.Duration
+	// StrictKeys is true if a key must never be accepted later than KeysBound after it was
+	// revoked. Otherwise, a daemon without proof that its keys are current accepts the keys it
+	// knows for up to StaleKeys.
+	StrictKeys bool
+	StaleKeys  time.Duration
+	// RetryRatio, RetrySlack and RetryWindow set the retry budget of all daemons together: in
+	// each window, RetryRatio retries per request, and RetrySlack further ones.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
 	StopGrace   time.Duration
-	// Power is the part of a core that the process may use; the daemons with
-	// the most of it take the duties.
+	// CPUCores is the number of cores, or the fraction of a core, that the process may use.
+	// Daemons with more of it come first when the roles in the cluster are assigned.
 	CPUCores float64
-	// Memory is what the process may use, in MB; 0 sets no bound.
+	// MemoryMB is the memory that the process may use; 0 sets no limit.
 	MemoryMB float64
 }
 
-// defaultStaleKeys is how long regions lose each other at the size planned for,
-// now and then.
+// defaultStaleKeys is the longest network partition between regions that is expected now and
+// then at the planned size.
 const defaultStaleKeys = time.Hour
 
-// keysPart of keysWhole is the part of the bound for taken keys within which
-// their newest state must be proved: the rest is for requests under way.
+// keysProofNumerator and keysProofDenominator set the maximum age of the proof that keys are
+// current, as a fraction of KeysBound. The remaining time is for requests that were accepted
+// just before the proof became too old.
 const (
 	keysProofNumerator   = 8
 	keysProofDenominator = 10
 )
 
-// KeysProof is how old the proof that no key was taken away may be for a key to
-// be accepted.
+// MaxKeysProofAge returns the maximum age of the proof that keys are current, that is, that the
+// daemon knows of all revocations. With an older proof, no key is accepted.
 func (s Gateway) MaxKeysProofAge() time.Duration {
 	if s.StrictKeys {
 		return s.KeysBound * keysProofNumerator / keysProofDenominator
@@ -64,33 +68,32 @@
 	return s.StaleKeys
 }
 
-// GatewayFlags are the flags that LoadGateway reads.
+// GatewayFlags returns the flags that LoadGateway reads.
 func GatewayFlags() []cli.Flag {
 	return []cli.Flag{
 		stringFlag("id", "name of this daemon", ""),
 		stringFlag("zone", "availability zone of this daemon", ""),
 		stringFlag("listen", "address for callers", "127.0.0.1:7700"),
-		stringFlag("ready", "address at which the balancer asks whether to send callers", "127.0.0.1:7701"),
+		stringFlag("ready", "address for the readiness probe of the load balancer", "127.0.0.1:7701"),
 		stringFlag("metrics", "address for metrics", "127.0.0.1:7703"),
 		stringFlag("peer", "address for other daemons", "127.0.0.1:7702"),
 		stringFlag("store", "address of the platform's store", ""),
 		durationFlag("lease-min", "shortest lease that the store grants", time.Second),
-		durationFlag("instance-heartbeat", "how often instances write their entries", 1200*time.Millisecond),
-		durationFlag("keys-bound", "within what time a key that was taken away is refused", 5*time.Second),
-		durationFlag("config-bound", "within what time a configuration is in force", 2*time.Second),
-		&cli.BoolFlag{Name: "strict-keys", Usage: "refuse all keys while it can't be shown that none was taken away", Value: true, EnvVars: []string{EnvVar("strict-keys")}},
-		durationFlag("stale-keys", "without strict-keys, how long known keys are accepted without that proof", defaultStaleKeys),
-		&cli.Float64Flag{Name: "retry-ratio", Usage: "repeats for each request, over all daemons", Value: 0.2, EnvVars: []string{EnvVar("retry-ratio")}},
-		&cli.Float64Flag{Name: "retry-slack", Usage: "repeats beyond the ratio in each window, over all daemons", Value: 100, EnvVars: []string{EnvVar("retry-slack")}},
-		durationFlag("retry-window", "window of the budget for repeats", 10*time.Second),
-		durationFlag("stop-grace", "how long a planned stop may take", 8*time.Second),
-		&cli.Float64Flag{Name: "power", Usage: "part of a core that the process may use", Value: 1, EnvVars: []string{EnvVar("power")}},
-		&cli.Float64Flag{Name: "memory", Usage: "memory that the process may use, in MB; 0 for no bound", EnvVars: []string{EnvVar("memory")}},
+		durationFlag("instance-heartbeat", "interval at which instances write their entries", 1200*time.Millisecond),
+		durationFlag("keys-bound", "maximum time after which a revoked API key is refused", 5*time.Second),
+		durationFlag("config-bound", "maximum time after which a new configuration is in force", 2*time.Second),
+		&cli.BoolFlag{Name: "strict-keys", Usage: "refuse all API keys while there is no proof that they are current", Value: true, EnvVars: []string{EnvVar("strict-keys")}},
+		durationFlag("stale-keys", "without strict-keys, how long known API keys are accepted without this proof", defaultStaleKeys),
+		&cli.Float64Flag{Name: "retry-ratio", Usage: "retries per request, over all daemons", Value: 0.2, EnvVars: []string{EnvVar("retry-ratio")}},
+		&cli.Float64Flag{Name: "retry-slack", Usage: "further retries in each window, over all daemons", Value: 100, EnvVars: []string{EnvVar("retry-slack")}},
+		durationFlag("retry-window", "window of the retry budget", 10*time.Second),
+		durationFlag("stop-grace", "maximum duration of a graceful stop", 8*time.Second),
+		&cli.Float64Flag{Name: "power", Usage: "number of cores, or fraction of a core, that the process may use", Value: 1, EnvVars: []string{EnvVar("power")}},
+		&cli.Float64Flag{Name: "memory", Usage: "memory that the process may use, in MB; 0 for no limit", EnvVars: []string{EnvVar("memory")}},
 	}
 }
 
-// LoadGateway reads and checks the settings. Its error names every setting
-// that is wrong.
+// LoadGateway reads and validates the settings. Its error lists all invalid settings.
 func LoadGateway(c *cli.Context) (Gateway, error) {
 	r := &reader{c: c}
 	s := Gateway{
--- a/config/gateway_test.go
+++ b/config/gateway_test.go
@@ -11,7 +11,8 @@
 	"github.com/urfave/cli/v2"
 )
 
-// loadFile loads the settings of a gateway from a settings file.
+// loadFile loads the settings of the gateway command from a settings file with the given text
+// and from command line arguments.
 func loadFile(t *testing.T, text string, args ...string) (Gateway, error) {
 	path := filepath.Join(t.TempDir(), "settings.conf")
 	qt.Assert(t, os.WriteFile(path, []byte(text), 0o600), qt.IsNil)
@@ -51,11 +52,11 @@
 	c.Assert(s.KeysBound, qt.Equals, 5*time.Second)
 	s, err = loadFile(t, validFile, "--zone", "z2")
 	c.Assert(err, qt.IsNil)
-	c.Assert(string(s.Zone), qt.Equals, "z2", qt.Commentf("a flag goes before the file"))
+	c.Assert(string(s.Zone), qt.Equals, "z2", qt.Commentf("a flag takes precedence over the file"))
 }
 
-// TestReload checks that a settings file that has changed is read again, and
-// that the settings given at the start still go before it.
+// TestReloadGateway checks that a reload reads the changed settings file, and that the flags set
+// at the start still take precedence over it.
 func TestReloadGateway(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(t.TempDir(), "settings.conf")
@@ -76,7 +77,7 @@
 	c.Assert(err, qt.ErrorIs, ErrSetting)
 }
 
-// TestBadSettings checks that every setting that can't be used is named.
+// TestInvalidSettings checks that the error names the invalid setting.
 func TestInvalidSettings(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct{ line, want string }{
@@ -95,8 +96,8 @@
 	}
 }
 
-// TestKeysProof checks that keys count for less than their bound where they are
-// strict, which is so unless the platform says otherwise, and else for longer.
+// TestMaxKeysProofAge checks that the maximum age of the proof is below keys-bound with
+// strict-keys, which is the default, and is stale-keys without.
 func TestMaxKeysProofAge(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
@@ -115,8 +116,8 @@
 	}
 }
 
-// TestDeployedSettings checks that the file that the platform fills in names
-// flags and nothing else.
+// TestDeployedSettingsFile checks that the template of the settings file, which the platform
+// fills in, has no names other than those of flags.
 func TestDeployedSettingsFile(t *testing.T) {
 	c := qt.New(t)
 	known := map[string]bool{}
--- a/config/load.go
+++ b/config/load.go
@@ -10,39 +10,42 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Load holds the settings of the load tool.
+// LoadTest holds the settings of the load generator.
 type LoadTest struct {
-	Targets  []netip.AddrPort
-	Tokens   []string
-	Model    models.ModelName
+	Targets []netip.AddrPort
+	Tokens  []string
+	Model   models.ModelName
+	// Rate is in requests per second.
 	Rate     float64
 	Duration time.Duration
-	Prompt   int
-	Answer   int
+	// Prompt is the mean length of a prompt, in bytes; Answer that of an answer, in tokens.
+	Prompt int
+	Answer int
+	// Prefixes is the number of distinct prefixes that prompts share; 0 for none.
 	Prefixes int
 	Timeout  time.Duration
 	Seed     int
 	JSON     bool
 }
 
-// LoadFlags are the flags that LoadLoad reads.
+// LoadTestFlags returns the flags that LoadLoadTest reads.
 func LoadTestFlags() []cli.Flag {
 	return []cli.Flag{
-		listFlag("target", "address of a daemon for callers; may be given more than once"),
-		listFlag("caller-token", "token of a workspace; may be given more than once"),
-		stringFlag("model", "model to ask for", ""),
-		&cli.Float64Flag{Name: "rate", Usage: "requests a second", Value: 10, EnvVars: []string{EnvVar("rate")}},
-		durationFlag("duration", "how long to send", 10*time.Second),
+		listFlag("target", "caller address (--listen) of a daemon; may be repeated"),
+		listFlag("caller-token", "token of a workspace; may be repeated"),
+		stringFlag("model", "model to request", ""),
+		&cli.Float64Flag{Name: "rate", Usage: "requests per second", Value: 10, EnvVars: []string{EnvVar("rate")}},
+		durationFlag("duration", "how long to send requests", 10*time.Second),
 		intFlag("prompt", "mean length of a prompt, in bytes", 1000),
 		intFlag("answer", "mean length of an answer, in tokens", 50),
-		intFlag("prefixes", "how many beginnings the prompts share; 0 for none", 0),
-		durationFlag("timeout", "how long one request is waited for", time.Minute),
-		intFlag("seed", "fixes lengths and prefixes", 1),
+		intFlag("prefixes", "number of distinct prefixes that prompts share; 0 for none", 0),
+		durationFlag("timeout", "timeout of a request", time.Minute),
+		intFlag("seed", "seed of the random lengths and prefixes", 1),
 		&cli.BoolFlag{Name: "json", Usage: "print the report as JSON"},
 	}
 }
 
-// LoadLoad reads and checks the settings.
+// LoadLoadTest reads and validates the settings.
 func LoadLoadTest(c *cli.Context) (LoadTest, error) {
 	r := &reader{c: c}
 	l := LoadTest{
--- a/config/log.go
+++ b/config/log.go
@@ -5,12 +5,12 @@
 	"github.com/urfave/cli/v2"
 )
 
-// LogFlags are the flags that LoadLog reads.
+// LogFlags returns the flags that LoadLog reads.
 func LogFlags() []cli.Flag {
-	return []cli.Flag{stringFlag("log-level", "least level of events to log: debug, info, warn or error", "info")}
+	return []cli.Flag{stringFlag("log-level", "minimum level of logged events: debug, info, warn or error", "info")}
 }
 
-// LoadLog reads and checks the level of the log.
+// LoadLog reads and validates the log level.
 func LoadLog(c *cli.Context) (zerolog.Level, error) {
 	r := &reader{c: c}
 	level, err := zerolog.ParseLevel(c.String("log-level"))
--- a/config/serve.go
+++ b/config/serve.go
@@ -9,58 +9,58 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Serve holds the settings of one daemon.
+// Serve holds the settings of the serve command, a daemon.
 type Serve struct {
 	ID   models.DaemonID
 	Zone models.Zone
-	// Listen is where callers come, Admin where operators and probes come,
-	// Peer where other daemons come.
+	// Listen is the address for callers, Admin for operators, probes and metrics, and Peer for
+	// other daemons.
 	Listen netip.AddrPort
 	Admin  netip.AddrPort
 	Peer   netip.AddrPort
-	// AdvertisePeer is where other daemons reach Peer; the address bound if
-	// not valid.
+	// AdvertisePeer is the address at which other daemons reach Peer. If it is not valid, the
+	// bound address is used.
 	AdvertisePeer netip.AddrPort
-	// Source is where connections to others leave from; the system chooses
-	// if it is not valid.
+	// Source is the source address of outgoing connections. If it is not valid, the operating
+	// system chooses one.
 	Source netip.Addr
-	// Peers are daemons to ask first, before the roster is known.
+	// Peers are the daemons to contact first, before the roster is known.
 	Peers []netip.AddrPort
-	Log   netip.AddrPort
-	List  netip.AddrPort
-	// BootstrapToken is the hash of the token that may change the
-	// configuration while no operator is declared.
+	// Log and List are the addresses of the platform's log and instance list.
+	Log  netip.AddrPort
+	List netip.AddrPort
+	// BootstrapToken is the SHA-256 hash of the token that may change the configuration while no
+	// operator is declared.
 	BootstrapToken string
 
-	// GateBound is the age of evidence beyond which a group takes no
-	// requests.
+	// GateBound is the maximum age of the evidence that a group can serve. With older evidence,
+	// the group gets no requests.
 	GateBound time.Duration
-	// CurrentBound is how long a daemon serves without proof that its
-	// state is current.
+	// CurrentBound is the maximum time that a daemon serves without proof that its state is
+	// current.
 	CurrentBound time.Duration
-	// WatchEvery is how often an instance is asked for its status.
+	// WatchEvery is the interval at which an instance is polled for its status.
 	WatchEvery time.Duration
-	// ListEvery is how often the platform's list is read.
+	// ListEvery is the interval at which the platform's instance list is read.
 	ListEvery time.Duration
-	// HeartbeatEvery is how often another daemon is asked for its status.
+	// HeartbeatEvery is the interval at which another daemon is polled for its status.
 	HeartbeatEvery time.Duration
-	// ReplaceAfter is how long a group waits for a missing member before
-	// it is given another.
+	// ReplaceAfter is how long a group waits for a missing member before the member is replaced.
 	ReplaceAfter time.Duration
-	// TrailEvery is how often the trail of requests is written to the log.
+	// TrailEvery is the interval at which the trail of requests is written to the log.
 	TrailEvery time.Duration
-	// CheckpointEvery is after how many records a checkpoint is written.
+	// CheckpointEvery is the number of records after which a checkpoint is written.
 	CheckpointEvery int
 
-	// MaxBody is the longest request body, in bytes.
+	// MaxBody is the maximum length of a request body, in bytes.
 	MaxBody int
-	// RequestTimeout bounds a request that names no deadline.
+	// RequestTimeout is the timeout of a request without a deadline.
 	RequestTimeout time.Duration
-	// StopGrace bounds how long a planned stop waits for requests.
+	// StopGrace is the maximum time that a graceful stop waits for requests in flight.
 	StopGrace time.Duration
 }
 
-// Defaults returns the settings that have a value when no flag is given.
+// Defaults returns the default values of all settings except names, addresses and tokens.
 func Defaults() Serve {
 	return Serve{
 		GateBound:       2 * time.Second,
@@ -77,7 +77,7 @@
 	}
 }
 
-// ServeFlags are the flags that LoadServe reads.
+// ServeFlags returns the flags that LoadServe reads.
 func ServeFlags() []cli.Flag {
 	d := Defaults()
 	return []cli.Flag{
@@ -86,28 +86,27 @@
 		stringFlag("listen", "address for callers", "127.0.0.1:7700"),
 		stringFlag("admin", "address for operators, probes and metrics", "127.0.0.1:7701"),
 		stringFlag("peer", "address for other daemons", "127.0.0.1:7702"),
-		stringFlag("advertise-peer", "address at which other daemons reach --peer, if another", ""),
-		stringFlag("source", "IP address from which connections leave", ""),
-		listFlag("peers", "addresses of other daemons to ask first"),
+		stringFlag("advertise-peer", "address at which other daemons reach --peer, if it differs", ""),
+		stringFlag("source", "source IP address of outgoing connections", ""),
+		listFlag("peers", "addresses of other daemons to contact first"),
 		stringFlag("log", "address of the platform's log", ""),
 		stringFlag("list", "address of the platform's instance list", ""),
 		stringFlag("bootstrap-token", "SHA-256 hash of the token that may change the configuration while no operator is declared", ""),
-		durationFlag("gate-bound", "age of evidence beyond which a group takes no requests", d.GateBound),
-		durationFlag("current-bound", "how long to serve without proof that the state is current", d.CurrentBound),
-		durationFlag("watch-every", "how often an instance is asked for its status", d.WatchEvery),
-		durationFlag("list-every", "how often the instance list is read", d.ListEvery),
-		durationFlag("heartbeat-every", "how often another daemon is asked for its status", d.HeartbeatEvery),
-		durationFlag("replace-after", "how long a group waits for a missing member", d.ReplaceAfter),
-		durationFlag("trail-every", "how often the trail of requests is written to the log", d.TrailEvery),
-		intFlag("checkpoint-every", "after how many records a checkpoint is written", d.CheckpointEvery),
-		intFlag("max-body", "longest request body, in bytes", d.MaxBody),
-		durationFlag("request-timeout", "bound of a request that names no deadline", d.RequestTimeout),
-		durationFlag("stop-grace", "how long a planned stop waits for requests in flight", d.StopGrace),
+		durationFlag("gate-bound", "maximum age of the evidence that a group can serve; with older evidence it gets no requests", d.GateBound),
+		durationFlag("current-bound", "maximum time to serve without proof that the state is current", d.CurrentBound),
+		durationFlag("watch-every", "interval at which an instance is polled for its status", d.WatchEvery),
+		durationFlag("list-every", "interval at which the instance list is read", d.ListEvery),
+		durationFlag("heartbeat-every", "interval at which another daemon is polled for its status", d.HeartbeatEvery),
+		durationFlag("replace-after", "how long a group waits for a missing member before it is replaced", d.ReplaceAfter),
+		durationFlag("trail-every", "interval at which the trail of requests is written to the log", d.TrailEvery),
+		intFlag("checkpoint-every", "number of records after which a checkpoint is written", d.CheckpointEvery),
+		intFlag("max-body", "maximum length of a request body, in bytes", d.MaxBody),
+		durationFlag("request-timeout", "timeout of a request without a deadline", d.RequestTimeout),
+		durationFlag("stop-grace", "maximum time that a graceful stop waits for requests in flight", d.StopGrace),
 	}
 }
 
-// LoadServe reads and checks the settings of a daemon. Its error names every
-// setting that is wrong.
+// LoadServe reads and validates the settings of a daemon. Its error lists all invalid settings.
 func LoadServe(c *cli.Context) (Serve, error) {
 	r := &reader{c: c}
 	s := Serve{
--- a/config/standin.go
+++ b/config/standin.go
@@ -9,16 +9,16 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Upstream holds what the stand-ins for engines and plain services share.
+// UpstreamStandin holds the common settings of the stand-ins for engines and plain services.
 type UpstreamStandin struct {
 	Listen   netip.AddrPort
 	Platform netip.AddrPort
-	// Instance is what the platform's list shows. Its address is that of
-	// Listen unless another was given.
+	// Instance is the entry for the platform's instance list. If its address is not valid, the
+	// bound address is used.
 	Instance models.Instance
 }
 
-// Engine holds the settings of an engine stand-in.
+// EngineStandin holds the settings of the stand-in for an engine.
 type EngineStandin struct {
 	UpstreamStandin
 	Load          time.Duration
@@ -29,12 +29,12 @@
 	CachePrefixes int
 }
 
-// StandinFlags are the flags that every stand-in has.
+// StandinFlags returns the flags that all stand-ins have in common.
 func StandinFlags() []cli.Flag {
 	return append([]cli.Flag{stringFlag("listen", "address to listen on", "127.0.0.1:0")}, LogFlags()...)
 }
 
-// LoadListen reads and checks the address of a stand-in.
+// LoadListen reads and validates the listen address of a stand-in.
 func LoadListen(c *cli.Context) (netip.AddrPort, error) {
 	r := &reader{c: c}
 	return r.addr("listen"), r.err()
@@ -46,7 +46,7 @@
 		stringFlag("zone", "availability zone", ""),
 		stringFlag("domain", "fabric domain", ""),
 		stringFlag("platform", "address of the platform stand-in", ""),
-		stringFlag("advertise", "address to put on the list instead of --listen", ""),
+		stringFlag("advertise", "address to put on the instance list instead of the bound address", ""),
 	)
 }
 
@@ -66,21 +66,21 @@
 	return u
 }
 
-// EngineFlags are the flags that LoadEngine reads.
+// EngineFlags returns the flags that LoadEngine reads.
 func EngineFlags() []cli.Flag {
 	return append(upstreamFlags(),
 		intFlag("accelerators", "accelerators of the instance", 1),
-		&cli.BoolFlag{Name: "ignore-fences", Usage: "obey orders and requests with any fence", EnvVars: []string{EnvVar("ignore-fences")}},
-		durationFlag("load", "time to load weights once they are fetched", 200*time.Millisecond),
-		durationFlag("prefill", "time that 1,000 bytes of prompt take", 2*time.Millisecond),
+		&cli.BoolFlag{Name: "ignore-fences", Usage: "accept orders and requests with any fence", EnvVars: []string{EnvVar("ignore-fences")}},
+		durationFlag("load", "time to load weights after they are fetched", 200*time.Millisecond),
+		durationFlag("prefill", "prefill time per 1,000 bytes of uncached prompt", 2*time.Millisecond),
 		durationFlag("token-gap", "time between two tokens", 2*time.Millisecond),
-		intFlag("slots", "requests that run at once", 8),
+		intFlag("slots", "number of requests that run concurrently", 8),
 		durationFlag("report-lag", "age of the reported load", time.Second),
-		intFlag("cache-prefixes", "prompt prefixes that the cache holds", 256),
+		intFlag("cache-prefixes", "number of prompt prefixes that the cache holds", 256),
 	)
 }
 
-// LoadEngine reads and checks the settings of an engine stand-in.
+// LoadEngine reads and validates the settings of the stand-in for an engine.
 func LoadEngine(c *cli.Context) (EngineStandin, error) {
 	r := &reader{c: c}
 	e := EngineStandin{
@@ -98,12 +98,12 @@
 	return e, r.err()
 }
 
-// ServiceFlags are the flags that LoadService reads.
+// ServiceFlags returns the flags that LoadService reads.
 func ServiceFlags() []cli.Flag {
 	return append(upstreamFlags(), stringFlag("service", "name of the plain service", ""))
 }
 
-// LoadService reads and checks the settings of a plain service stand-in.
+// LoadService reads and validates the settings of the stand-in for a plain service.
 func LoadService(c *cli.Context) (UpstreamStandin, error) {
 	r := &reader{c: c}
 	u := loadUpstream(r)
