--- a/commands/ask.go
+++ b/commands/ask.go
@@ -19,11 +19,11 @@
 	register(diffCommand{})
 }
 
-// ask carries out commands of the operators' language.
+// askCommand sends commands of the operators' language to a daemon.
 type askCommand struct{}
 
 func (askCommand) Aliases() []string { return []string{"ask", "a"} }
-func (askCommand) Usage() string     { return "ask a daemon, or change the configuration through it" }
+func (askCommand) Usage() string     { return "query a daemon, or change the configuration through it" }
 func (askCommand) ArgsUsage() string { return "'COMMAND [; COMMAND ...]'" }
 func (askCommand) Flags() []cli.Flag { return config.AskFlags() }
 
@@ -35,11 +35,11 @@
 	return askDaemon(c, text, api.AskOptions{WaitAll: c.Bool("wait-all")})
 }
 
-// apply carries out the commands of a file.
+// applyCommand makes the changes in a file of commands.
 type applyCommand struct{}
 
 func (applyCommand) Aliases() []string { return []string{"apply"} }
-func (applyCommand) Usage() string     { return "make the changes of a file, all or none" }
+func (applyCommand) Usage() string     { return "make the changes in a file, all or none" }
 func (applyCommand) ArgsUsage() string { return " " }
 
 func (applyCommand) Flags() []cli.Flag {
@@ -57,12 +57,12 @@
 	return askDaemon(c, text, api.AskOptions{WaitAll: c.Bool("wait-all"), Prune: c.Bool("prune")})
 }
 
-// diff tells what the commands of a file would change.
+// diffCommand shows what applyCommand would change.
 type diffCommand struct{ applyCommand }
 
 func (diffCommand) Aliases() []string { return []string{"diff"} }
 func (diffCommand) Usage() string {
-	return "tell what apply would change, and what the planner would do first"
+	return "show what apply would change, and what the planner would do first"
 }
 
 func (diffCommand) Execute(c *cli.Context) error {
@@ -88,7 +88,8 @@
 	return string(data), nil
 }
 
-// askDaemon sends the text and prints the answer.
+// askDaemon sends the text to a daemon and prints the response. It returns an error if a change
+// was not accepted.
 func askDaemon(c *cli.Context, text string, opts api.AskOptions) error {
 	settings, err := config.LoadAsk(c)
 	if err != nil {
@@ -146,7 +147,7 @@
 	}
 }
 
-// printTable aligns the columns with two spaces between them.
+// printTable prints the rows in aligned columns, separated by at least two spaces.
 func printTable(w io.Writer, columns []string, rows [][]string) {
 	if len(columns) == 0 {
 		return
--- a/commands/commands.go
+++ b/commands/commands.go
@@ -1,5 +1,5 @@
-// Package commands is the command line: a file for each command. A command
-// registers itself, names its aliases and executes.
+// Package commands implements the command line. Each command has its own file and registers
+// itself in an init function.
 package commands
 
 import (
@@ -21,19 +21,20 @@
 // Exit codes, for scripts.
 const (
 	ExitOK = 0
-	// ExitFailed: something else went wrong.
+	// ExitFailed means any error that has no exit code of its own.
 	ExitFailed = 1
-	// ExitUsage: a flag, an argument or a command of the language is wrong.
+	// ExitUsage means that a flag, an argument, a setting or a command of the operators'
+	// language is invalid.
 	ExitUsage = 2
-	// ExitRefused: a change was refused and did not take effect.
+	// ExitRefused means that a change was refused and did not take effect.
 	ExitRefused = 3
-	// ExitUnknown: a change may have taken effect.
+	// ExitUnknown means that a change may have taken effect.
 	ExitUnknown = 4
-	// ExitUnreachable: no daemon answered.
+	// ExitUnreachable means that no daemon answered.
 	ExitUnreachable = 5
 )
 
-// Errors that have an exit code of their own.
+// Errors with their own exit code.
 var (
 	ErrUsage       = errors.New("usage")
 	ErrRefused     = errors.New("refused")
@@ -41,19 +42,19 @@
 	ErrUnreachable = errors.New("no daemon answered")
 )
 
-// Command is one command of the command line.
+// Command is a command of the command line.
 type Command interface {
-	// Aliases are the command's names, the usual one first.
+	// Aliases returns the names of the command, the main name first.
 	Aliases() []string
-	// Usage is one line for the list of commands.
+	// Usage returns the one-line description in the list of commands.
 	Usage() string
-	// ArgsUsage names the arguments.
+	// ArgsUsage returns the syntax of the arguments.
 	ArgsUsage() string
 	Flags() []cli.Flag
 	Execute(c *cli.Context) error
 }
 
-// group is a command that has commands of its own.
+// commandGroup is a command with subcommands.
 type commandGroup interface{ Subcommands() []Command }
 
 var registered []Command
--- a/commands/completion.go
+++ b/commands/completion.go
@@ -8,7 +8,7 @@
 
 func init() { register(completionCommand{}) }
 
-// completion prints a script that completes commands in a shell.
+// completionCommand prints a shell script that completes commands and flags.
 type completionCommand struct{}
 
 func (completionCommand) Aliases() []string { return []string{"completion"} }
@@ -18,7 +18,7 @@
 func (completionCommand) ArgsUsage() string { return "bash | zsh" }
 func (completionCommand) Flags() []cli.Flag { return nil }
 
-// The scripts ask the program itself, by the flag that urfave/cli adds.
+// The scripts run the program itself with the flag --generate-bash-completion of urfave/cli.
 const (
 	bashCompletion = `_lupinkeel() {
   local words=("${COMP_WORDS[@]:0:$COMP_CWORD}") cur="${COMP_WORDS[COMP_CWORD]}"
--- a/commands/demo.go
+++ b/commands/demo.go
@@ -23,17 +23,17 @@
 
 func init() { register(demoCommand{}) }
 
-// demo runs a whole small site in this process.
+// demoCommand runs a small site with all its parts in this process.
 type demoCommand struct{}
 
 func (demoCommand) Aliases() []string { return []string{"demo"} }
-func (demoCommand) Usage() string     { return "run a whole small site in this process" }
+func (demoCommand) Usage() string     { return "run a small site with all its parts in this process" }
 func (demoCommand) ArgsUsage() string { return " " }
 
 func (demoCommand) Flags() []cli.Flag {
 	return []cli.Flag{
-		&cli.BoolFlag{Name: "once", Usage: "send sample requests, print what was served where, and end"},
-		&cli.BoolFlag{Name: "verbose", Usage: "show the log of the daemons"},
+		&cli.BoolFlag{Name: "once", Usage: "send sample requests, print where each was served, and exit"},
+		&cli.BoolFlag{Name: "verbose", Usage: "print the logs of the daemons"},
 	}
 }
 
@@ -78,8 +78,8 @@
 	}
 }
 
-// demoConfig is a site file such as an operator would apply. The operator's
-// token is the one that commands print below.
+// demoConfig holds commands as in a file that an operator applies. The token of operator demo is
+// the one that printDemoHelp prints.
 var demoConfig = `
 set model brief version v1 members 4 replicas 2
 set model digest version v1 members 4 replicas 1
@@ -120,31 +120,31 @@
 	node := s.Nodes[0].Server
 	fmt.Fprintf(out, `lupinkeel demo: %d daemons, %d engines, 1 plain service, all in this process.
 
-Ask for something:
+Send requests:
   curl -i http://%[3]s/v1/chat/completions -H 'Authorization: Bearer %[4]s' \
     -d '{"model":"brief","messages":[{"role":"user","content":"tremor near Racha"}]}'
   curl -iN http://%[3]s/v1/chat/completions -H 'Authorization: Bearer %[4]s' \
     -d '{"model":"digest","stream":true,"messages":[{"role":"user","content":"quiet period"}]}'
   curl -i http://%[3]s/services/catalogue/pull -H 'Authorization: Bearer %[4]s'
 
-Operate it:
+Run operator commands:
   export LUPINKEEL_ADMIN=%[5]s LUPINKEEL_TOKEN=%[6]s
   lupinkeel ask 'show groups'
   lupinkeel ask 'show instances where domain = "fabric-a"'
   lupinkeel ask 'why stranded'
   lupinkeel ask 'set model digest replicas 0 because "night shift"'
 
-Ctrl-C ends it.
+Press Ctrl-C to stop.
 `, len(s.Nodes), len(s.Engines), node.Addr(), site.CallerToken, node.AdminAddr(), site.OperatorToken)
 }
 
-// sample is one request that the demo sends.
+// sample is a request that the demo sends.
 type sample struct {
 	name   string
 	method string
 	path   string
 	body   string
-	// whole checks the answer's body.
+	// isComplete reports whether the body of the response is complete.
 	isComplete func(body string) bool
 }
 
@@ -176,10 +176,10 @@
 	}
 }
 
-// errNotWhole is returned if a sample request got no whole answer.
-var errIncomplete = errors.New("not all answers were whole")
+// errIncomplete is returned if a sample request did not get a complete response.
+var errIncomplete = errors.New("incomplete responses")
 
-// sampleRequests sends each sample through a daemon of its own.
+// sendSamples sends the samples to the daemons in turn and prints a table of the results.
 func sendSamples(ctx context.Context, out io.Writer, s *site.Site) error {
 	var rows [][]string
 	failed := 0
--- a/commands/gateway.go
+++ b/commands/gateway.go
@@ -23,12 +23,12 @@
 
 func init() { register(gatewayCommand{}) }
 
-// gatewayCommand runs one daemon on the users' platform.
+// gatewayCommand runs a daemon on the users' platform.
 type gatewayCommand struct{}
 
 func (gatewayCommand) Aliases() []string { return []string{"gateway"} }
 func (gatewayCommand) Usage() string {
-	return "run one daemon on the users' platform, between callers and upstreams"
+	return "run a daemon on the users' platform, between callers and upstreams"
 }
 func (gatewayCommand) ArgsUsage() string { return " " }
 
@@ -50,17 +50,18 @@
 	return errors.Join(err, task.Wait(logWriter))
 }
 
-// logQueue is how many lines may wait to be written: some seconds' worth.
+// maxQueuedLogLines limits how many log lines wait to be written. It is enough for several
+// seconds.
 const maxQueuedLogLines = 4096
 
 const (
-	// memoryPart is the part of the memory allowed that the collector keeps
-	// the heap within; the rest is for stacks and buffers.
+	// heapMemoryRatio is the fraction of the allowed memory that is set as the garbage
+	// collector's memory limit; the rest is for stacks and buffers.
 	heapMemoryRatio = 0.6
 	megabyte        = 1 << 20
-	// settle is how long a daemon keeps to itself that groups seem to stand
-	// still: by then it has heard of the others' requests and has seen a few
-	// hundred pauses.
+	// stallReportDelay is the time after the start during which a daemon does not report groups
+	// as stalled. After this time it knows the requests of the other daemons and has measured a
+	// few hundred pauses between events.
 	stallReportDelay = 2 * time.Second
 )
 
@@ -100,9 +101,8 @@
 	return err
 }
 
-// reload reads the settings again whenever the platform says that they have
-// changed, and tells what is wrong with them. All of them take effect with
-// the next start.
+// reload loads the settings again on each SIGHUP, by which the platform announces that they have
+// changed, and logs whether they are valid. Changes take effect only at the next start.
 func reload(ctx context.Context, s config.Gateway, explicit map[string]string, log zerolog.Logger) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/commands/gc.go
+++ b/commands/gc.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// manyInstances is from how many instances on the heap may grow to three times
-	// what lives before it is collected: a view of 766 is 0.2 MB of garbage, and a
-	// collection keeps a fifth of a core busy for some 40 ms. 295 daemons took 330 s
-	// of processor time on a day with trouble, and 399 s with twice what lives (one run
-	// each). Six daemons that know 63 instances took no less time by it, and 1.35 times
-	// the memory.
+	// largeViewInstances is the number of instances from which on the heap may grow to three
+	// times the live heap before a collection. Each view of 766 instances becomes 0.2 MB of
+	// garbage, and a collection keeps a fifth of a core busy for some 40 ms. With this setting,
+	// 295 daemons used 330 s of CPU time on a day with faults, and 399 s when the heap grew only
+	// to twice the live heap (one run each). It saved no CPU time for six daemons that knew 63
+	// instances, and they used 1.35 times the memory.
 	largeViewInstances = 300
-	// gcFew and gcMany are how much the heap may grow, in percent of what lives.
+	// defaultGCPercent and largeViewGCPercent are the growth of the heap at which a collection
+	// starts, in percent of the live heap.
 	defaultGCPercent   = 100
 	largeViewGCPercent = 200
-	// heapEvery is how often it is looked at.
+	// gcTuneInterval is the interval at which the number of instances is checked.
 	gcTuneInterval = time.Second
 )
 
-// gcPercent is how much the heap of a daemon that knows so many instances may grow.
+// gcPercent returns the GC percentage for a daemon that knows this number of instances.
 func gcPercent(instances int) int {
 	if instances >= largeViewInstances {
 		return largeViewGCPercent
@@ -31,7 +32,7 @@
 	return defaultGCPercent
 }
 
-// sizeHeap lets the heap grow by what the node knows.
+// tuneGC adjusts the GC percentage to the number of instances that the node knows.
 func tuneGC(ctx context.Context, node *cluster.Node) error {
 	ticks := node.Clock().Subscribe(gcTuneInterval)
 	current := defaultGCPercent
--- a/commands/load.go
+++ b/commands/load.go
@@ -15,11 +15,13 @@
 
 func init() { register(loadCommand{}) }
 
-// loads sends a load and reports what came back.
+// loadCommand runs the load generator and prints its report.
 type loadCommand struct{}
 
 func (loadCommand) Aliases() []string { return []string{"load"} }
-func (loadCommand) Usage() string     { return "send requests at a steady rate and report what came back" }
+func (loadCommand) Usage() string {
+	return "send requests at a steady rate and report results and latencies"
+}
 func (loadCommand) ArgsUsage() string { return " " }
 func (loadCommand) Flags() []cli.Flag { return config.LoadTestFlags() }
 
--- a/commands/measure.go
+++ b/commands/measure.go
@@ -12,11 +12,11 @@
 
 func init() { register(measureCommand{}) }
 
-// measures groups the measurements.
+// measureCommand is the group of the measurement commands.
 type measureCommand struct{}
 
 func (measureCommand) Aliases() []string { return []string{"measure"} }
-func (measureCommand) Usage() string     { return "run a measurement on stand-ins and print its figures" }
+func (measureCommand) Usage() string     { return "run a measurement on stand-ins and print the results" }
 func (measureCommand) ArgsUsage() string { return "config | groups | requests | capacity" }
 func (measureCommand) Flags() []cli.Flag { return nil }
 
@@ -28,7 +28,8 @@
 	return fmt.Errorf("%w: no measurement %q", ErrUsage, c.Args().First())
 }
 
-// printReport prints the table and, as the last line, the JSON object.
+// runMeasurement runs a measurement and prints its report: a table and, as the last line, a JSON
+// object.
 func runMeasurement(c *cli.Context, run func(context.Context) (measure.Report, error)) error {
 	report, err := run(c.Context)
 	if err != nil {
@@ -38,7 +39,7 @@
 	return report.WriteJSON(c.App.Writer)
 }
 
-// measureConfig measures changes of the configuration.
+// measureConfigCommand measures how long changes of the configuration take.
 type measureConfigCommand struct{}
 
 func (measureConfigCommand) Aliases() []string { return []string{"config"} }
@@ -49,8 +50,8 @@
 
 func (measureConfigCommand) Flags() []cli.Flag {
 	return []cli.Flag{
-		&cli.IntFlag{Name: "daemons", Value: 9, Usage: "daemons of the site"},
-		&cli.IntFlag{Name: "changes", Value: 240, Usage: "changes made"},
+		&cli.IntFlag{Name: "daemons", Value: 9, Usage: "number of daemons"},
+		&cli.IntFlag{Name: "changes", Value: 240, Usage: "number of changes"},
 	}
 }
 
@@ -59,7 +60,7 @@
 	return runMeasurement(c, func(ctx context.Context) (measure.Report, error) { return measure.Config(ctx, opts) })
 }
 
-// measureGroups measures the planning of groups.
+// measureGroupsCommand measures the planning of groups.
 type measureGroupsCommand struct{}
 
 func (measureGroupsCommand) Aliases() []string { return []string{"groups"} }
@@ -70,17 +71,17 @@
 func (measureGroupsCommand) Flags() []cli.Flag            { return nil }
 func (measureGroupsCommand) Execute(c *cli.Context) error { return runMeasurement(c, measure.Groups) }
 
-// measureRequests measures the routing of requests.
+// measureRequestsCommand measures the routing of requests under increasing load.
 type measureRequestsCommand struct{}
 
 func (measureRequestsCommand) Aliases() []string { return []string{"requests"} }
 func (measureRequestsCommand) Usage() string {
-	return "first token, goodput and refusals from half to three times the capacity"
+	return "time to first token, goodput and refusals at loads from below to three times the capacity"
 }
 func (measureRequestsCommand) ArgsUsage() string { return " " }
 
 func (measureRequestsCommand) Flags() []cli.Flag {
-	return []cli.Flag{&cli.DurationFlag{Name: "window", Value: 5 * time.Second, Usage: "how long each load is sent"}}
+	return []cli.Flag{&cli.DurationFlag{Name: "window", Value: 5 * time.Second, Usage: "duration of each load"}}
 }
 
 func (measureRequestsCommand) Execute(c *cli.Context) error {
@@ -88,21 +89,21 @@
 	return runMeasurement(c, func(ctx context.Context) (measure.Report, error) { return measure.Requests(ctx, opts) })
 }
 
-// measureCapacity measures what daemons cost.
+// measureCapacityCommand measures the resources that daemons use.
 type measureCapacityCommand struct{}
 
 func (measureCapacityCommand) Aliases() []string { return []string{"capacity"} }
 func (measureCapacityCommand) Usage() string {
-	return "what a daemon costs, by daemons, instances and groups"
+	return "resource use of a daemon by number of daemons, instances and groups"
 }
 func (measureCapacityCommand) ArgsUsage() string { return " " }
 
 func (measureCapacityCommand) Flags() []cli.Flag {
 	return []cli.Flag{
-		&cli.IntSliceFlag{Name: "daemons", Value: cli.NewIntSlice(3, 9, 27, 81), Usage: "points of the slope by daemons"},
-		&cli.IntSliceFlag{Name: "instances", Value: cli.NewIntSlice(50, 100, 200), Usage: "points of the slope by instances"},
-		&cli.IntSliceFlag{Name: "groups", Value: cli.NewIntSlice(75, 300, 1300), Usage: "points of the slope by groups"},
-		&cli.DurationFlag{Name: "window", Value: 8 * time.Second, Usage: "how long each point is measured"},
+		&cli.IntSliceFlag{Name: "daemons", Value: cli.NewIntSlice(3, 9, 27, 81), Usage: "numbers of daemons to measure"},
+		&cli.IntSliceFlag{Name: "instances", Value: cli.NewIntSlice(50, 100, 200), Usage: "numbers of instances to measure"},
+		&cli.IntSliceFlag{Name: "groups", Value: cli.NewIntSlice(75, 300, 1300), Usage: "numbers of groups to measure"},
+		&cli.DurationFlag{Name: "window", Value: 8 * time.Second, Usage: "duration of each measurement"},
 	}
 }
 
--- a/commands/serve.go
+++ b/commands/serve.go
@@ -16,11 +16,11 @@
 
 func init() { register(serveCommand{}) }
 
-// serve runs one daemon.
+// serveCommand runs a daemon.
 type serveCommand struct{}
 
 func (serveCommand) Aliases() []string { return []string{"serve"} }
-func (serveCommand) Usage() string     { return "run one daemon between callers and upstreams" }
+func (serveCommand) Usage() string     { return "run a daemon between callers and upstreams" }
 func (serveCommand) ArgsUsage() string { return " " }
 
 func (serveCommand) Flags() []cli.Flag { return append(config.ServeFlags(), config.LogFlags()...) }
@@ -34,9 +34,8 @@
 	return RunDaemon(c.Context, settings, logfmt.New(c.App.ErrWriter, level))
 }
 
-// RunDaemon runs a daemon until the context ends and then stops it as
-// planned: requests in flight end first, and the daemon goes on folding the
-// log and watching meanwhile.
+// RunDaemon runs a daemon until ctx ends and then stops it gracefully: it waits for the requests
+// in flight while the daemon continues to apply the log and to poll instances.
 func RunDaemon(ctx context.Context, settings config.Serve, log zerolog.Logger) error {
 	d, err := daemon.New(settings, log)
 	if err != nil {
--- a/commands/standin.go
+++ b/commands/standin.go
@@ -18,11 +18,14 @@
 
 func init() { register(standinCommand{}) }
 
-// standins groups the stand-ins for what lupinkeel runs between.
+// standinCommand is the group of the commands that run a stand-in for the platform, an upstream
+// or the network.
 type standinCommand struct{}
 
 func (standinCommand) Aliases() []string { return []string{"standin"} }
-func (standinCommand) Usage() string     { return "run a small stand-in for the platform or an upstream" }
+func (standinCommand) Usage() string {
+	return "run a stand-in for the platform, an upstream or a network link"
+}
 func (standinCommand) ArgsUsage() string { return "platform | engine | service | proxy" }
 func (standinCommand) Flags() []cli.Flag { return nil }
 
@@ -34,8 +37,8 @@
 	return fmt.Errorf("%w: standin needs one of platform, engine, service, proxy; not %q", ErrUsage, c.Args().First())
 }
 
-// runStandin serves the handler, tells the log where, and runs what else
-// the stand-in does.
+// runStandin serves the handler, logs the bound address, and runs the background tasks of the
+// stand-in.
 func runStandin(c *cli.Context, addr netip.AddrPort, handler http.Handler, background ...func(context.Context, netip.AddrPort) error) error {
 	server, err := standin.Listen(addr, handler)
 	if err != nil {
@@ -95,7 +98,9 @@
 type standinServiceCommand struct{}
 
 func (standinServiceCommand) Aliases() []string { return []string{"service"} }
-func (standinServiceCommand) Usage() string     { return "a plain service whose calls may not be repeated" }
+func (standinServiceCommand) Usage() string {
+	return "a plain service whose calls must not be repeated"
+}
 func (standinServiceCommand) ArgsUsage() string { return " " }
 func (standinServiceCommand) Flags() []cli.Flag { return config.ServiceFlags() }
 
@@ -108,7 +113,7 @@
 	return runStandin(c, settings.Listen, service.Handler(), announce(settings))
 }
 
-// announce puts an upstream onto the platform's list once it is bound.
+// announce returns a background task that adds an upstream to the platform's instance list.
 func announce(u config.UpstreamStandin) func(context.Context, netip.AddrPort) error {
 	return func(ctx context.Context, bound netip.AddrPort) error {
 		instance := u.Instance
@@ -122,7 +127,7 @@
 type standinProxyCommand struct{}
 
 func (standinProxyCommand) Aliases() []string { return []string{"proxy"} }
-func (standinProxyCommand) Usage() string     { return "TCP links that inject faults" }
+func (standinProxyCommand) Usage() string     { return "TCP proxies that inject faults" }
 func (standinProxyCommand) ArgsUsage() string { return "NAME=LISTEN>TARGET ..." }
 func (standinProxyCommand) Flags() []cli.Flag { return config.StandinFlags() }
 
