--- a/fleet/arrivals.go
+++ b/fleet/arrivals.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// arrivalGap is how long no instance may have come for all to count as there:
-	// they enter themselves over some four seconds.
-	arrivalGap = 800 * time.Millisecond
-	// arrivalsMost bounds the wait for them.
-	arrivalsMost = 6 * time.Second
+	// arrivalQuietPeriod is how long no new instance may have been seen before the set of instances
+	// counts as complete: instances register over about 4 s.
+	arrivalQuietPeriod = 800 * time.Millisecond
+	// maxArrivalWait bounds the wait for the set of instances to be complete.
+	maxArrivalWait = 6 * time.Second
 )
 
-// arrivals tell whether instances still come to a fabric domain.
+// arrivals tracks when instances first appeared in each fabric domain.
 type arrivals struct {
 	seen map[models.InstanceID]bool
-	// newest is when the newest instance of a domain was first seen.
-	newest map[models.Domain]time.Time
+	// lastArrival is when the newest instance of a domain was first seen.
+	lastArrival map[models.Domain]time.Time
 }
 
 func newArrivals() arrivals {
-	return arrivals{seen: map[models.InstanceID]bool{}, newest: map[models.Domain]time.Time{}}
+	return arrivals{seen: map[models.InstanceID]bool{}, lastArrival: map[models.Domain]time.Time{}}
 }
 
-// note takes in which instances there are now.
-func (a arrivals) note(instances map[models.InstanceID]models.UpstreamInstance, now time.Time) {
+// observe records the current set of instances.
+func (a arrivals) observe(instances map[models.InstanceID]models.UpstreamInstance, now time.Time) {
 	for id, i := range instances {
 		if !a.seen[id] {
 			a.seen[id] = true
-			a.newest[i.Domain] = now
+			a.lastArrival[i.Domain] = now
 		}
 	}
 	for id := range a.seen {
@@ -40,10 +40,10 @@
 	}
 }
 
-// goOn reports whether an instance came to any domain of late.
-func (a arrivals) goOn(now time.Time) bool {
-	for _, newest := range a.newest {
-		if now.Sub(newest) < arrivalGap {
+// recent reports whether an instance appeared in any domain within arrivalQuietPeriod.
+func (a arrivals) recent(now time.Time) bool {
+	for _, last := range a.lastArrival {
+		if now.Sub(last) < arrivalQuietPeriod {
 			return true
 		}
 	}
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// BenchmarkFirstRound is the round in which a planner forms groups of 3,000 free instances
-// in 300 domains: 517 ms when what each domain could form was found out anew for each
-// group, 63 ms since.
+// BenchmarkFirstRound measures the round in which a planner forms groups of 3,000 free instances in
+// 300 domains. It took 517 ms when the candidates of every domain were computed again for each
+// group, and 63 ms with the candidate cache.
 func BenchmarkFirstRound(b *testing.B) {
 	profile := testProfile()
 	profile.LoadsPerSecond = 400
--- a/fleet/convert.go
+++ b/fleet/convert.go
@@ -11,70 +11,67 @@
 )
 
 const (
-	// repairGain is the part by which a conversion must make the models less
-	// congested if half of the group or more is left of a broken one: closing a
-	// group and forming another takes some three seconds. shiftGain is the same if
-	// it mainly takes groups apart: their domain then has nothing to repair the next
-	// loss with. Estimates.
-	repairGain = 0.02
-	shiftGain  = 0.12
-	// calm is the part of its places up to which a model may always give instances:
-	// its streams are as fast as ever by then.
-	calm = 0.35
-	// shiftEvery is the least time from a planner's beginning, and from its last
-	// conversion, until it shifts groups from one model to another: until then it
-	// does not know the demand well, or what the last one brought.
-	shiftEvery = 4 * time.Second
-	// convertEvery is the least time between two conversions, so that what the
-	// last one left over has formed groups.
-	convertEvery = time.Second
-	// convertWithin bounds one conversion.
-	convertWithin = 6 * time.Second
+	// minRepairGain is the fraction by which a conversion must reduce the congestion if at least
+	// half of its members are free instances, left by a broken group: closing a group and forming
+	// another takes about 3 s. minShiftGain applies if most of its members come from serving
+	// groups: their domain then has no spares to repair the next loss with.
+	minRepairGain = 0.02
+	minShiftGain  = 0.12
+	// safeUtilization is the fraction of busy slots up to which a model may always give up
+	// instances: its streams are not slowed down at that utilization.
+	safeUtilization = 0.35
+	// minShiftInterval is the minimum time from a planner's start, and from its last conversion,
+	// until it moves serving groups from one model to another: before that, neither the demand nor
+	// the effect of the last conversion is known well enough.
+	minShiftInterval = 4 * time.Second
+	// minConversionInterval is the minimum time between two conversions. Within it, the instances
+	// left over by the last conversion form groups again.
+	minConversionInterval = time.Second
+	// conversionTimeout bounds the duration of a conversion.
+	conversionTimeout = 6 * time.Second
 )
 
-// conversion forms a group of a model, where a fabric domain has too few free
-// instances for it, with members of other models' groups whose hosts have its
-// weights.
+// conversion forms a group of a model in a fabric domain with too few free instances. The missing
+// members come from groups of other models, from hosts that have the model's weights.
 type conversion struct {
-	model   models.ModelProfile
-	members []models.InstanceID
-	until   time.Time
-	// free counts the members that are in no group.
-	free int
-	// change is what models gain and lose by it, in instances.
-	change supply
+	model    models.ModelProfile
+	members  []models.InstanceID
+	deadline time.Time
+	// freeCount is the number of members that are in no group.
+	freeCount int
+	// supplyChange is the change in each model's number of instances.
+	supplyChange supply
 }
 
-// leastGain is the part by which the conversion must make the models less
-// congested.
-func (c *conversion) leastGain() float64 {
-	if c.shifts() {
-		return shiftGain
+// minGain returns the fraction by which the conversion must reduce the congestion.
+func (c *conversion) minGain() float64 {
+	if c.isShift() {
+		return minShiftGain
 	}
-	return repairGain
+	return minRepairGain
 }
 
-// shifts reports whether the conversion mainly takes groups apart, rather than to
-// make use of what is left of a broken one.
-func (c *conversion) shifts() bool { return 2*c.free < c.model.Size }
+// isShift reports whether most members come from serving groups rather than from what is left of a
+// broken group.
+func (c *conversion) isShift() bool { return 2*c.freeCount < c.model.Size }
 
-// convert begins the conversion that leaves all models together least congested,
-// if one is worth while.
-func (r *round) convert() {
-	if r.converting != nil || !r.Traffic || r.Now.Sub(r.converted) < convertEvery {
+// startConversion starts the worthwhile conversion that leaves the lowest congestion over all
+// models, if there is one.
+func (r *round) startConversion() {
+	if r.converting != nil || !r.Traffic || r.Now.Sub(r.converted) < minConversionInterval {
 		return
 	}
-	free := r.free()
+	free := r.freeInstances()
 	var best *conversion
-	least := 0.0
+	lowest := 0.0
 	for _, to := range r.Profile.Models {
 		for _, domain := range r.allDomains() {
-			c := r.conversionIn(domain, to, free[domain])
+			c := r.planConversion(domain, to, free[domain])
 			if c == nil || !r.worthwhile(c, domain) {
 				continue
 			}
-			if congestion := r.congestion(r.after(c)); best == nil || congestion < least {
-				best, least = c, congestion
+			if congestion := r.congestion(r.supplyAfter(c)); best == nil || congestion < lowest {
+				best, lowest = c, congestion
 			}
 		}
 	}
@@ -85,152 +82,147 @@
 	r.advanceConversion()
 }
 
-// after is what models are supplied with once the conversion is done.
-func (r *round) after(c *conversion) supply {
-	out := maps.Clone(r.settled)
-	for name, n := range c.change {
+// supplyAfter returns the supply of all models after the conversion.
+func (r *round) supplyAfter(c *conversion) supply {
+	out := maps.Clone(r.assigned)
+	for name, n := range c.supplyChange {
 		out[name] += n
 	}
 	return out
 }
 
-// worthwhile reports whether a conversion in the domain may begin: what it is made
-// of will not serve otherwise in a moment, and it leaves the models less congested
-// without harm to the givers, or relieves one that is crowded.
+// worthwhile reports whether a conversion in the domain may start. Its members must not be about to
+// serve in another way, and it must either reduce the congestion while the donor models keep enough
+// capacity, or relieve an overloaded model.
 func (r *round) worthwhile(c *conversion, domain models.Domain) bool {
-	if r.releasing(domain, c.model.Name) {
+	if r.releasePending(domain, c.model.Name) {
 		return false
 	}
-	if c.shifts() && (r.Now.Sub(r.converted) < shiftEvery || r.repairs(c.model.Name)) {
+	if c.isShift() && (r.Now.Sub(r.converted) < minShiftInterval || r.repairPending(c.model.Name)) {
 		return false
 	}
-	after := r.after(c)
-	gains := r.congestion(after) < r.congestion(r.settled)*(1-c.leastGain())
-	return gains && r.bearable(c.model, after) || r.relieves(c.model, after)
+	after := r.supplyAfter(c)
+	gains := r.congestion(after) < r.congestion(r.assigned)*(1-c.minGain())
+	return gains && r.donorsKeepCapacity(c.model, after) || r.relievesOverload(c.model, after)
 }
 
-// relieves reports whether a model that is crowded gets instances of others with
-// places to spare, whatever the models need on average.
-func (r *round) relieves(to models.ModelProfile, after supply) bool {
-	return r.use(to, r.settled[to.Name]) >= crowded && r.usedMost(after) <= lowUse
+// relievesOverload reports whether a model with high utilization gets instances of models with low
+// utilization, whatever the average demand is.
+func (r *round) relievesOverload(to models.ModelProfile, after supply) bool {
+	return r.utilization(to, r.assigned[to.Name]) >= highUtilization && r.maxDonorUtilization(after) <= lowUtilization
 }
 
-// bearable reports whether the models that give instances still use less of their
-// places afterwards than the one that takes them does now, or few of them.
-func (r *round) bearable(to models.ModelProfile, after supply) bool {
-	return r.usedMost(after) <= max(calm, r.use(to, r.settled[to.Name]))
+// donorsKeepCapacity reports whether the utilization of every model that gives up instances stays
+// below the present utilization of the model that gets them, or below safeUtilization.
+func (r *round) donorsKeepCapacity(to models.ModelProfile, after supply) bool {
+	return r.maxDonorUtilization(after) <= max(safeUtilization, r.utilization(to, r.assigned[to.Name]))
 }
 
-// usedMost is the greatest part of its places that a model which has lost instances
-// uses.
-func (r *round) usedMost(after supply) float64 {
+// maxDonorUtilization returns the highest utilization among the models that lose instances.
+func (r *round) maxDonorUtilization(after supply) float64 {
 	most := 0.0
 	for _, m := range r.Profile.Models {
-		if after[m.Name] < r.settled[m.Name] {
-			most = max(most, r.use(m, after[m.Name]))
+		if after[m.Name] < r.assigned[m.Name] {
+			most = max(most, r.utilization(m, after[m.Name]))
 		}
 	}
 	return most
 }
 
-// repairs reports whether a broken group of the model may soon be whole again
-// somewhere.
-func (r *round) repairs(model models.ModelName) bool {
-	return slices.ContainsFunc(r.allDomains(), func(d models.Domain) bool { return r.releasing(d, model) })
+// repairPending reports whether a broken group of the model is about to be repaired in any domain.
+func (r *round) repairPending(model models.ModelName) bool {
+	return slices.ContainsFunc(r.allDomains(), func(d models.Domain) bool { return r.releasePending(d, model) })
 }
 
-// releasing reports whether a member of a broken group of the model is about to
-// come free in the domain.
-func (r *round) releasing(domain models.Domain, model models.ModelName) bool {
+// releasePending reports whether a member of a broken group of the model is about to become free in
+// the domain.
+func (r *round) releasePending(domain models.Domain, model models.ModelName) bool {
 	for id, i := range r.Instances {
 		member := i.Group.State != models.MemberNone && ModelOf(i.Group.Key.Name) == model
-		if member && i.Domain == domain && r.usable(id) && !r.taken[id] && !r.released(id) {
+		if member && i.Domain == domain && r.usable(id) && !r.reserved[id] && !r.released(id) {
 			return true
 		}
 	}
 	return false
 }
 
-// conversionIn picks the members for a group of the model in one domain: free
-// ones first, and then those of the groups that give the most members, the
-// smallest first.
-func (r *round) conversionIn(domain models.Domain, to models.ModelProfile, free []models.InstanceID) *conversion {
-	c := &conversion{model: to, until: r.Now.Add(convertWithin), change: supply{to.Name: to.Size}}
-	left := supply{}
+// planConversion picks the members for a group of the model in one domain: free instances first,
+// then members of the donor groups that lose the fewest other members, smaller groups first.
+func (r *round) planConversion(domain models.Domain, to models.ModelProfile, free []models.InstanceID) *conversion {
+	c := &conversion{model: to, deadline: r.Now.Add(conversionTimeout), supplyChange: supply{to.Name: to.Size}}
+	leftover := supply{}
 	for _, id := range free {
 		i := r.Instances[id]
-		if _, under := r.staging[id]; !under && IsWarm(i, to.Name) && len(c.members) < to.Size {
+		if _, staging := r.staging[id]; !staging && IsWarm(i, to.Name) && len(c.members) < to.Size {
 			c.members = append(c.members, id)
 		} else if i.Loaded != "" {
-			left[i.Loaded]++
+			leftover[i.Loaded]++
 		}
 	}
 	if len(c.members) == to.Size {
 		return nil
 	}
-	c.free = len(c.members)
+	c.freeCount = len(c.members)
 	for _, d := range r.donors(domain, to.Name) {
 		if len(c.members) == to.Size {
 			break
 		}
-		took := 0
-		for _, id := range d.able {
+		taken := 0
+		for _, id := range d.candidates {
 			if len(c.members) < to.Size {
 				c.members = append(c.members, id)
-				took++
+				taken++
 			}
 		}
-		c.change[d.group.Model] -= len(d.group.Members)
-		left[d.group.Model] += len(d.group.Members) - took
+		c.supplyChange[d.group.Model] -= len(d.group.Members)
+		leftover[d.group.Model] += len(d.group.Members) - taken
 	}
 	if len(c.members) < to.Size {
 		return nil
 	}
-	for name, n := range left {
-		// What is left over forms groups again.
+	for name, n := range leftover {
+		// Instances that are left over form groups again.
 		if from, known := r.Profile.Model(name); known && name != to.Name {
-			c.change[name] += n / from.Size * from.Size
+			c.supplyChange[name] += n / from.Size * from.Size
 		}
 	}
 	return c
 }
 
-// donor is a group that serves, with the members whose hosts have the weights of
-// another model.
+// donor is a serving group, with the members whose hosts have the weights of another model.
 type donor struct {
-	group *Group
-	able  []models.InstanceID
+	group      *Group
+	candidates []models.InstanceID
 }
 
-// donors lists the groups of a domain that could give members for a group of the
-// model.
+// donors lists the groups of a domain that could give up members for a group of the model.
 func (r *round) donors(domain models.Domain, to models.ModelName) []donor {
 	var out []donor
 	for _, g := range r.groups {
-		stands := g.Serving() && r.forming[g.Key] == nil && r.ending[g.Key] == nil
-		if g.Model == to || g.Head == "" || r.Instances[g.Head].Domain != domain || !stands {
+		stable := g.Serving() && r.forming[g.Key] == nil && r.ending[g.Key] == nil
+		if g.Model == to || g.Head == "" || r.Instances[g.Head].Domain != domain || !stable {
 			continue
 		}
 		d := donor{group: g}
 		for rank := range len(g.Members) {
-			id, there := g.Members[rank]
-			if there && r.usable(id) && !r.Unproven[id] && slices.Contains(r.Instances[id].Staged, to) {
-				d.able = append(d.able, id)
+			id, present := g.Members[rank]
+			if present && r.usable(id) && !r.Unproven[id] && slices.Contains(r.Instances[id].Staged, to) {
+				d.candidates = append(d.candidates, id)
 			}
 		}
-		if len(d.able) > 0 {
+		if len(d.candidates) > 0 {
 			out = append(out, d)
 		}
 	}
 	slices.SortFunc(out, func(a, b donor) int {
-		return cmp.Or(cmp.Compare(len(a.group.Members)-len(a.able), len(b.group.Members)-len(b.able)),
+		return cmp.Or(cmp.Compare(len(a.group.Members)-len(a.candidates), len(b.group.Members)-len(b.candidates)),
 			cmp.Compare(len(a.group.Members), len(b.group.Members)), cmp.Compare(a.group.Key.Epoch, b.group.Key.Epoch))
 	})
 	return out
 }
 
-// advanceConversion closes the groups that the members are in and forms the
-// new one once all are free.
+// advanceConversion closes the groups that the members are in, and forms the new group once all
+// members are free.
 func (r *round) advanceConversion() {
 	c := r.converting
 	if c == nil {
@@ -238,23 +230,23 @@
 	}
 	free := true
 	for _, id := range c.members {
-		if !r.usable(id) || r.Now.After(c.until) {
+		if !r.usable(id) || r.Now.After(c.deadline) {
 			r.converting = nil
 			return
 		}
 		if r.released(id) {
-			r.taken[id] = true
+			r.reserved[id] = true
 			continue
 		}
 		free = false
 		if g := r.groups[r.Instances[id].Group.Key]; g != nil {
-			r.end(g.Key, g.Head, types.GroupFinish)
+			r.endGroup(g.Key, g.Head, types.GroupFinish)
 		}
 	}
 	if !free {
 		return
 	}
 	r.converting = nil
-	candidate := candidate{model: c.model, members: c.members, loading: map[models.InstanceID]bool{}, ready: c.model.Warm}
-	r.form(candidate)
+	candidate := candidate{model: c.model, members: c.members, loading: map[models.InstanceID]bool{}, readyIn: c.model.Warm}
+	r.startFormation(candidate)
 }
--- a/fleet/ending.go
+++ b/fleet/ending.go
@@ -7,29 +7,29 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// ending is a group that is being taken apart.
+// ending is a group that is being dissolved.
 type ending struct {
 	key  models.GroupKey
 	head models.InstanceID
 	kind types.GroupOrderKind
-	// closed tells that the head takes no requests any more and will not
-	// open again, so that its members may be used elsewhere.
+	// closed is set once the head takes no requests and can't open again, so that the members may
+	// join other groups.
 	closed bool
 }
 
-// lateOrders is for how long an order without an answer may still be carried out.
-const lateOrders = 13 * time.Second
+// lateOrderWindow is how long an unanswered order may still be executed.
+const lateOrderWindow = 13 * time.Second
 
-// mayReopen reports whether an order to open the group may still be under way: one
-// of this planner's that got no answer, or one of its predecessor's.
+// mayReopen reports whether an order to open the group may still arrive at the head: an unanswered
+// order of this planner, or any order of an earlier term.
 func (p *Planner) mayReopen(key models.GroupKey, now time.Time) bool {
-	return TermOf(key.Epoch) != p.term || now.Sub(p.unheardOpens[key]) < lateOrders
+	return TermOf(key.Epoch) != p.term || now.Sub(p.unansweredOpens[key]) < lateOrderWindow
 }
 
-// took notes that the head has carried out an order. One that has closed is told
-// to leave the group as well if it could be opened again: where instances don't
-// check fences, members were taken for others while such a head was open.
-func (e *ending) took(kind types.GroupOrderKind, mayReopen bool) {
+// confirm records that the head has executed an order. A head that has closed is also ordered to
+// leave the group if it may be opened again. Without that, on instances that don't check fences,
+// members joined other groups while such a head was open.
+func (e *ending) confirm(kind types.GroupOrderKind, mayReopen bool) {
 	switch {
 	case kind == types.GroupLeave:
 		e.closed = true
@@ -40,8 +40,9 @@
 	}
 }
 
-// end begins to take a group apart, or hastens it.
-func (r *round) end(key models.GroupKey, head models.InstanceID, kind types.GroupOrderKind) {
+// endGroup starts to dissolve a group. If the group is already finishing its requests, a cut
+// replaces that.
+func (r *round) endGroup(key models.GroupKey, head models.InstanceID, kind types.GroupOrderKind) {
 	e := r.ending[key]
 	if e == nil {
 		r.ending[key] = &ending{key: key, head: head, kind: kind}
@@ -52,11 +53,11 @@
 	}
 }
 
-// advanceEnding tells the heads of groups that are to end so, until the members
-// have let go.
-func (r *round) advanceEnding() {
+// advanceEndings orders the heads of groups that are being dissolved to close, until all members
+// have left.
+func (r *round) advanceEndings() {
 	for key, e := range r.ending {
-		if _, told := r.groups[key]; !told {
+		if _, present := r.groups[key]; !present {
 			delete(r.ending, key)
 			continue
 		}
@@ -64,27 +65,28 @@
 			continue
 		}
 		if !r.usableHead(e.head, key) {
-			r.leaveAll(r.groups[key])
+			r.orderMembersToLeave(r.groups[key])
 			continue
 		}
-		if r.due(e.head, e.kind, key) {
-			r.order(types.GroupOrder{Kind: e.kind, Instance: e.head, Group: key})
+		if r.orderDue(e.head, e.kind, key) {
+			r.issue(types.GroupOrder{Kind: e.kind, Instance: e.head, Group: key})
 		}
 	}
 }
 
-// usableHead reports whether the head can be told to close.
+// usableHead reports whether the head can be ordered to close.
 func (r *round) usableHead(head models.InstanceID, key models.GroupKey) bool {
-	i, there := r.Instances[head]
-	return there && !r.Lost[head] && i.Group.Key == key
+	i, present := r.Instances[head]
+	return present && !r.Lost[head] && i.Group.Key == key
 }
 
-// leaveAll tells the members of a group without a head to leave it. If the
-// head lives on unseen, it is broken by that before its members are used.
-func (r *round) leaveAll(g *Group) {
+// orderMembersToLeave orders the members of a group without a reachable head to leave it. A head
+// that is alive but unreachable can't serve without them, and they are used elsewhere only after
+// that.
+func (r *round) orderMembersToLeave(g *Group) {
 	for _, id := range g.Members {
-		if r.usable(id) && id != g.Head && r.due(id, types.GroupLeave, g.Key) {
-			r.order(types.GroupOrder{Kind: types.GroupLeave, Instance: id, Group: g.Key})
+		if r.usable(id) && id != g.Head && r.orderDue(id, types.GroupLeave, g.Key) {
+			r.issue(types.GroupOrder{Kind: types.GroupLeave, Instance: id, Group: g.Key})
 		}
 	}
 }
--- a/fleet/form.go
+++ b/fleet/form.go
@@ -14,72 +14,71 @@
 	model   models.ModelProfile
 	members []models.InstanceID
 	loading map[models.InstanceID]bool
-	// ready is how long the slowest member takes.
-	ready time.Duration
+	// readyIn is how long the slowest member takes to join.
+	readyIn time.Duration
 }
 
-// formAll forms groups of free instances, the model that lacks most first.
-func (r *round) formAll() {
+// formGroups forms groups of free instances, the model with the lowest supply for its demand first.
+func (r *round) formGroups() {
 	if !r.Traffic {
-		r.planLayout()
+		r.updateLayout()
 	}
-	choices := newChoices(r.free())
+	cache := newCandidateCache(r.freeInstances())
 	for {
-		domain, c, found := r.best(choices)
+		domain, c, found := r.bestCandidate(cache)
 		if !found {
 			return
 		}
-		r.form(c)
-		choices.use(domain, c.members)
+		r.startFormation(c)
+		cache.remove(domain, c.members)
 	}
 }
 
-// choices are the groups that could be formed next. What a domain could form changes only
-// when one is formed there, so it is found out once until then: found out anew for each
-// group, it kept a planner with thousands of free instances from being heard until another
-// one took over.
-type choices struct {
+// candidateCache caches the groups that could be formed next. The candidates of a domain change
+// only when a group is formed in it. Computed again for each group, they kept a planner with
+// thousands of free instances silent until another daemon took over.
+type candidateCache struct {
 	domains []models.Domain
 	free    map[models.Domain][]models.InstanceID
-	known   map[models.Domain]map[models.ModelName]choice
+	entries map[models.Domain]map[models.ModelName]cachedCandidate
 }
 
-// choice is the group that a domain could form of a model, if it can form one.
-type choice struct {
+// cachedCandidate is the group of a model that a domain could form, if feasible is set.
+type cachedCandidate struct {
 	candidate
-	possible bool
+	feasible bool
 }
 
-func newChoices(free map[models.Domain][]models.InstanceID) *choices {
-	return &choices{domains: slices.Sorted(maps.Keys(free)), free: free, known: map[models.Domain]map[models.ModelName]choice{}}
+func newCandidateCache(free map[models.Domain][]models.InstanceID) *candidateCache {
+	return &candidateCache{domains: slices.Sorted(maps.Keys(free)), free: free, entries: map[models.Domain]map[models.ModelName]cachedCandidate{}}
 }
 
-// of is what a domain could form of a model.
-func (c *choices) of(r *round, model models.ModelProfile, domain models.Domain) choice {
-	known, there := c.known[domain][model.Name]
-	if there {
-		return known
+// get returns the candidate of a model in a domain.
+func (c *candidateCache) get(r *round, model models.ModelProfile, domain models.Domain) cachedCandidate {
+	entry, cached := c.entries[domain][model.Name]
+	if cached {
+		return entry
 	}
-	if c.known[domain] == nil {
-		c.known[domain] = map[models.ModelName]choice{}
+	if c.entries[domain] == nil {
+		c.entries[domain] = map[models.ModelName]cachedCandidate{}
 	}
-	known.candidate, known.possible = r.candidate(model, domain, c.free[domain])
-	c.known[domain][model.Name] = known
-	return known
+	entry.candidate, entry.feasible = r.buildCandidate(model, domain, c.free[domain])
+	c.entries[domain][model.Name] = entry
+	return entry
 }
 
-// use takes members of a group that is formed from the free instances of their domain.
-func (c *choices) use(domain models.Domain, members []models.InstanceID) {
+// remove takes the members of a new group out of the free instances of their domain.
+func (c *candidateCache) remove(domain models.Domain, members []models.InstanceID) {
 	c.free[domain] = slices.DeleteFunc(c.free[domain], func(id models.InstanceID) bool { return slices.Contains(members, id) })
-	delete(c.known, domain)
+	delete(c.entries, domain)
 }
 
-// free lists the instances that may be used, by fabric domain.
-func (r *round) free() map[models.Domain][]models.InstanceID {
+// freeInstances lists the instances that may join a group, by fabric domain.
+func (r *round) freeInstances() map[models.Domain][]models.InstanceID {
 	out := map[models.Domain][]models.InstanceID{}
 	for _, id := range slices.Sorted(maps.Keys(r.Instances)) {
-		_, held := r.held[id]
-		if !r.usable(id) || r.Unproven[id] || r.taken[id] || held || !r.released(id) {
+		_, backingOff := r.backoffUntil[id]
+		if !r.usable(id) || r.Unproven[id] || r.reserved[id] || backingOff || !r.released(id) {
 			continue
 		}
 		out[r.Instances[id].Domain] = append(out[r.Instances[id].Domain], id)
@@ -87,7 +86,8 @@
 	return out
 }
 
-// released reports whether an instance's last group has let go of it.
+// released reports whether an instance is in no group, or in a group whose head has closed for
+// good.
 func (r *round) released(id models.InstanceID) bool {
 	m := r.Instances[id].Group
 	if m.State == models.MemberNone {
@@ -97,49 +97,48 @@
 	return e != nil && e.closed
 }
 
-// best picks the group to form next, and where: of the model that lacks most, where it
-// is ready soonest.
-func (r *round) best(c *choices) (models.Domain, candidate, bool) {
-	for _, model := range r.byNeed() {
-		var best choice
+// bestCandidate picks the group to form next and its domain: of the model with the lowest supply
+// for its demand, in the domain where it is ready soonest.
+func (r *round) bestCandidate(c *candidateCache) (models.Domain, candidate, bool) {
+	for _, model := range r.modelsByShortage() {
+		var best cachedCandidate
 		var at models.Domain
 		for _, domain := range c.domains {
-			next := c.of(r, model, domain)
-			if next.possible && (!best.possible || next.better(best.candidate)) {
+			next := c.get(r, model, domain)
+			if next.feasible && (!best.feasible || next.readyBefore(best.candidate)) {
 				best, at = next, domain
 			}
 		}
-		if best.possible {
+		if best.feasible {
 			return at, best.candidate, true
 		}
 	}
 	return "", candidate{}, false
 }
 
-func (c candidate) better(o candidate) bool {
-	if c.ready != o.ready {
-		return c.ready < o.ready
+func (c candidate) readyBefore(o candidate) bool {
+	if c.readyIn != o.readyIn {
+		return c.readyIn < o.readyIn
 	}
 	return len(c.loading) < len(o.loading)
 }
 
-// byNeed lists the models, the one that lacks the greatest part of what it
-// needs first.
-func (r *round) byNeed() []models.ModelProfile {
+// modelsByShortage lists the models by the ratio of supply to demand, the lowest first.
+func (r *round) modelsByShortage() []models.ModelProfile {
 	out := slices.Clone(r.Profile.Models)
 	supply := func(m models.ModelProfile) float64 {
-		// Half a group more, so that a model without any comes first.
-		return (float64(r.settled[m.Name]) + float64(m.Size)/2) / r.need(m)
+		// Adding half a group puts models without any group first.
+		return (float64(r.assigned[m.Name]) + float64(m.Size)/2) / r.demandOf(m)
 	}
 	slices.SortStableFunc(out, func(a, b models.ModelProfile) int { return cmp.Compare(supply(a), supply(b)) })
 	return out
 }
 
-// candidate is the group of the model that is ready soonest in the domain. Once
-// there is traffic it has only members with the weights at hand: an empty
-// instance loads them first, and may be of more use to another model by then.
-// Before, loads are cheap, and the layout tells what is formed by them.
-func (r *round) candidate(model models.ModelProfile, domain models.Domain, ids []models.InstanceID) (candidate, bool) {
+// buildCandidate returns the group of the model that would be ready soonest in the domain. Once
+// there is traffic, only instances that have the weights become members: an empty instance would
+// load them first, and another model may need it more by then. Before traffic, loads are cheap, and
+// the layout decides which groups are formed with loads.
+func (r *round) buildCandidate(model models.ModelProfile, domain models.Domain, ids []models.InstanceID) (candidate, bool) {
 	if len(ids) < model.Size {
 		return candidate{}, false
 	}
@@ -149,21 +148,21 @@
 	})
 	c := candidate{model: model, members: sorted[:model.Size:model.Size], loading: map[models.InstanceID]bool{}}
 	for _, id := range c.members {
-		t := r.joinTime(id, model)
-		if _, under := r.staging[id]; under && t >= model.Load {
-			// It comes into question once its weights are there.
+		joinTime := r.joinTime(id, model)
+		if _, staging := r.staging[id]; staging && joinTime >= model.Load {
+			// The instance becomes a candidate once its weights are staged.
 			return candidate{}, false
 		}
-		c.ready = max(c.ready, t)
-		if t >= model.Load {
+		c.readyIn = max(c.readyIn, joinTime)
+		if joinTime >= model.Load {
 			c.loading[id] = true
 		}
 	}
 	if len(c.loading) == 0 {
 		return c, true
 	}
-	wanted := r.layout[domain][model.Name] * model.Size
-	return c, !r.Traffic && r.settledIn[domain][model.Name] < wanted && r.mayLoad(len(c.loading))
+	planned := r.layout[domain][model.Name] * model.Size
+	return c, !r.Traffic && r.assignedByDomain[domain][model.Name] < planned && r.mayStartLoads(len(c.loading))
 }
 
 // joinTime is how long the instance takes to join a group of the model.
@@ -179,26 +178,27 @@
 	}
 }
 
-// mayLoad reports whether so many loads may begin now.
-func (r *round) mayLoad(n int) bool {
+// mayStartLoads reports whether n loads may start now.
+func (r *round) mayStartLoads(n int) bool {
 	if !r.Traffic {
-		// They don't slow each other yet: 44 at once took no longer each.
+		// Before traffic, loads don't slow each other down: 44 concurrent loads took no longer
+		// each.
 		return true
 	}
-	most := r.Profile.LoadsAtOnce
-	bound := r.Profile.LoadsPerSecond * loadWindow.Seconds() * loadMargin
-	return (r.loading == 0 || r.loading+n <= most) && float64(len(r.loads)+n) <= bound
+	limit := r.Profile.LoadsAtOnce
+	windowLimit := r.Profile.LoadsPerSecond * loadWindow.Seconds() * loadRateFraction
+	return (r.loading == 0 || r.loading+n <= limit) && float64(len(r.loadStarts)+n) <= windowLimit
 }
 
-func (r *round) form(c candidate) {
+func (r *round) startFormation(c candidate) {
 	f := &formation{
 		key: r.newKey(c.model.Name), model: c.model.Name, members: c.members,
-		joined: map[models.InstanceID]bool{}, loading: c.loading, deadline: r.givenUp(c.ready),
+		joined: map[models.InstanceID]bool{}, loading: c.loading, deadline: r.deadlineAfter(c.readyIn),
 	}
 	for range c.loading {
-		r.loads = append(r.loads, r.Now)
+		r.loadStarts = append(r.loadStarts, r.Now)
 	}
 	r.forming[f.key] = f
-	r.take(f)
-	r.advance(f)
+	r.assignMembers(f)
+	r.advanceFormation(f)
 }
--- a/fleet/formation.go
+++ b/fleet/formation.go
@@ -7,30 +7,30 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// formation is a group that is being made.
+// formation is a group that is being formed.
 type formation struct {
 	key     models.GroupKey
 	model   models.ModelName
 	members []models.InstanceID
-	// joined are members that took the order to join.
+	// joined holds the members that accepted the order to join.
 	joined map[models.InstanceID]bool
-	// opened tells that the head may have been ordered to open, by this planner
-	// or the one before.
-	opened   bool
-	deadline time.Time
-	// loading are members whose weights come from the weight store.
+	// openOrdered is set if the head may have been ordered to open, by this planner or the previous
+	// one.
+	openOrdered bool
+	deadline    time.Time
+	// loading holds the members whose weights come from the weight store.
 	loading map[models.InstanceID]bool
 }
 
-// advanceForming takes each formation a step further, or gives it up.
-func (r *round) advanceForming() {
+// advanceFormations advances each formation, or abandons it.
+func (r *round) advanceFormations() {
 	for key, f := range r.forming {
-		if !r.intact(f) || r.Now.After(f.deadline) {
+		if !r.viable(f) || r.Now.After(f.deadline) {
 			delete(r.forming, key)
-			if f.opened {
-				// A head that is about to open does not forget it when it is
-				// told to close.
-				r.end(key, f.members[0], types.GroupLeave)
+			if f.openOrdered {
+				// A head that is about to open ignores an order to close, so it is ordered to
+				// leave.
+				r.endGroup(key, f.members[0], types.GroupLeave)
 			} else {
 				r.ending[key] = &ending{key: key, head: f.members[0], closed: true}
 			}
@@ -40,16 +40,16 @@
 			delete(r.forming, key)
 			continue
 		}
-		r.take(f)
-		r.advance(f)
+		r.assignMembers(f)
+		r.advanceFormation(f)
 	}
 }
 
-// intact reports whether every member can still become one.
-func (r *round) intact(f *formation) bool {
+// viable reports whether every member can still join.
+func (r *round) viable(f *formation) bool {
 	for _, id := range f.members {
-		_, held := r.held[id]
-		if !r.usable(id) || held {
+		_, backingOff := r.backoffUntil[id]
+		if !r.usable(id) || backingOff {
 			return false
 		}
 		if i := r.Instances[id]; i.Group.Key.Epoch > f.key.Epoch {
@@ -59,51 +59,49 @@
 	return true
 }
 
-// take counts a formation's members as settled.
-func (r *round) take(f *formation) {
-	r.settle(f.model, f.members)
+// assignMembers counts the members of a formation as assigned to its model.
+func (r *round) assignMembers(f *formation) {
+	r.assign(f.model, f.members)
 	for _, id := range f.members {
-		if f.loading[id] && !r.ready(f, id) {
+		if f.loading[id] && !r.memberReady(f, id) {
 			r.loading++
 		}
 	}
 }
 
-// ready reports whether the instance has told that it is ready in this
-// formation.
-func (r *round) ready(f *formation, id models.InstanceID) bool {
+// memberReady reports whether the instance reports that it is ready in this formation.
+func (r *round) memberReady(f *formation, id models.InstanceID) bool {
 	m := r.Instances[id].Group
 	return m.Key == f.key && m.State != models.MemberJoining && m.State != models.MemberNone
 }
 
-// advance gives the orders to join that are due, and the one to open once all
-// members are ready.
-func (r *round) advance(f *formation) {
-	whole := true
+// advanceFormation issues the due orders to join, and the order to open once all members are ready.
+func (r *round) advanceFormation(f *formation) {
+	allReady := true
 	for _, id := range f.members {
 		m := r.Instances[id].Group
-		if !r.ready(f, id) || !f.joined[id] {
-			whole = false
+		if !r.memberReady(f, id) || !f.joined[id] {
+			allReady = false
 		}
-		if (f.joined[id] && m.Key == f.key) || !r.due(id, types.GroupJoin, f.key) {
+		if (f.joined[id] && m.Key == f.key) || !r.orderDue(id, types.GroupJoin, f.key) {
 			continue
 		}
-		r.order(types.GroupOrder{Kind: types.GroupJoin, Instance: id, Group: f.key, Model: f.model, Members: f.members})
+		r.issue(types.GroupOrder{Kind: types.GroupJoin, Instance: id, Group: f.key, Model: f.model, Members: f.members})
 	}
 	head := f.members[0]
-	if whole && r.due(head, types.GroupOpen, f.key) {
-		f.opened = true
-		r.order(types.GroupOrder{Kind: types.GroupOpen, Instance: head, Group: f.key})
+	if allReady && r.orderDue(head, types.GroupOpen, f.key) {
+		f.openOrdered = true
+		r.issue(types.GroupOrder{Kind: types.GroupOpen, Instance: head, Group: f.key})
 	}
 }
 
-// adopt makes a formation of a group that another planner began. Its members
-// are told to join once more, which costs nothing and makes them deaf to the
-// other planner before the group is opened.
+// adopt turns a group that another planner began to form into a formation. Its members are ordered
+// to join again. That takes no time, and the newer fence makes them refuse orders of the other
+// planner before the group is opened.
 func (r *round) adopt(g *Group, profile models.ModelProfile) {
 	f := &formation{
-		key: g.Key, model: g.Model, opened: true, joined: map[models.InstanceID]bool{}, loading: map[models.InstanceID]bool{},
-		deadline: r.givenUp(profile.Load),
+		key: g.Key, model: g.Model, openOrdered: true, joined: map[models.InstanceID]bool{}, loading: map[models.InstanceID]bool{},
+		deadline: r.deadlineAfter(profile.Load),
 	}
 	for rank := range profile.Size {
 		id := g.Members[rank]
@@ -111,6 +109,6 @@
 		f.loading[id] = r.Instances[id].Group.State == models.MemberJoining
 	}
 	r.forming[g.Key] = f
-	r.take(f)
-	r.advance(f)
+	r.assignMembers(f)
+	r.advanceFormation(f)
 }
--- a/fleet/groups.go
+++ b/fleet/groups.go
@@ -6,19 +6,19 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Group is a replica group as its members tell of it.
+// Group is a replica group as reported by its members.
 type Group struct {
 	Key   models.GroupKey
 	Model models.ModelName
-	// Members are those that tell that they are in it, by rank; a rank that
-	// nobody holds is missing from the map.
+	// Members holds the instances that report membership, by rank. Ranks without an instance are
+	// missing from the map.
 	Members map[int]models.InstanceID
-	// Head is empty if nobody holds rank 0.
+	// Head is the member of rank 0, empty if there is none.
 	Head  models.InstanceID
 	State models.MemberState
 }
 
-// Groups gathers the groups that instances tell of.
+// Groups collects the groups that the instances report.
 func Groups(instances map[models.InstanceID]models.UpstreamInstance) map[models.GroupKey]*Group {
 	return GroupsOf(func(yield func(models.InstanceID, models.Membership) bool) {
 		for id, i := range instances {
@@ -29,7 +29,7 @@
 	})
 }
 
-// GroupsOf gathers the groups that instances tell of by their memberships.
+// GroupsOf collects the groups from the memberships that instances report.
 func GroupsOf(memberships iter.Seq2[models.InstanceID, models.Membership]) map[models.GroupKey]*Group {
 	out := map[models.GroupKey]*Group{}
 	for id, m := range memberships {
@@ -52,10 +52,10 @@
 // Serving reports whether the group's head takes requests.
 func (g *Group) Serving() bool { return g.State == models.MemberOpen }
 
-// complete reports whether all members of a group of this size are there.
+// complete reports whether the group has exactly the members of ranks 0 to size-1.
 func (g *Group) complete(size int) bool {
 	for rank := range size {
-		if _, there := g.Members[rank]; !there {
+		if _, present := g.Members[rank]; !present {
 			return false
 		}
 	}
--- a/fleet/layout.go
+++ b/fleet/layout.go
@@ -8,51 +8,49 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// layout tells how many groups of each model each fabric domain is to have
-// before there is traffic.
+// layout is the planned number of groups of each model in each fabric domain before there is
+// traffic.
 //
-// Where a domain that is filled with large groups has some instances left over,
-// these are the spares of its groups, and each domain is given to one model: what
-// is left of two broken groups makes one. Where nothing is left over, each loss
-// would leave all but one of a group's instances idle until an empty one has
-// loaded the weights. There large groups are spread over all domains, and smaller
-// ones fill the room that they leave: a member that a large group loses is then
-// replaced within seconds by one of a small group, on whose host the large model's
-// weights were staged.
+// If a domain filled with the largest groups has instances left over, these are spares, and each
+// domain is dedicated to one model: the members left of two broken groups then form a new one. If
+// nothing is left over, each loss would leave all other members of a group idle until an empty
+// instance has loaded the weights. In that case large groups are spread over all domains and
+// smaller groups fill the rest. A lost member of a large group is then replaced within seconds by a
+// member of a small group on whose host the large model's weights were staged.
 //
-// With 48 instances in domains of 8, groups of 4 and 2 and a loss every 3 s, 21 of
-// 100 instances are idle rather than 24 (TestSupplyUnderLosses).
+// With 48 instances in domains of 8, groups of 4 and 2 and a loss every 3 s, 21 of 100 instances
+// are idle rather than 24 (TestSupplyUnderLosses).
 type layout map[models.Domain]map[models.ModelName]int
 
-// layoutInput is what a layout depends on.
+// layoutInput is what a layout is computed from.
 type layoutInput struct {
-	// sizes counts the instances of each domain.
-	sizes map[models.Domain]int
-	zones map[models.Domain]models.Zone
-	needs map[models.ModelName]float64
+	// sizes is the number of instances of each domain.
+	sizes  map[models.Domain]int
+	zones  map[models.Domain]models.Zone
+	demand map[models.ModelName]float64
 }
 
 func (i layoutInput) equal(o layoutInput) bool {
-	return maps.Equal(i.sizes, o.sizes) && maps.Equal(i.needs, o.needs)
+	return maps.Equal(i.sizes, o.sizes) && maps.Equal(i.demand, o.demand)
 }
 
-// planLayout makes the layout anew if what it depends on has changed. There is none
-// while instances still come: what can be made of a domain depends on its size.
-func (r *round) planLayout() {
-	if r.arrivals.goOn(r.Now) && r.Now.Sub(r.began) < arrivalsMost {
+// updateLayout computes the layout again if its input has changed. There is no layout while
+// instances are still arriving: the groups that fit a domain depend on its size.
+func (r *round) updateLayout() {
+	if r.arrivals.recent(r.Now) && r.Now.Sub(r.began) < maxArrivalWait {
 		r.layout = nil
 		return
 	}
 	in := r.layoutInput()
-	if r.layout != nil && in.equal(r.laidFor) {
+	if r.layout != nil && in.equal(r.layoutBasis) {
 		return
 	}
-	r.layout, r.laidFor = r.World.layoutFor(in), in
+	r.layout, r.layoutBasis = r.World.computeLayout(in), in
 }
 
-// layoutInput counts the instances of each domain.
+// layoutInput returns the present sizes and zones of the domains and the demand of the models.
 func (r *round) layoutInput() layoutInput {
-	in := layoutInput{sizes: map[models.Domain]int{}, zones: map[models.Domain]models.Zone{}, needs: map[models.ModelName]float64{}}
+	in := layoutInput{sizes: map[models.Domain]int{}, zones: map[models.Domain]models.Zone{}, demand: map[models.ModelName]float64{}}
 	for id, i := range r.Instances {
 		if r.usable(id) {
 			in.sizes[i.Domain]++
@@ -60,25 +58,25 @@
 		}
 	}
 	for _, m := range r.Profile.Models {
-		in.needs[m.Name] = r.need(m)
+		in.demand[m.Name] = r.demandOf(m)
 	}
 	return in
 }
 
-// layoutFor lays out what to form of the instances of these domains.
-func (w World) layoutFor(in layoutInput) layout {
+// computeLayout computes a layout for the given domains and demand.
+func (w World) computeLayout(in layoutInput) layout {
 	if len(in.sizes) == 0 {
 		return layout{}
 	}
-	if w.leavesSpares(in) {
-		return w.shareOut(in)
+	if w.hasSpares(in) {
+		return w.dedicateDomains(in)
 	}
-	return w.spread(in)
+	return w.spreadGroups(in)
 }
 
-// leavesSpares reports whether the largest domain has instances left over when it
-// is filled with the largest groups.
-func (w World) leavesSpares(in layoutInput) bool {
+// hasSpares reports whether the largest domain has instances left over when filled with the largest
+// groups.
+func (w World) hasSpares(in layoutInput) bool {
 	largest := 0
 	for _, size := range in.sizes {
 		largest = max(largest, size)
@@ -87,66 +85,66 @@
 	return largest%bySize[0].Size != 0 || bySize[0].Size == bySize[len(bySize)-1].Size
 }
 
-// shareOut gives each domain to one model, the next one always to that which has
-// the fewest instances for its need.
-func (w World) shareOut(in layoutInput) layout {
-	out, have := layout{}, supply{}
+// dedicateDomains assigns each domain to one model, always to the model with the fewest instances
+// for its demand.
+func (w World) dedicateDomains(in layoutInput) layout {
+	out, supplied := layout{}, supply{}
 	room := maps.Clone(in.sizes)
 	for len(room) > 0 {
 		m := slices.MinFunc(w.bySize(), func(a, b models.ModelProfile) int {
-			return cmp.Compare(float64(have[a.Name])/in.needs[a.Name], float64(have[b.Name])/in.needs[b.Name])
+			return cmp.Compare(float64(supplied[a.Name])/in.demand[a.Name], float64(supplied[b.Name])/in.demand[b.Name])
 		})
-		domain := in.roomiest(room, out, m)
+		domain := in.domainWithMostRoom(room, out, m)
 		out[domain] = map[models.ModelName]int{m.Name: in.sizes[domain] / m.Size}
-		// Spares count as well: they bear the losses.
-		have[m.Name] += in.sizes[domain]
+		// Spares count as supply too: they replace lost members.
+		supplied[m.Name] += in.sizes[domain]
 		delete(room, domain)
 	}
 	return out
 }
 
-// spread lays out as many groups of each model as are best once every domain has
-// lost an instance, unless a model would then have none.
-func (w World) spread(in layoutInput) layout {
-	short := in
-	short.sizes = map[models.Domain]int{}
+// spreadGroups computes the layout that is best after every domain has lost an instance, unless a
+// model would have no group in it.
+func (w World) spreadGroups(in layoutInput) layout {
+	reduced := in
+	reduced.sizes = map[models.Domain]int{}
 	for domain, size := range in.sizes {
-		short.sizes[domain] = size - 1
+		reduced.sizes[domain] = size - 1
 	}
-	counts := w.bestFill(short).counts()
+	counts := w.optimizeFill(reduced).groupCounts()
 	for _, m := range w.Profile.Models {
 		if counts[m.Name] == 0 {
-			return w.bestFill(in)
+			return w.optimizeFill(in)
 		}
 	}
-	out, _ := w.fill(in, counts)
+	out, _ := w.fillDomains(in, counts)
 	return out
 }
 
-// bestFill finds how many groups of each model give the least congestion. It begins
-// with as many as the models need and goes on one group at a time.
-func (w World) bestFill(in layoutInput) layout {
-	total, whole := 0, 0.0
+// optimizeFill searches for the number of groups of each model with the lowest congestion. It
+// starts with numbers proportional to the demand and changes them one group at a time.
+func (w World) optimizeFill(in layoutInput) layout {
+	totalInstances, totalDemand := 0, 0.0
 	for _, size := range in.sizes {
-		total += size
+		totalInstances += size
 	}
-	for _, need := range in.needs {
-		whole += need
+	for _, demand := range in.demand {
+		totalDemand += demand
 	}
 	bySize := w.bySize()
 	counts := map[models.ModelName]int{}
 	for _, m := range bySize {
-		counts[m.Name] = int(in.needs[m.Name] / whole * float64(total) / float64(m.Size))
+		counts[m.Name] = int(in.demand[m.Name] / totalDemand * float64(totalInstances) / float64(m.Size))
 	}
-	best, least := w.fill(in, counts)
+	best, lowest := w.fillDomains(in, counts)
 	for improved := true; improved; {
 		improved = false
 		for _, m := range bySize[:len(bySize)-1] {
 			for _, step := range []int{-1, 1} {
-				tried := maps.Clone(counts)
-				tried[m.Name] = max(0, tried[m.Name]+step)
-				if l, congestion := w.fill(in, tried); congestion < least {
-					best, least, counts, improved = l, congestion, tried, true
+				trial := maps.Clone(counts)
+				trial[m.Name] = max(0, trial[m.Name]+step)
+				if l, congestion := w.fillDomains(in, trial); congestion < lowest {
+					best, lowest, counts, improved = l, congestion, trial, true
 				}
 			}
 		}
@@ -154,8 +152,8 @@
 	return best
 }
 
-// counts sums the groups of each model.
-func (l layout) counts() map[models.ModelName]int {
+// groupCounts returns the total number of groups of each model.
+func (l layout) groupCounts() map[models.ModelName]int {
 	out := map[models.ModelName]int{}
 	for _, groups := range l {
 		for name, n := range groups {
@@ -165,10 +163,10 @@
 	return out
 }
 
-// fill lays out so many groups of each model, those of the smallest as many as
-// fit, and tells how congested that is.
-func (w World) fill(in layoutInput, counts map[models.ModelName]int) (layout, float64) {
-	room, out, have := maps.Clone(in.sizes), layout{}, supply{}
+// fillDomains places the given number of groups of each model, and as many groups of the smallest
+// model as fit. It returns the layout and its congestion.
+func (w World) fillDomains(in layoutInput, counts map[models.ModelName]int) (layout, float64) {
+	room, out, supplied := maps.Clone(in.sizes), layout{}, supply{}
 	for domain := range room {
 		out[domain] = map[models.ModelName]int{}
 	}
@@ -176,27 +174,27 @@
 	smallest := bySize[len(bySize)-1]
 	for _, m := range bySize {
 		for n := 0; n < counts[m.Name] || m.Name == smallest.Name; n++ {
-			domain := in.roomiest(room, out, m)
+			domain := in.domainWithMostRoom(room, out, m)
 			if room[domain] < m.Size {
 				break
 			}
 			out[domain][m.Name]++
 			room[domain] -= m.Size
-			have[m.Name] += m.Size
+			supplied[m.Name] += m.Size
 		}
 	}
-	return out, w.congestion(have)
+	return out, w.congestion(supplied)
 }
 
-// roomiest is the domain with the most room for groups of the model, among equals
-// one in the zone that has the fewest of them.
-func (i layoutInput) roomiest(room map[models.Domain]int, out layout, m models.ModelProfile) models.Domain {
-	there := map[models.Zone]int{}
+// domainWithMostRoom returns the domain with the most unassigned instances; ties go to the zone
+// with the fewest groups of the model.
+func (i layoutInput) domainWithMostRoom(room map[models.Domain]int, out layout, m models.ModelProfile) models.Domain {
+	inZone := map[models.Zone]int{}
 	for domain, groups := range out {
-		there[i.zones[domain]] += groups[m.Name]
+		inZone[i.zones[domain]] += groups[m.Name]
 	}
 	domains := slices.Sorted(maps.Keys(room))
 	return slices.MinFunc(domains, func(a, b models.Domain) int {
-		return cmp.Or(cmp.Compare(room[b], room[a]), cmp.Compare(there[i.zones[a]], there[i.zones[b]]))
+		return cmp.Or(cmp.Compare(room[b], room[a]), cmp.Compare(inZone[i.zones[a]], inZone[i.zones[b]]))
 	})
 }
--- a/fleet/planner_test.go
+++ b/fleet/planner_test.go
@@ -10,8 +10,8 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// TestNoModels checks that a service of engines without models needs no
-// orders; it once ended the daemon that plans.
+// TestNoModels checks that a service without models gets no orders. Planning for one crashed the
+// daemon.
 func TestNoModels(t *testing.T) {
 	p := NewPlanner(1, time.Now())
 	orders := p.Step(World{
@@ -21,28 +21,26 @@
 	qt.Assert(t, orders, qt.HasLen, 0)
 }
 
-// TestNoInstances checks that a planner bears a service without instances, as each
-// is when the system starts.
+// TestNoInstances checks that a planner accepts a service without instances, as every service is
+// when the system starts.
 func TestNoInstances(t *testing.T) {
 	p := NewPlanner(1, time.Now())
 	qt.Assert(t, p.Step(World{Now: time.Now(), Profile: testProfile()}), qt.HasLen, 0)
 }
 
-// TestTermEnds checks that a planner gives up its term before its numbers run
-// into those of the next.
+// TestTermEnds checks that a planner is superseded before its fences reach those of the next term.
 func TestTermEnds(t *testing.T) {
 	p := NewPlanner(1, time.Now())
 	p.seq = maxOrders - 1
 	qt.Assert(t, p.Superseded(), qt.IsFalse)
-	last := p.next()
+	last := p.nextFence()
 	qt.Assert(t, p.Superseded(), qt.IsTrue)
-	qt.Assert(t, last < NewPlanner(2, time.Now()).next(), qt.IsTrue)
+	qt.Assert(t, last < NewPlanner(2, time.Now()).nextFence(), qt.IsTrue)
 }
 
-// TestUnprovenInstances checks that a planner uses no instance for a group of
-// which it may have old news. Instances that were cut off from the store had joined
-// a group of the last planner of which the new one had not heard, and were joined to
-// another one.
+// TestUnprovenInstances checks that a planner forms no group of instances whose state may be stale.
+// Instances that were cut off from the store had joined a group of the previous planner that the
+// new planner did not know of, and were assigned to a second group.
 func TestUnprovenInstances(t *testing.T) {
 	w := World{Now: time.Now(), Profile: testProfile(), Instances: map[models.InstanceID]models.UpstreamInstance{}, Unproven: map[models.InstanceID]bool{}}
 	for _, id := range []models.InstanceID{"i-1", "i-2", "i-3", "i-4"} {
@@ -58,8 +56,8 @@
 	qt.Assert(t, p.Step(w), qt.Not(qt.HasLen), 0)
 }
 
-// TestUnlistedMember checks that a group goes on whose member has no entry any
-// more, and that nothing is made of such an instance.
+// TestUnlistedMember checks that a group goes on if the entry of a member is gone, and that such a
+// member joins no other group.
 func TestUnlistedMember(t *testing.T) {
 	key := models.GroupKey{Name: "small.1", Epoch: 1}
 	w := World{Now: time.Now(), Profile: testProfile(), Traffic: true, Unlisted: map[models.InstanceID]bool{"i-2": true}}
@@ -76,10 +74,9 @@
 	qt.Assert(t, orders[0].Instance, qt.Equals, models.InstanceID("i-1"))
 }
 
-// TestAdoptedGroupMayOpen checks that a group of the last planner which is given
-// up is dissolved at its head before its members are used: the last planner may
-// have told it to open. An instance was in two groups just after another daemon had
-// begun to plan.
+// TestAdoptedGroupMayOpen checks that an adopted group which is abandoned is dissolved at its head
+// before its members are used elsewhere: the previous planner may have ordered the head to open.
+// Without that, an instance was in two groups just after another daemon had become the planner.
 func TestAdoptedGroupMayOpen(t *testing.T) {
 	key := models.GroupKey{Name: "small.1", Epoch: 1}
 	w := World{Now: time.Now(), Profile: testProfile(), Traffic: true, Lost: map[models.InstanceID]bool{}}
--- a/fleet/property_test.go
+++ b/fleet/property_test.go
@@ -12,32 +12,31 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestRulesHold lets a world go through random troubles, with up to two
-// planners at work and orders carried out late, and checks that no instance
-// is ever in two groups, no group opens with a member missing, and the weight
-// store is never asked for more than it gives.
-func TestRulesHold(t *testing.T) {
+// TestInvariants runs a simulation with random faults, up to two active planners and delayed
+// orders. It checks that no instance is ever in two groups, no group opens with a member missing,
+// and the load rate of the weight store is never exceeded.
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(testProfile(), rapid.Uint64().Draw(t, "seed"))
 		s.demand["big"], s.demand["small"] = 0.5, 0.5
 		s.add("a-0", "a", "z1")
 		for range rapid.IntRange(4, 12).Draw(t, "in a") {
-			s.add(s.freshID("a"), "a", "z1")
+			s.add(s.newID("a"), "a", "z1")
 		}
 		for range rapid.IntRange(2, 12).Draw(t, "in b") {
-			s.add(s.freshID("b"), "b", "z2")
+			s.add(s.newID("b"), "b", "z2")
 		}
-		s.latePart = rapid.SampledFrom([]float64{0, 0.2, 0.5}).Draw(t, "late")
-		s.unfenced = rapid.Bool().Draw(t, "unfenced")
+		s.lateFraction = rapid.SampledFrom([]float64{0, 0.2, 0.5}).Draw(t, "late")
+		s.ignoreFences = rapid.Bool().Draw(t, "unfenced")
 		s.newPlanner(1)
 		s.run(20 * time.Second)
 		s.traffic = true
 		term := int64(1)
-		for range rapid.IntRange(1, 8).Draw(t, "troubles") {
-			term = s.trouble(t, term)
+		for range rapid.IntRange(1, 8).Draw(t, "faults") {
+			term = s.injectFault(t, term)
 			s.run(time.Duration(rapid.IntRange(100, 4000).Draw(t, "ms")) * time.Millisecond)
-			if len(s.broken) > 0 {
-				t.Fatalf("a rule is broken: %s", s.broken[0])
+			if len(s.violations) > 0 {
+				t.Fatalf("invariant violated: %s", s.violations[0])
 			}
 		}
 		if most, bound := s.mostLoads(loadWindow), 30; most > bound {
@@ -46,7 +45,7 @@
 	})
 }
 
-func (s *sim) freshID(domain string) models.InstanceID {
+func (s *sim) newID(domain string) models.InstanceID {
 	id := models.InstanceID(domain + "-1")
 	for s.instances[id] != nil {
 		id += "x"
@@ -54,10 +53,10 @@
 	return id
 }
 
-func (s *sim) trouble(t *rapid.T, term int64) int64 {
+func (s *sim) injectFault(t *rapid.T, term int64) int64 {
 	ids := slices.Sorted(maps.Keys(s.instances))
 	i := s.instances[rapid.SampledFrom(ids).Draw(t, "instance")]
-	switch rapid.SampledFrom([]string{"kill", "cut", "heal", "suspect", "drain", "add", "planner", "busy", "shift"}).Draw(t, "trouble") {
+	switch rapid.SampledFrom([]string{"kill", "cut", "heal", "suspect", "drain", "add", "planner", "busy", "shift"}).Draw(t, "fault") {
 	case "kill":
 		i.dead = true
 	case "cut":
@@ -70,7 +69,7 @@
 	case "drain":
 		i.Draining = true
 	case "add":
-		s.add(s.freshID(string(i.Domain)), i.Domain, i.Zone)
+		s.add(s.newID(string(i.Domain)), i.Domain, i.Zone)
 	case "planner":
 		term++
 		s.planners = append(s.planners[max(0, len(s.planners)-1):], NewPlanner(term, s.now))
@@ -83,21 +82,20 @@
 	return term
 }
 
-// TestFenceRises checks that a fence of a later term, or a later one of the
-// same, is always greater.
+// TestFenceRises checks that fences increase within a term and from term to term.
 func TestFenceRises(t *testing.T) {
 	c := qt.New(t)
 	old, next := NewPlanner(7, time.Time{}), NewPlanner(8, time.Time{})
 	last := int64(0)
 	for range 1000 {
-		fence := old.next()
+		fence := old.nextFence()
 		c.Assert(fence > last, qt.IsTrue)
 		last = fence
 	}
-	c.Assert(next.next() > last, qt.IsTrue)
+	c.Assert(next.nextFence() > last, qt.IsTrue)
 }
 
-// ExampleModelOf shows that a group's name tells its model.
+// ExampleModelOf shows that a group's name contains its model.
 func ExampleModelOf() {
 	name := nameGroup("brief.large", 1234)
 	println(ModelOf(name) == "brief.large")
--- a/fleet/round.go
+++ b/fleet/round.go
@@ -9,34 +9,34 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// round is one call of Step.
+// round is the state of one call of Step.
 type round struct {
 	*Planner
 	World
 	groups map[models.GroupKey]*Group
 	orders []types.GroupOrder
-	// taken are instances that stay where they are or are going somewhere.
-	taken map[models.InstanceID]bool
-	// settled counts the instances of each model in groups that stand or
-	// are being made.
-	settled supply
-	// settledIn counts the same in each fabric domain.
-	settledIn map[models.Domain]supply
-	// loading counts instances that are loading weights.
+	// reserved holds the instances that are in a group or assigned to one, and can't be used
+	// otherwise.
+	reserved map[models.InstanceID]bool
+	// assigned counts the instances of each model in groups that serve or are being formed.
+	assigned supply
+	// assignedByDomain is assigned for each fabric domain.
+	assignedByDomain map[models.Domain]supply
+	// loading counts the instances that are loading weights.
 	loading int
 }
 
-// settle counts instances of a group that stands or is being made, and leaves
-// them where they are.
-func (r *round) settle(model models.ModelName, ids []models.InstanceID) {
+// assign reserves the instances of a group that serves or is being formed, and counts them for its
+// model.
+func (r *round) assign(model models.ModelName, ids []models.InstanceID) {
 	for _, id := range ids {
-		r.taken[id] = true
-		r.settled[model]++
+		r.reserved[id] = true
+		r.assigned[model]++
 		domain := r.Instances[id].Domain
-		if r.settledIn[domain] == nil {
-			r.settledIn[domain] = supply{}
+		if r.assignedByDomain[domain] == nil {
+			r.assignedByDomain[domain] = supply{}
 		}
-		r.settledIn[domain][model]++
+		r.assignedByDomain[domain][model]++
 	}
 }
 
@@ -49,60 +49,61 @@
 	return slices.Sorted(maps.Keys(domains))
 }
 
-// forget drops what is kept of instances that are gone.
-func (r *round) forget() {
+// pruneState drops orders to instances that are gone, expired backoffs, and open orders and load
+// starts that are out of their windows.
+func (r *round) pruneState() {
 	for id := range r.sent {
-		if _, there := r.Instances[id]; !there {
+		if _, present := r.Instances[id]; !present {
 			delete(r.sent, id)
 		}
 	}
-	for id, until := range r.held {
+	for id, until := range r.backoffUntil {
 		if r.Now.After(until) {
-			delete(r.held, id)
+			delete(r.backoffUntil, id)
 		}
 	}
-	maps.DeleteFunc(r.unheardOpens, func(_ models.GroupKey, at time.Time) bool { return r.Now.Sub(at) >= lateOrders })
-	kept := r.loads[:0]
-	for _, at := range r.loads {
+	maps.DeleteFunc(r.unansweredOpens, func(_ models.GroupKey, at time.Time) bool { return r.Now.Sub(at) >= lateOrderWindow })
+	recent := r.loadStarts[:0]
+	for _, at := range r.loadStarts {
 		if r.Now.Sub(at) < loadWindow {
-			kept = append(kept, at)
+			recent = append(recent, at)
 		}
 	}
-	r.loads = kept
+	r.loadStarts = recent
 }
 
-// givenUp is when something that begins now and should take so long is given
-// up.
-func (r *round) givenUp(takes time.Duration) time.Time {
-	return r.Now.Add(formFactor*takes + formSlack)
+// deadlineAfter returns the deadline for an operation that starts now and is expected to take this
+// long.
+func (r *round) deadlineAfter(expected time.Duration) time.Time {
+	return r.Now.Add(deadlineFactor*expected + deadlineSlack)
 }
 
-// due reports whether an order of this kind may be given to the instance
-// now: not while the same one is under way.
-func (r *round) due(id models.InstanceID, kind types.GroupOrderKind, key models.GroupKey) bool {
+// orderDue reports whether an order of this kind may be sent to the instance now. It is not due
+// while the same order is in progress.
+func (r *round) orderDue(id models.InstanceID, kind types.GroupOrderKind, key models.GroupKey) bool {
 	s := r.sent[id]
 	if s == nil {
 		return true
 	}
-	if s.outcome == pending && r.Now.Sub(s.at) < repeatAfter {
-		// Orders that cross on the way could arrive in the wrong order.
+	if s.outcome == pending && r.Now.Sub(s.at) < orderRetryInterval {
+		// Two orders in flight could arrive out of order.
 		return false
 	}
 	if s.order.Kind != kind || s.order.Group != key {
 		return true
 	}
 	if s.outcome == types.OrderBegun && kind == types.GroupCut {
-		return r.Now.Sub(s.at) >= repeatClose
+		return r.Now.Sub(s.at) >= cutRetryInterval
 	}
 	if s.outcome == types.OrderBegun && kind == types.GroupFinish {
-		return r.Now.Sub(s.at) >= repeatFinish
+		return r.Now.Sub(s.at) >= finishRetryInterval
 	}
-	return r.Now.Sub(s.at) >= repeatAfter
+	return r.Now.Sub(s.at) >= orderRetryInterval
 }
 
-// order gives an order under a new fence.
-func (r *round) order(o types.GroupOrder) {
-	o.Fence, o.Born = r.next(), r.Instances[o.Instance].Born
+// issue queues an order under a new fence.
+func (r *round) issue(o types.GroupOrder) {
+	o.Fence, o.Born = r.nextFence(), r.Instances[o.Instance].Born
 	r.sent[o.Instance] = &sentOrder{order: o, at: r.Now, outcome: pending}
 	r.orders = append(r.orders, o)
 }
--- a/fleet/script_test.go
+++ b/fleet/script_test.go
@@ -29,28 +29,28 @@
 
 // TestScripts runs the scripts in testdata. Each line is a command:
 //
-//	domain NAME ZONE N      adds N empty instances, NAME-1 and so on
-//	planner TERM            starts a planner; earlier ones go on
-//	only TERM               stops all planners but this one
-//	traffic                 from now on loads count
-//	late PART               from now on this part of the orders goes
-//	                        unanswered and is carried out late
-//	demand MODEL PART       the part of the instances that a model needs
-//	busy MODEL N            the requests that its groups have
-//	run DURATION            lets time pass
-//	kill ID...              the instances are gone without a word
-//	gone ID...              and so are their entries
-//	drain ID...             the instances are leaving
-//	restart ID...           the instances start again under their ids
-//	restart-heads MODEL N   so do heads of N groups that serve, restart-members
-//	                        the same with another member of each
-//	suspect ID...           planners take the instances for lost
-//	trust ID...             and not any more
-//	serving MODEL OP N      checks how many whole groups serve
-//	staged MODEL OP N       checks on how many hosts a model lies
-//	idle OP N               checks how many instances are in no whole group that serves
-//	cold OP N               checks how many have no model's weights
-//	loads OP N              checks how many loads began within 5 s at most
+//	domain NAME ZONE N      add N empty instances, NAME-1 and so on
+//	planner TERM            start a planner; earlier planners keep running
+//	only TERM               stop all planners but this one
+//	traffic                 requests arrive from now on, and loads are limited
+//	late FRACTION           from now on this fraction of the orders is
+//	                        not answered and executed late
+//	demand MODEL FRACTION   set the fraction of the instances that a model needs
+//	busy MODEL N            set the requests in flight in the model's groups
+//	run DURATION            advance the time
+//	kill ID...              kill the instances
+//	gone ID...              remove the entries of the instances
+//	drain ID...             set the instances to draining
+//	restart ID...           restart the instances under the same IDs
+//	restart-heads MODEL N   restart the heads of N serving groups
+//	restart-members MODEL N restart a member other than the head in N serving groups
+//	suspect ID...           planners consider the instances lost
+//	trust ID...             planners don't consider them lost any more
+//	serving MODEL OP N      check the number of complete serving groups
+//	staged MODEL OP N       check the number of hosts that have the model's weights
+//	idle OP N               check the number of instances in no complete serving group
+//	cold OP N               check the number of instances without weights
+//	loads OP N              check the highest number of loads started within 5 s
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.script")
 	qt.Assert(t, err, qt.IsNil)
@@ -69,23 +69,23 @@
 	lines := bufio.NewScanner(f)
 	for n := 1; lines.Scan(); n++ {
 		line, _, _ := strings.Cut(lines.Text(), "#")
-		words := strings.Fields(line)
-		if len(words) == 0 {
+		fields := strings.Fields(line)
+		if len(fields) == 0 {
 			continue
 		}
-		if err := s.command(words); err != nil {
+		if err := s.command(fields); err != nil {
 			t.Fatalf("%s:%d: %s: %v", file, n, line, err)
 		}
-		if len(s.broken) > 0 {
-			t.Fatalf("%s:%d: %s: a rule is broken: %s", file, n, line, s.broken[0])
+		if len(s.violations) > 0 {
+			t.Fatalf("%s:%d: %s: invariant violated: %s", file, n, line, s.violations[0])
 		}
 	}
 	qt.Assert(t, lines.Err(), qt.IsNil)
 }
 
-func (s *sim) command(words []string) error {
-	ids := make([]models.InstanceID, 0, len(words))
-	for _, w := range words[1:] {
+func (s *sim) command(fields []string) error {
+	ids := make([]models.InstanceID, 0, len(fields))
+	for _, w := range fields[1:] {
 		ids = append(ids, models.InstanceID(w))
 	}
 	each := func(change func(*simInstance)) error {
@@ -97,9 +97,9 @@
 		}
 		return nil
 	}
-	switch words[0] {
+	switch fields[0] {
 	case "domain", "planner", "only", "late", "demand", "busy", "run":
-		return s.set(words)
+		return s.numericCommand(fields)
 	case "traffic":
 		s.traffic = true
 	case "kill":
@@ -111,7 +111,7 @@
 	case "restart":
 		return each(s.restart)
 	case "restart-heads", "restart-members":
-		return s.restartIn(models.ModelName(words[1]), words[0] == "restart-heads", words[2])
+		return s.restartMembers(models.ModelName(fields[1]), fields[0] == "restart-heads", fields[2])
 	case "drain":
 		return each(func(i *simInstance) { i.Draining = true })
 	case "suspect":
@@ -119,13 +119,13 @@
 	case "trust":
 		return each(func(i *simInstance) { delete(s.suspected, i.ID) })
 	case "serving":
-		return compare(s.serving(models.ModelName(words[1])), words[2], words[3])
+		return compare(s.serving(models.ModelName(fields[1])), fields[2], fields[3])
 	case "idle":
 		idle := len(s.instances)
 		for _, m := range s.profile.Models {
 			idle -= s.serving(m.Name) * m.Size
 		}
-		return compare(idle, words[1], words[2])
+		return compare(idle, fields[1], fields[2])
 	case "cold":
 		n := 0
 		for _, i := range s.instances {
@@ -133,26 +133,26 @@
 				n++
 			}
 		}
-		return compare(n, words[1], words[2])
+		return compare(n, fields[1], fields[2])
 	case "staged":
 		n := 0
 		for _, i := range s.instances {
-			if !i.dead && IsWarm(i.UpstreamInstance, models.ModelName(words[1])) {
+			if !i.dead && IsWarm(i.UpstreamInstance, models.ModelName(fields[1])) {
 				n++
 			}
 		}
-		return compare(n, words[2], words[3])
+		return compare(n, fields[2], fields[3])
 	case "loads":
-		return compare(s.mostLoads(loadWindow), words[1], words[2])
+		return compare(s.mostLoads(loadWindow), fields[1], fields[2])
 	default:
-		return fmt.Errorf("no command %q", words[0])
+		return fmt.Errorf("unknown command %q", fields[0])
 	}
 	return nil
 }
 
-// restartIn has a member of some groups that serve start again.
-func (s *sim) restartIn(model models.ModelName, heads bool, text string) error {
-	n, err := strconv.Atoi(text)
+// restartMembers restarts the head or another member of the given number of serving groups.
+func (s *sim) restartMembers(model models.ModelName, heads bool, count string) error {
+	n, err := strconv.Atoi(count)
 	if err != nil {
 		return err
 	}
@@ -168,48 +168,48 @@
 		n--
 	}
 	if n > 0 {
-		return fmt.Errorf("%d groups too few", n)
+		return fmt.Errorf("%d groups are missing", n)
 	}
 	return nil
 }
 
-// set carries out the commands that take numbers.
-func (s *sim) set(words []string) error {
-	last := words[len(words)-1]
-	if words[0] == "run" {
+// numericCommand executes the commands that take a number or a duration.
+func (s *sim) numericCommand(fields []string) error {
+	last := fields[len(fields)-1]
+	if fields[0] == "run" {
 		d, err := time.ParseDuration(last)
 		s.run(d)
 		return err
 	}
-	x, err := strconv.ParseFloat(last, 64)
+	number, err := strconv.ParseFloat(last, 64)
 	if err != nil {
 		return err
 	}
-	switch words[0] {
+	switch fields[0] {
 	case "domain":
-		for n := range int(x) {
-			id := models.InstanceID(fmt.Sprintf("%s-%d", words[1], n+1))
+		for n := range int(number) {
+			id := models.InstanceID(fmt.Sprintf("%s-%d", fields[1], n+1))
 			for s.instances[id] != nil {
 				id += "x"
 			}
-			s.add(id, models.Domain(words[1]), models.Zone(words[2]))
+			s.add(id, models.Domain(fields[1]), models.Zone(fields[2]))
 		}
 	case "planner":
-		s.newPlanner(int64(x))
+		s.newPlanner(int64(number))
 	case "only":
 		kept := s.planners[:0]
 		for _, p := range s.planners {
-			if p.term == int64(x) {
+			if p.term == int64(number) {
 				kept = append(kept, p)
 			}
 		}
 		s.planners = kept
 	case "late":
-		s.latePart = x
+		s.lateFraction = number
 	case "demand":
-		s.demand[models.ModelName(words[1])] = x
+		s.demand[models.ModelName(fields[1])] = number
 	case "busy":
-		s.busy[models.ModelName(words[1])] = x
+		s.busy[models.ModelName(fields[1])] = number
 	}
 	return nil
 }
@@ -221,7 +221,7 @@
 	}
 	ok := map[string]bool{"=": got == want, ">=": got >= want, "<=": got <= want}[op]
 	if !ok {
-		return fmt.Errorf("it is %d", got)
+		return fmt.Errorf("got %d", got)
 	}
 	return nil
 }
--- a/fleet/sim_test.go
+++ b/fleet/sim_test.go
@@ -13,68 +13,66 @@
 
 const simStep = 50 * time.Millisecond
 
-// simInstance is an engine that carries out group orders as the real ones do.
+// simInstance simulates an engine that executes group orders.
 type simInstance struct {
 	models.UpstreamInstance
 	dead, cut bool
 	fence     int64
 	epoch     int64
 	members   []models.InstanceID
-	// readyAt is when a join is done, openAt when the head opens, closedAt
-	// when it has closed, stagedAt when a staging is done.
+	// readyAt is when the join in progress is done, openAt when the head opens, closedAt when the
+	// head has closed, stagedAt when the staging is done.
 	readyAt, openAt, closedAt, stagedAt time.Time
 	staging                             models.ModelName
 }
 
-// restart has the instance start again under its id: it knows nothing of before, and
-// its host keeps the weights.
+// restart restarts the instance under the same ID: it loses its state, and its host keeps the
+// weights.
 func (s *sim) restart(i *simInstance) {
 	*i = simInstance{UpstreamInstance: models.UpstreamInstance{
 		ID: i.ID, Born: s.now, Service: i.Service, Domain: i.Domain, Zone: i.Zone, Staged: i.Staged,
 	}}
 }
 
-// delivery is an order on its way to an instance.
+// delivery is an order in flight to an instance.
 type delivery struct {
 	at      time.Time
 	order   types.GroupOrder
 	planner *Planner
-	// silent orders are carried out and not answered.
-	silent bool
+	// unanswered orders are executed without an answer.
+	unanswered bool
 }
 
-// sim is a small world of engines, with the rules that must never be broken
-// checked whenever an order is carried out.
+// sim simulates planners and engines. It checks the invariants whenever an order is executed.
 type sim struct {
 	now       time.Time
 	profile   *models.EngineProfile
 	instances map[models.InstanceID]*simInstance
 	planners  []*Planner
-	onTheWay  []delivery
-	// everReady holds the members that were ready in each composition.
-	everReady map[models.GroupKey]map[models.InstanceID]bool
-	lists     map[models.GroupKey][]models.InstanceID
-	loads     []time.Time
-	demand    map[models.ModelName]float64
-	busy      map[models.ModelName]float64
-	traffic   bool
-	// latePart of the orders go unanswered and are carried out up to 12 s
-	// later.
-	latePart float64
-	rand     *rand.Rand
-	broken   []string
-	// unfenced has instances carry out orders with any fence.
-	unfenced bool
-	// cheapLoads has loads take a tenth of the time until there is traffic.
+	inFlight  []delivery
+	// everReady holds the members of each group that have been ready.
+	everReady   map[models.GroupKey]map[models.InstanceID]bool
+	memberLists map[models.GroupKey][]models.InstanceID
+	loads       []time.Time
+	demand      map[models.ModelName]float64
+	busy        map[models.ModelName]float64
+	traffic     bool
+	// lateFraction is the fraction of the orders that are executed 2 to 12 s late and not answered.
+	lateFraction float64
+	rand         *rand.Rand
+	violations   []string
+	// ignoreFences makes instances execute orders with any fence.
+	ignoreFences bool
+	// cheapLoads reduces load times to a tenth until there is traffic.
 	cheapLoads bool
-	// suspected are instances that planners take for lost.
+	// suspected holds the instances that planners consider lost.
 	suspected map[models.InstanceID]bool
 }
 
 func newSim(profile *models.EngineProfile, seed uint64) *sim {
 	return &sim{
 		now: time.Unix(0, 0), profile: profile, instances: map[models.InstanceID]*simInstance{},
-		everReady: map[models.GroupKey]map[models.InstanceID]bool{}, lists: map[models.GroupKey][]models.InstanceID{},
+		everReady: map[models.GroupKey]map[models.InstanceID]bool{}, memberLists: map[models.GroupKey][]models.InstanceID{},
 		demand: map[models.ModelName]float64{}, busy: map[models.ModelName]float64{},
 		rand: rand.New(rand.NewPCG(seed, 1)), suspected: map[models.InstanceID]bool{},
 	}
@@ -88,16 +86,16 @@
 	s.planners = append(s.planners, NewPlanner(term, s.now))
 }
 
-func (s *sim) fail(format string, args ...any) {
-	s.broken = append(s.broken, fmt.Sprintf("%v: ", s.now.Sub(time.Unix(0, 0)))+fmt.Sprintf(format, args...))
+func (s *sim) violation(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf("%v: ", s.now.Sub(time.Unix(0, 0)))+fmt.Sprintf(format, args...))
 }
 
-// run lets the world go on for a while.
+// run advances the simulation by a duration.
 func (s *sim) run(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(simStep)
 		for _, id := range slices.Sorted(maps.Keys(s.instances)) {
-			s.progress(s.instances[id])
+			s.advance(s.instances[id])
 		}
 		for _, p := range s.planners {
 			for _, o := range p.Step(s.world()) {
@@ -124,35 +122,35 @@
 
 func (s *sim) send(p *Planner, o types.GroupOrder) {
 	d := delivery{at: s.now, order: o, planner: p}
-	if s.rand.Float64() < s.latePart {
-		d.silent = true
+	if s.rand.Float64() < s.lateFraction {
+		d.unanswered = true
 		d.at = s.now.Add(2*time.Second + time.Duration(s.rand.Int64N(int64(10*time.Second))))
 		p.Note(o, types.OrderUnknown, s.now)
 	}
-	s.onTheWay = append(s.onTheWay, d)
+	s.inFlight = append(s.inFlight, d)
 }
 
 func (s *sim) deliver() {
-	due := s.onTheWay
-	s.onTheWay = nil
+	due := s.inFlight
+	s.inFlight = nil
 	for _, d := range due {
 		if s.now.Before(d.at) {
-			s.onTheWay = append(s.onTheWay, d)
+			s.inFlight = append(s.inFlight, d)
 			continue
 		}
 		i := s.instances[d.order.Instance]
 		outcome := types.OrderUnknown
 		if i != nil && !i.dead && !i.cut {
-			outcome = s.carryOut(i, d.order)
+			outcome = s.execute(i, d.order)
 		}
-		if !d.silent {
+		if !d.unanswered {
 			d.planner.Note(d.order, outcome, s.now)
 		}
 	}
 }
 
-// progress brings to an end what an instance is at.
-func (s *sim) progress(i *simInstance) {
+// advance completes the operations of an instance that are due.
+func (s *sim) advance(i *simInstance) {
 	if i.dead {
 		return
 	}
@@ -171,37 +169,37 @@
 	}
 	if i.Group.State == models.MemberReady && !i.openAt.IsZero() && !s.now.Before(i.openAt) {
 		i.Group.State = models.MemberOpen
-		s.checkWhole(i)
+		s.checkComplete(i)
 	}
 	if i.Group.State == models.MemberClosing && !s.now.Before(i.closedAt) {
 		i.Group.State, i.openAt = models.MemberReady, time.Time{}
 	}
 }
 
-// checkWhole checks that a group that begins to serve has all its members.
-func (s *sim) checkWhole(head *simInstance) {
+// checkComplete checks that all members of a group that opens have been ready.
+func (s *sim) checkComplete(head *simInstance) {
 	key := head.Group.Key
 	model, _ := s.profile.Model(ModelOf(key.Name))
-	if len(s.lists[key]) != model.Size {
-		s.fail("group %s opens with a list of %d", key.Name, len(s.lists[key]))
+	if len(s.memberLists[key]) != model.Size {
+		s.violation("group %s opened with %d members", key.Name, len(s.memberLists[key]))
 	}
-	for _, id := range s.lists[key] {
+	for _, id := range s.memberLists[key] {
 		if !s.everReady[key][id] {
-			s.fail("group %s opens though %s was never ready", key.Name, id)
+			s.violation("group %s opened, but %s was never ready", key.Name, id)
 		}
 	}
 }
 
-func (s *sim) carryOut(i *simInstance, o types.GroupOrder) types.OrderOutcome {
-	if o.Fence < i.fence && !s.unfenced {
+func (s *sim) execute(i *simInstance, o types.GroupOrder) types.OrderOutcome {
+	if o.Fence < i.fence && !s.ignoreFences {
 		return types.OrderFenced
 	}
 	i.fence = max(i.fence, o.Fence)
 	if o.Kind == types.GroupStage {
-		return s.carryStage(i, o)
+		return s.executeStage(i, o)
 	}
 	if o.Kind == types.GroupJoin {
-		return s.carryJoin(i, o)
+		return s.executeJoin(i, o)
 	}
 	if i.Group.Key != o.Group {
 		return types.OrderUnfit
@@ -217,7 +215,7 @@
 		i.openAt = s.now.Add(s.profile.FormTime)
 		return types.OrderBegun
 	case types.GroupCut, types.GroupFinish:
-		return s.carryClose(i, o)
+		return s.executeClose(i, o)
 	case types.GroupLeave:
 		i.Group, i.openAt = models.Membership{}, time.Time{}
 		return types.OrderDone
@@ -226,17 +224,17 @@
 	}
 }
 
-func (s *sim) carryStage(i *simInstance, o types.GroupOrder) types.OrderOutcome {
+func (s *sim) executeStage(i *simInstance, o types.GroupOrder) types.OrderOutcome {
 	model, _ := s.profile.Model(o.Model)
 	if slices.Contains(i.Staged, o.Model) {
 		return types.OrderDone
 	}
-	s.load()
+	s.recordLoad()
 	i.staging, i.stagedAt = o.Model, s.now.Add(s.loadTime(model))
 	return types.OrderBegun
 }
 
-func (s *sim) carryClose(i *simInstance, o types.GroupOrder) types.OrderOutcome {
+func (s *sim) executeClose(i *simInstance, o types.GroupOrder) types.OrderOutcome {
 	switch i.Group.State {
 	case models.MemberOpen:
 		i.Group.State, i.closedAt = models.MemberClosing, s.now.Add(simStep)
@@ -250,7 +248,7 @@
 		}
 		return types.OrderBegun
 	case models.MemberReady, models.MemberBroken:
-		// A head that was told to open goes on with that.
+		// A head that is about to open still opens.
 		return types.OrderDone
 	default:
 		return types.OrderUnfit
@@ -265,20 +263,20 @@
 	return model.Load
 }
 
-func (s *sim) load() {
+func (s *sim) recordLoad() {
 	if s.traffic {
 		s.loads = append(s.loads, s.now)
 	}
 }
 
-func (s *sim) carryJoin(i *simInstance, o types.GroupOrder) types.OrderOutcome {
+func (s *sim) executeJoin(i *simInstance, o types.GroupOrder) types.OrderOutcome {
 	if o.Group.Epoch < i.epoch {
 		return types.OrderFenced
 	}
 	if i.Group.Key == o.Group && i.Group.State != models.MemberNone {
 		return types.OrderDone
 	}
-	s.checkApart(i, o)
+	s.checkSingleMembership(i, o)
 	model, known := s.profile.Model(o.Model)
 	if !known {
 		return types.OrderUnfit
@@ -286,22 +284,22 @@
 	i.epoch = o.Group.Epoch
 	i.Group = models.Membership{Key: o.Group, Rank: slices.Index(o.Members, i.ID), State: models.MemberJoining}
 	i.members, i.openAt = o.Members, time.Time{}
-	s.lists[o.Group] = o.Members
+	s.memberLists[o.Group] = o.Members
 	switch {
 	case i.Loaded == model.Name:
 		i.readyAt = s.now.Add(Rejoin)
 	case slices.Contains(i.Staged, model.Name):
 		i.readyAt = s.now.Add(model.Warm)
 	default:
-		s.load()
+		s.recordLoad()
 		i.readyAt = s.now.Add(s.loadTime(model))
 	}
 	return types.OrderBegun
 }
 
-// checkApart checks that an instance joins no group while the head of its
-// last one still serves.
-func (s *sim) checkApart(i *simInstance, o types.GroupOrder) {
+// checkSingleMembership checks that an instance joins no group while the head of its previous group
+// still serves.
+func (s *sim) checkSingleMembership(i *simInstance, o types.GroupOrder) {
 	if i.Group.State == models.MemberNone || len(i.members) == 0 {
 		return
 	}
@@ -310,27 +308,27 @@
 		return
 	}
 	if head.Group.State == models.MemberOpen || head.Group.State == models.MemberClosing {
-		s.fail("%s joins %s while the head of %s is %s", i.ID, o.Group.Name, i.Group.Key.Name, head.Group.State)
+		s.violation("%s joins %s while the head of %s is %s", i.ID, o.Group.Name, i.Group.Key.Name, head.Group.State)
 	}
 }
 
-// serving counts the whole groups of a model that serve.
+// serving counts the complete serving groups of a model.
 func (s *sim) serving(model models.ModelName) int {
 	n := 0
 	for _, g := range Groups(s.world().Instances) {
 		profile, _ := s.profile.Model(g.Model)
-		whole := g.Serving() && g.Model == model && g.complete(profile.Size)
+		complete := g.Serving() && g.Model == model && g.complete(profile.Size)
 		for _, id := range g.Members {
-			whole = whole && !s.instances[id].dead && !s.instances[id].cut
+			complete = complete && !s.instances[id].dead && !s.instances[id].cut
 		}
-		if whole {
+		if complete {
 			n++
 		}
 	}
 	return n
 }
 
-// mostLoads is the greatest number of loads that began within the window.
+// mostLoads returns the highest number of loads that started within the window.
 func (s *sim) mostLoads(window time.Duration) int {
 	most := 0
 	for at := range s.loads {
--- a/fleet/staging.go
+++ b/fleet/staging.go
@@ -10,79 +10,78 @@
 )
 
 const (
-	// earlyLoads is how many loads are begun at once before traffic when all
-	// groups are under way.
-	earlyLoads = 20
-	// aheadGroups is for how many groups of a larger model weights are staged in
-	// domains that have none.
-	aheadGroups = 2
-	// crowded is the part of its places from which on a model is short of
-	// instances: at three quarters an engine's pauses begin to grow. lowUse is the
-	// part up to which another may do without new ones.
-	crowded = 0.8
-	lowUse  = 0.62
-	// filling is the part of its places from which on a smaller model's weights are
+	// extraLoadsBeforeTraffic is how many loads beyond the weight store's limit may run to prestage
+	// weights before there is traffic.
+	extraLoadsBeforeTraffic = 20
+	// prestagedGroups is the number of groups of a larger model for which weights are staged in
+	// domains without a group of that model.
+	prestagedGroups = 2
+	// highUtilization is the fraction of busy slots from which a model is short of instances: from
+	// 0.75 on, an engine's pauses get longer. lowUtilization is the fraction up to which another
+	// model can do without new instances.
+	highUtilization = 0.8
+	lowUtilization  = 0.62
+	// prestageUtilization is the fraction of busy slots from which a smaller model's weights are
 	// staged on hosts of larger groups, which are harder to replace.
-	filling = 0.6
-	// keptLoads is how many of the weight store's places are left to repairs
-	// by stagings ahead of need.
-	keptLoads = 2
+	prestageUtilization = 0.6
+	// reservedLoads is how many of the weight store's concurrent loads are reserved for repairs and
+	// not used for prestaging.
+	reservedLoads = 2
 )
 
-// staging is a model that an instance is loading onto its host.
+// staging is a load of a model's weights onto an instance's host.
 type staging struct {
-	model models.ModelName
-	until time.Time
+	model    models.ModelName
+	deadline time.Time
 }
 
-// advanceStaging counts the stagings that are under way and forgets those
-// that ended.
+// advanceStaging counts the stagings in progress and forgets those that ended.
 func (r *round) advanceStaging() {
 	for id, s := range r.staging {
-		if !r.usable(id) || slices.Contains(r.Instances[id].Staged, s.model) || r.Now.After(s.until) {
+		if !r.usable(id) || slices.Contains(r.Instances[id].Staged, s.model) || r.Now.After(s.deadline) {
 			delete(r.staging, id)
 			continue
 		}
 		r.loading++
 		sent := r.sent[id]
-		unheard := sent != nil && sent.order.Kind == types.GroupStage && sent.outcome == types.OrderUnknown
-		if unheard && r.due(id, types.GroupStage, models.GroupKey{}) {
-			r.order(types.GroupOrder{Kind: types.GroupStage, Instance: id, Model: s.model})
+		unanswered := sent != nil && sent.order.Kind == types.GroupStage && sent.outcome == types.OrderUnknown
+		if unanswered && r.orderDue(id, types.GroupStage, models.GroupKey{}) {
+			r.issue(types.GroupOrder{Kind: types.GroupStage, Instance: id, Model: s.model})
 		}
 	}
 }
 
-// prepareSpares has instances that are in no group get ready to join one.
+// prepareSpares gets instances that are in no group ready to join one.
 func (r *round) prepareSpares() {
-	free := r.free()
-	r.warmAll(free)
-	if r.stageAll(free) {
-		r.stageAhead()
+	free := r.freeInstances()
+	r.warmSpares(free)
+	if r.stageSpares(free) {
+		r.prestage()
 	}
 }
 
-// want is a load that a free instance could begin.
-type want struct {
+// loadOption is a load that a free instance could start.
+type loadOption struct {
 	id    models.InstanceID
 	model models.ModelProfile
-	// gain is what the load brings for the time that it takes.
+	// gain is the benefit of the load divided by its duration.
 	gain float64
 }
 
-// stageAll has weights staged on free instances that have none, first where a
-// load brings the most. It reports whether nothing was left to be staged.
-func (r *round) stageAll(free map[models.Domain][]models.InstanceID) bool {
-	var wants []want
+// stageSpares stages weights on free instances that have none, highest gain first. It reports
+// whether all loads were started.
+func (r *round) stageSpares(free map[models.Domain][]models.InstanceID) bool {
+	var options []loadOption
 	for domain, ids := range free {
 		if r.Traffic || r.layout != nil {
-			wants = append(wants, r.wants(domain, ids)...)
+			options = append(options, r.loadOptions(domain, ids)...)
 		}
 	}
-	slices.SortFunc(wants, func(a, b want) int {
+	slices.SortFunc(options, func(a, b loadOption) int {
 		return cmp.Or(cmp.Compare(b.gain, a.gain), cmp.Compare(a.id, b.id))
 	})
-	for _, w := range wants {
-		if !r.mayLoad(1) {
+	for _, w := range options {
+		if !r.mayStartLoads(1) {
 			return false
 		}
 		r.stage(w.id, w.model)
@@ -90,33 +89,33 @@
 	return true
 }
 
-// wants picks a model for each of a domain's free instances that have no weights.
-func (r *round) wants(domain models.Domain, ids []models.InstanceID) []want {
+// loadOptions picks a model for each free instance of a domain that has no weights.
+func (r *round) loadOptions(domain models.Domain, ids []models.InstanceID) []loadOption {
 	ready := supply{}
 	var cold []models.InstanceID
 	for _, id := range ids {
-		s, under := r.staging[id]
+		s, staging := r.staging[id]
 		i := r.Instances[id]
-		if !under && i.Loaded == "" && len(i.Staged) == 0 {
+		if !staging && i.Loaded == "" && len(i.Staged) == 0 {
 			cold = append(cold, id)
 		}
 		for _, m := range r.Profile.Models {
-			if IsWarm(i, m.Name) || (under && s.model == m.Name) {
+			if IsWarm(i, m.Name) || (staging && s.model == m.Name) {
 				ready[m.Name]++
 			}
 		}
 	}
-	var out []want
-	owner := r.owner(domain)
+	var out []loadOption
+	dominant := r.dominantModel(domain)
 	for at, id := range cold {
-		var best want
+		var best loadOption
 		for _, m := range r.Profile.Models {
-			if owner != "" && m.Name != owner {
+			if dominant != "" && m.Name != dominant {
 				continue
 			}
-			gain := r.loadGain(m, domain, ready[m.Name], len(cold)-at) * r.weight(m, r.settled) / m.Load.Seconds()
+			gain := r.loadGain(m, domain, ready[m.Name], len(cold)-at) * r.marginalGain(m, r.assigned) / m.Load.Seconds()
 			if best.id == "" || gain > best.gain {
-				best = want{id, m, gain}
+				best = loadOption{id, m, gain}
 			}
 		}
 		ready[best.model.Name]++
@@ -125,15 +124,14 @@
 	return out
 }
 
-// ownPart is the part of a domain's instances with weights from which on the
-// domain counts as one model's.
-const ownPart = 0.75
+// dominantFraction is the fraction of a domain's instances with weights that must run the same
+// model for it to dominate the domain.
+const dominantFraction = 0.75
 
-// owner is the model that the domain's instances run, if it is nearly all of them
-// that do: what is left of its broken groups makes new ones only together. Empty
-// instances get its weights too, unless it has places to spare and another model
-// is crowded.
-func (r *round) owner(domain models.Domain) models.ModelName {
+// dominantModel returns the model that nearly all instances of the domain run, or that the layout
+// dedicates the domain to. Members left of its broken groups form new groups only together. Empty
+// instances get its weights too, unless it can yield the domain to an overloaded model.
+func (r *round) dominantModel(domain models.Domain) models.ModelName {
 	if groups := r.layout[domain]; !r.Traffic && len(groups) == 1 {
 		for name := range groups {
 			return name
@@ -154,159 +152,157 @@
 		}
 	}
 	for _, m := range r.Profile.Models {
-		if all > 0 && float64(count[m.Name]) >= ownPart*float64(all) && !r.givesWay(m) {
+		if all > 0 && float64(count[m.Name]) >= dominantFraction*float64(all) && !r.canYield(m) {
 			return m.Name
 		}
 	}
 	return ""
 }
 
-// givesWay reports whether the model has places to spare while another one is
-// crowded.
-func (r *round) givesWay(m models.ModelProfile) bool {
-	if !r.Traffic || r.use(m, r.settled[m.Name]) > lowUse {
+// canYield reports whether the model has low utilization while another model has high utilization.
+func (r *round) canYield(m models.ModelProfile) bool {
+	if !r.Traffic || r.utilization(m, r.assigned[m.Name]) > lowUtilization {
 		return false
 	}
 	return slices.ContainsFunc(r.Profile.Models, func(o models.ModelProfile) bool {
-		return o.Name != m.Name && r.use(o, r.settled[o.Name]) >= crowded
+		return o.Name != m.Name && r.utilization(o, r.assigned[o.Name]) >= highUtilization
 	})
 }
 
-// spareRisk is how many members each group loses, for each of them, in the time
-// that a spare waits. An estimate: 16 of 48 instances in half a minute.
-const spareRisk = 0.15
+// lossesPerMember is the expected number of losses per group member while a spare waits, for a loss
+// of 16 of 48 instances in 30 s.
+const lossesPerMember = 0.15
 
-// loadGain is how many instances come to use by the model's weights on one of so
-// many empty instances of a domain, where some have them already: in the next
-// group, if there are enough for that, or in place of a member that is lost.
-func (r *round) loadGain(m models.ModelProfile, domain models.Domain, ready, empty int) float64 {
+// loadGain is the number of instances that become useful if one of the given number of empty
+// instances of a domain, where some others already have the weights, loads the model: in the next
+// group, if there are enough instances for it, or as the replacement of a lost member.
+func (r *round) loadGain(m models.ModelProfile, domain models.Domain, ready, cold int) float64 {
 	size := float64(m.Size)
 	missing := m.Size - ready%m.Size
 	gain := 0.0
-	if missing <= empty {
+	if missing <= cold {
 		gain = size / float64(missing)
 	}
-	losses := spareRisk * float64(r.settledIn[domain][m.Name])
-	return max(gain, size*losses/float64(1+ready))
+	expectedLosses := lossesPerMember * float64(r.assignedByDomain[domain][m.Name])
+	return max(gain, size*expectedLosses/float64(1+ready))
 }
 
-// stage has an instance load a model onto its host.
+// stage orders an instance to load a model onto its host.
 func (r *round) stage(id models.InstanceID, model models.ModelProfile) {
-	if !r.due(id, types.GroupStage, models.GroupKey{}) {
+	if !r.orderDue(id, types.GroupStage, models.GroupKey{}) {
 		return
 	}
 	r.loading++
-	r.loads = append(r.loads, r.Now)
-	r.staging[id] = staging{model: model.Name, until: r.givenUp(model.Load)}
-	r.order(types.GroupOrder{Kind: types.GroupStage, Instance: id, Model: model.Name})
+	r.loadStarts = append(r.loadStarts, r.Now)
+	r.staging[id] = staging{model: model.Name, deadline: r.deadlineAfter(model.Load)}
+	r.issue(types.GroupOrder{Kind: types.GroupStage, Instance: id, Model: model.Name})
 }
 
-// stageAhead stages weights on the hosts of instances that run another model, so
-// that they can be converted within seconds. It is done only while the weight store
-// has nothing better to do.
-func (r *round) stageAhead() {
+// prestage stages weights on the hosts of instances that run another model, so that the instances
+// can be converted within seconds. It runs only while the weight store has no other loads to do.
+func (r *round) prestage() {
 	bySize := r.bySize()
 	for _, to := range bySize {
 		if to.Size > bySize[len(bySize)-1].Size {
-			r.stageLarger(to)
+			r.prestageLarger(to)
 		}
 	}
 	for _, to := range bySize {
-		if r.use(to, r.settled[to.Name]) >= filling {
-			r.stageSmaller(to)
+		if r.utilization(to, r.assigned[to.Name]) >= prestageUtilization {
+			r.prestageSmaller(to)
 		}
 	}
 }
 
-// stageLarger stages a model's weights on the hosts of smaller groups: in the
-// domains of its own groups on all of them, and then in others on enough for some
-// groups.
-func (r *round) stageLarger(to models.ModelProfile) {
-	elsewhere := aheadGroups*to.Size - r.stagedElsewhere(to)
-	for _, id := range r.runOther(to, func(from models.ModelProfile) bool { return from.Size < to.Size }) {
-		near := r.settledIn[r.Instances[id].Domain][to.Name] > 0
-		if !near && elsewhere <= 0 || !r.mayStageAhead() {
+// prestageLarger stages a model's weights on the hosts of smaller groups: on all hosts in domains
+// that have groups of the model, and elsewhere on enough hosts for prestagedGroups groups.
+func (r *round) prestageLarger(to models.ModelProfile) {
+	elsewhere := prestagedGroups*to.Size - r.countStagedElsewhere(to)
+	for _, id := range r.prestageCandidates(to, func(from models.ModelProfile) bool { return from.Size < to.Size }) {
+		ownDomain := r.assignedByDomain[r.Instances[id].Domain][to.Name] > 0
+		if !ownDomain && elsewhere <= 0 || !r.mayPrestage() {
 			return
 		}
-		if !near {
+		if !ownDomain {
 			elsewhere--
 		}
 		r.stage(id, to)
 	}
 }
 
-// stageSmaller stages the weights of a model that fills up on the hosts of larger
-// groups, a whole group at least.
-func (r *round) stageSmaller(to models.ModelProfile) {
-	want := max(aheadGroups*to.Size, r.bySize()[0].Size) - r.stagedAhead(to)
-	for _, id := range r.runOther(to, func(from models.ModelProfile) bool { return from.Size > to.Size }) {
-		if want <= 0 || !r.mayStageAhead() {
+// prestageSmaller stages the weights of a model with rising utilization on the hosts of larger
+// groups, at least on one whole group.
+func (r *round) prestageSmaller(to models.ModelProfile) {
+	missing := max(prestagedGroups*to.Size, r.bySize()[0].Size) - r.countPrestaged(to)
+	for _, id := range r.prestageCandidates(to, func(from models.ModelProfile) bool { return from.Size > to.Size }) {
+		if missing <= 0 || !r.mayPrestage() {
 			return
 		}
-		want--
+		missing--
 		r.stage(id, to)
 	}
 }
 
-// stagedElsewhere counts the instances in domains without groups of the model
-// whose hosts have its weights, or are getting them.
-func (r *round) stagedElsewhere(to models.ModelProfile) int {
-	return r.stagedWhere(to, func(i models.UpstreamInstance) bool { return r.settledIn[i.Domain][to.Name] == 0 })
+// countStagedElsewhere counts the instances in domains without groups of the model whose hosts have
+// its weights or are loading them.
+func (r *round) countStagedElsewhere(to models.ModelProfile) int {
+	return r.countStaged(to, func(i models.UpstreamInstance) bool { return r.assignedByDomain[i.Domain][to.Name] == 0 })
 }
 
-// stagedAhead counts those that run another model.
-func (r *round) stagedAhead(to models.ModelProfile) int {
-	return r.stagedWhere(to, func(i models.UpstreamInstance) bool { return i.Loaded != to.Name })
+// countPrestaged counts the instances that run another model and whose hosts have the model's
+// weights or are loading them.
+func (r *round) countPrestaged(to models.ModelProfile) int {
+	return r.countStaged(to, func(i models.UpstreamInstance) bool { return i.Loaded != to.Name })
 }
 
-func (r *round) stagedWhere(to models.ModelProfile, counts func(models.UpstreamInstance) bool) int {
+func (r *round) countStaged(to models.ModelProfile, match func(models.UpstreamInstance) bool) int {
 	n := 0
 	for id, i := range r.Instances {
-		s, under := r.staging[id]
-		staged := slices.Contains(i.Staged, to.Name) || (under && s.model == to.Name)
-		if staged && r.usable(id) && counts(i) {
+		s, staging := r.staging[id]
+		staged := slices.Contains(i.Staged, to.Name) || (staging && s.model == to.Name)
+		if staged && r.usable(id) && match(i) {
 			n++
 		}
 	}
 	return n
 }
 
-// mayStageAhead reports whether the weight store has a place for a load that
-// nothing waits for.
-func (r *round) mayStageAhead() bool {
+// mayPrestage reports whether the weight store has capacity for a load that no group is waiting
+// for.
+func (r *round) mayPrestage() bool {
 	if !r.Traffic {
-		return r.loading < r.Profile.LoadsAtOnce+earlyLoads
+		return r.loading < r.Profile.LoadsAtOnce+extraLoadsBeforeTraffic
 	}
-	return r.loading < r.Profile.LoadsAtOnce-keptLoads && r.mayLoad(1)
+	return r.loading < r.Profile.LoadsAtOnce-reservedLoads && r.mayStartLoads(1)
 }
 
-// runOther lists the instances in groups of such models whose hosts could get the
-// model's weights, first those in domains with groups of the model, and then whole
-// groups of the domains that have its weights already.
-func (r *round) runOther(to models.ModelProfile, such func(from models.ModelProfile) bool) []models.InstanceID {
+// prestageCandidates lists the instances in groups of matching models whose hosts could get the
+// model's weights. Domains with groups of the model come first, then domains where most hosts have
+// its weights already, group by group.
+func (r *round) prestageCandidates(to models.ModelProfile, match func(from models.ModelProfile) bool) []models.InstanceID {
 	var groups []*Group
 	staged := map[models.Domain]int{}
 	for id, i := range r.Instances {
-		if s, under := r.staging[id]; slices.Contains(i.Staged, to.Name) || (under && s.model == to.Name) {
+		if s, staging := r.staging[id]; slices.Contains(i.Staged, to.Name) || (staging && s.model == to.Name) {
 			staged[i.Domain]++
 		}
 	}
 	for _, g := range r.groups {
-		if from, known := r.Profile.Model(g.Model); known && such(from) && g.Serving() {
+		if from, known := r.Profile.Model(g.Model); known && match(from) && g.Serving() {
 			groups = append(groups, g)
 		}
 	}
 	slices.SortFunc(groups, func(a, b *Group) int {
 		da, db := r.Instances[a.Head].Domain, r.Instances[b.Head].Domain
-		return cmp.Or(cmp.Compare(min(1, r.settledIn[db][to.Name]), min(1, r.settledIn[da][to.Name])),
+		return cmp.Or(cmp.Compare(min(1, r.assignedByDomain[db][to.Name]), min(1, r.assignedByDomain[da][to.Name])),
 			cmp.Compare(staged[db], staged[da]), cmp.Compare(da, db), cmp.Compare(a.Key.Epoch, b.Key.Epoch))
 	})
 	var out []models.InstanceID
 	for _, g := range groups {
 		from, _ := r.Profile.Model(g.Model)
 		for rank := range from.Size {
-			id, there := g.Members[rank]
-			if there && r.usable(id) && r.takesAhead(id, from, to) {
+			id, present := g.Members[rank]
+			if present && r.usable(id) && r.canPrestage(id, from, to) {
 				out = append(out, id)
 			}
 		}
@@ -314,15 +310,16 @@
 	return out
 }
 
-// takesAhead reports whether an instance's host may get the weights of another
-// model than it runs: it has them not yet, nor those of one with larger groups.
-func (r *round) takesAhead(id models.InstanceID, runs, to models.ModelProfile) bool {
-	if _, under := r.staging[id]; under {
+// canPrestage reports whether an instance's host may get the weights of another model than its
+// current one: the host has neither these weights nor those of a model with larger groups than the
+// current one.
+func (r *round) canPrestage(id models.InstanceID, current, to models.ModelProfile) bool {
+	if _, staging := r.staging[id]; staging {
 		return false
 	}
 	for _, name := range r.Instances[id].Staged {
 		m, known := r.Profile.Model(name)
-		if name == to.Name || (known && m.Size > runs.Size) {
+		if name == to.Name || (known && m.Size > current.Size) {
 			return false
 		}
 	}
--- a/fleet/supply.go
+++ b/fleet/supply.go
@@ -6,59 +6,58 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// minDemand stands for the part of instances that a model needs of which
-// nothing is known.
+// minDemand is the minimum demand of a model, as a fraction of all instances. It applies if the
+// demand is unknown.
 const minDemand = 0.02
 
-// supply counts, by model, the instances that serve or soon will.
+// supply is the number of instances of each model that serve or soon will.
 type supply map[models.ModelName]int
 
-// need is the part of all instances that the model needs.
-func (w World) need(m models.ModelProfile) float64 { return max(minDemand, w.Demand[m.Name]) }
+// demandOf returns the fraction of all instances that the model needs.
+func (w World) demandOf(m models.ModelProfile) float64 { return max(minDemand, w.Demand[m.Name]) }
 
-// weight tells how much a model gains by one more instance: how much less its
-// requests wait, times how many they are.
-func (w World) weight(m models.ModelProfile, s supply) float64 {
-	lack := w.need(m) / instances(m, s)
-	return lack * lack
+// marginalGain is the gain from one more instance: the decrease in the waiting time of a request,
+// times the number of requests.
+func (w World) marginalGain(m models.ModelProfile, s supply) float64 {
+	ratio := w.demandOf(m) / effectiveSupply(m, s)
+	return ratio * ratio
 }
 
-// congestion tells how badly all models together are supplied. The requests of a
-// model wait the longer the more of them there are for each of its instances, so
-// that a model counts with its need by its need over its supply.
+// congestion is a measure of how badly all models together are supplied. The waiting time of a
+// model's requests grows with its demand over its supply, so each model adds its demand times that
+// ratio.
 func (w World) congestion(s supply) float64 {
 	sum := 0.0
 	for _, m := range w.Profile.Models {
-		sum += w.need(m) * w.need(m) / instances(m, s)
+		sum += w.demandOf(m) * w.demandOf(m) / effectiveSupply(m, s)
 	}
 	return sum
 }
 
-// noGroup is the part of a group that stands for none: a model without any serves
-// nobody, which is far worse than any crowd.
-const noGroup = 0.1
+// noGroupFraction is the fraction of a group that a model without any group is counted with:
+// serving no requests at all is far worse than any overload.
+const noGroupFraction = 0.1
 
-// instances is what a model is supplied with.
-func instances(m models.ModelProfile, s supply) float64 {
-	return max(float64(s[m.Name]), noGroup*float64(m.Size))
+// effectiveSupply is the supply of a model, positive even if it has no instance.
+func effectiveSupply(m models.ModelProfile, s supply) float64 {
+	return max(float64(s[m.Name]), noGroupFraction*float64(m.Size))
 }
 
-// use is the part of its places that the model uses if so many instances are in
-// its groups.
-func (w World) use(m models.ModelProfile, instances int) float64 {
-	places := float64(instances/m.Size*w.Profile.Slots) - w.Withheld[m.Name]
-	return w.Busy[m.Name] / max(1, places)
+// utilization is the fraction of the model's slots that are busy if its groups have this many
+// instances.
+func (w World) utilization(m models.ModelProfile, instances int) float64 {
+	slots := float64(instances/m.Size*w.Profile.Slots) - w.Withheld[m.Name]
+	return w.Busy[m.Name] / max(1, slots)
 }
 
-// bySize lists the models, those with the largest groups first.
+// bySize lists the models by group size, largest first.
 func (w World) bySize() []models.ModelProfile {
 	out := slices.Clone(w.Profile.Models)
 	slices.SortStableFunc(out, func(a, b models.ModelProfile) int { return b.Size - a.Size })
 	return out
 }
 
-// IsWarm reports whether an instance has a model's weights at hand, in use or
-// on its host.
+// IsWarm reports whether an instance runs a model or has its weights on its host.
 func IsWarm(i models.UpstreamInstance, model models.ModelName) bool {
 	return i.Loaded == model || slices.Contains(i.Staged, model)
 }
--- a/fleet/supply_test.go
+++ b/fleet/supply_test.go
@@ -8,15 +8,15 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestWithheldPlacesAreNotIdle checks that groups whose heads name limits do not pass for
-// idle ones, from which instances could be taken.
-func TestWithheldPlacesAreNotIdle(t *testing.T) {
+// TestWithheldSlotsAreNotIdle checks that the slots of groups whose heads announce rate limits do
+// not count as idle, so that these groups don't become donors.
+func TestWithheldSlotsAreNotIdle(t *testing.T) {
 	c := qt.New(t)
 	m := models.ModelProfile{Name: "m", Size: 2}
 	w := World{Profile: &models.EngineProfile{Slots: 10, Models: []models.ModelProfile{m}}, Busy: map[models.ModelName]float64{"m": 12}}
-	c.Assert(w.use(m, 8), qt.Equals, 0.3)
+	c.Assert(w.utilization(m, 8), qt.Equals, 0.3)
 	w.Withheld = map[models.ModelName]float64{"m": 25}
-	c.Assert(w.use(m, 8), qt.Equals, 0.8)
+	c.Assert(w.utilization(m, 8), qt.Equals, 0.8)
 	w.Withheld["m"] = 50
-	c.Assert(w.use(m, 8), qt.Equals, 12.0)
+	c.Assert(w.utilization(m, 8), qt.Equals, 12.0)
 }
--- a/fleet/warming.go
+++ b/fleet/warming.go
@@ -7,75 +7,74 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// warming is a spare that joins a group of its own, which is never opened, and
-// leaves it again. An instance joins a group of the model that it ran last in
-// Rejoin, where the weights on its host alone would take it Warm: a broken
-// group is whole again by so much sooner.
+// warming is a spare that joins a group of its own, which is never opened, and leaves it again. An
+// instance joins a group of the model that it ran last within Rejoin rather than within Warm, the
+// time with the weights only on its host, so a broken group is repaired faster.
 type warming struct {
-	key   models.GroupKey
-	model models.ModelName
-	until time.Time
+	key      models.GroupKey
+	model    models.ModelName
+	deadline time.Time
 }
 
-// advanceWarming has spares that are ready, or won't be, leave their own
+// advanceWarming orders spares that are ready, or that failed to get ready, to leave their own
 // groups.
 func (r *round) advanceWarming() {
 	for id, w := range r.warming {
 		i := r.Instances[id]
-		inside := i.Group.Key == w.key && i.Group.State != models.MemberNone
-		ready := inside && i.Group.State == models.MemberReady
-		_, refused := r.held[id]
-		if !ready && !refused && r.usable(id) && !r.Now.After(w.until) {
-			r.taken[id] = true
-			r.joinOwn(id, w)
+		member := i.Group.Key == w.key && i.Group.State != models.MemberNone
+		ready := member && i.Group.State == models.MemberReady
+		_, refused := r.backoffUntil[id]
+		if !ready && !refused && r.usable(id) && !r.Now.After(w.deadline) {
+			r.reserved[id] = true
+			r.orderWarmingJoin(id, w)
 			continue
 		}
 		delete(r.warming, id)
-		if inside {
-			r.end(w.key, id, types.GroupLeave)
+		if member {
+			r.endGroup(w.key, id, types.GroupLeave)
 		}
 	}
 }
 
-// joinOwn orders a spare to join its own group unless it has taken the order.
-func (r *round) joinOwn(id models.InstanceID, w warming) {
+// orderWarmingJoin orders a spare to join its own group unless it has accepted the order.
+func (r *round) orderWarmingJoin(id models.InstanceID, w warming) {
 	s := r.sent[id]
-	taken := s != nil && s.order.Group == w.key && (s.outcome == types.OrderBegun || s.outcome == types.OrderDone)
-	if !taken && r.due(id, types.GroupJoin, w.key) {
-		r.order(types.GroupOrder{Kind: types.GroupJoin, Instance: id, Group: w.key, Model: w.model, Members: []models.InstanceID{id}})
+	accepted := s != nil && s.order.Group == w.key && (s.outcome == types.OrderBegun || s.outcome == types.OrderDone)
+	if !accepted && r.orderDue(id, types.GroupJoin, w.key) {
+		r.issue(types.GroupOrder{Kind: types.GroupJoin, Instance: id, Group: w.key, Model: w.model, Members: []models.InstanceID{id}})
 	}
 }
 
-// warms reports whether the group is a spare's own.
-func (r *round) warms(g *Group) bool {
-	w, under := r.warming[g.Head]
-	return under && w.key == g.Key
+// isWarming reports whether the group is a spare's own.
+func (r *round) isWarming(g *Group) bool {
+	w, warming := r.warming[g.Head]
+	return warming && w.key == g.Key
 }
 
-// warmAll begins to warm the spares that have run no model since their start,
-// where too few have the weights of the one on their hosts to form a group.
-func (r *round) warmAll(free map[models.Domain][]models.InstanceID) {
+// warmSpares warms the spares that have not run a model since their start, if too few spares have
+// the model's weights to form a group.
+func (r *round) warmSpares(free map[models.Domain][]models.InstanceID) {
 	for _, ids := range free {
 		for _, m := range r.Profile.Models {
-			var cold []models.InstanceID
+			var unwarmed []models.InstanceID
 			warm := 0
 			for _, id := range ids {
 				i := r.Instances[id]
-				if _, under := r.staging[id]; under || !IsWarm(i, m.Name) {
+				if _, staging := r.staging[id]; staging || !IsWarm(i, m.Name) {
 					continue
 				}
 				warm++
 				if i.Loaded == "" {
-					cold = append(cold, id)
+					unwarmed = append(unwarmed, id)
 				}
 			}
 			if warm >= m.Size {
 				continue
 			}
-			for _, id := range cold {
-				w := warming{key: r.newKey(m.Name), model: m.Name, until: r.givenUp(m.Warm)}
+			for _, id := range unwarmed {
+				w := warming{key: r.newKey(m.Name), model: m.Name, deadline: r.deadlineAfter(m.Warm)}
 				r.warming[id] = w
-				r.joinOwn(id, w)
+				r.orderWarmingJoin(id, w)
 			}
 		}
 	}
