--- a/fleet/ending.go
+++ b/fleet/ending.go
@@ -80,9 +80,8 @@
 	return present && !r.Lost[head] && i.Group.Key == key
 }
 
-// orderMembersToLeave orders the members of a group without a reachable head to leave it. A head
-// that is alive but unreachable can't serve without them, and they are used elsewhere only after
-// that.
+// orderMembersToLeave orders the members of a group without a reachable head to leave it. If the
+// head is alive but unreachable, their leaving breaks the group before they are used elsewhere.
 func (r *round) orderMembersToLeave(g *Group) {
 	for _, id := range g.Members {
 		if r.usable(id) && id != g.Head && r.orderDue(id, types.GroupLeave, g.Key) {
