--- a/membership/arrange.go
+++ b/membership/arrange.go
@@ -7,57 +7,60 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Arrangement is which daemons one daemon tells what. It is never changed.
+// Arrangement is the communication topology as one daemon sees it. It is immutable.
 type Arrangement struct {
-	// Size is how many daemons there are, this one among them.
+	// Size is the number of daemons, this daemon included.
 	Size int
-	// Zone is how many of them are known in this daemon's zone.
+	// Zone is the number of known daemons in this daemon's zone, itself included.
 	Zone int
-	// Mesh tells that each tells every other one, and that there are no relays.
+	// Mesh reports a full mesh: every daemon sends heartbeats to every other one, and there are no
+	// relays.
 	Mesh bool
-	// Relay tells that this daemon is one of its zone's relays.
+	// Relay reports whether this daemon is a relay of its zone.
 	Relay bool
-	// First is the relay of the zone whose word of loads this daemon uses; it may
-	// be this daemon itself. Empty in a mesh.
+	// First is the relay of the zone whose load totals this daemon uses; it may be this daemon
+	// itself. It is empty in a mesh.
 	First models.DaemonID
-	// Planners are the daemons that may plan, in standing: all in a mesh, else the
-	// relays of all zones.
+	// Planners holds the daemons that are candidates for planner, in order of rank: all live
+	// daemons in a mesh, otherwise the relays of all zones.
 	Planners []Daemon
-	// Granters are the daemons that grant permits for limited instances, by
-	// availability zone of the instances.
+	// Granters holds the daemons that grant permits for rate-limited instances, by availability
+	// zone of the instances.
 	Granters map[models.Zone]models.DaemonID
-	// speaker is the relay that tells this daemon who grants permits, and tells granters
-	// of other zones for how many it speaks; it may be this daemon itself. Empty in a mesh.
-	speaker models.DaemonID
-	// Links are the daemons that this one tells of itself.
+	// voteRelay is the relay that reports the granters of permits to this daemon, and that counts
+	// this daemon's vote for granters of other zones. It may be this daemon itself, and is empty in
+	// a mesh.
+	voteRelay models.DaemonID
+	// Links holds the daemons to which this daemon sends heartbeats.
 	Links map[models.DaemonID]Link
 }
 
-// Link is what one daemon tells another.
+// Link describes what one daemon sends to another.
 type Link struct {
-	// Often tells that heartbeats are sent often: the other one relies on them.
+	// Often selects the short heartbeat interval, since the receiver relies on the heartbeats.
 	Often bool
-	// Relies tells that this daemon takes the other one for a relay, RelaysFirst
-	// that it uses that one's word of loads, and tells it its own.
+	// Relies is set if this daemon uses the receiver as a relay. RelaysFirst is set if it also uses
+	// the receiver's load totals, and reports its own load to it.
 	Relies, RelaysFirst bool
-	// Member tells that the other one is told what this daemon hears: it belongs to
-	// the zone that this one is a relay of, or relies on it.
+	// Member is set if this daemon forwards broadcasts to the receiver: the receiver is in the same
+	// zone, and this daemon is a relay of the zone or used as one by the receiver.
 	Member bool
-	// Totals tells that the other one uses this one's word of loads.
+	// Totals is set if the receiver uses this daemon's load totals.
 	Totals bool
-	// Across tells that the other one is a relay of another zone.
+	// Across is set if the receiver is in another zone, as a relay or as a daemon that uses this
+	// daemon as one.
 	Across bool
 }
 
-// Arrange returns the arrangement as of now.
+// Arrange returns the present topology.
 func (r *Roster) Arrange(now time.Time) *Arrangement {
-	a := &Arrangement{Size: r.size(), Zone: r.zone(), Links: map[models.DaemonID]Link{}}
+	a := &Arrangement{Size: r.clusterSize(), Zone: r.zoneSize(), Links: map[models.DaemonID]Link{}}
 	relays := map[models.Zone][]Daemon{}
 	if a.Mesh = a.Size <= r.policy.Few; a.Mesh {
-		r.mesh(a)
+		r.linkAll(a)
 	} else {
-		relays = r.relays(now)
-		r.tree(a, relays)
+		relays = r.selectRelays(now)
+		r.linkRelays(a, relays)
 	}
 	slices.SortFunc(a.Planners, func(x, y Daemon) int {
 		if x.Before(y) {
@@ -66,33 +69,34 @@
 		return 1
 	})
 	r.addGranters(a, relays)
-	for id, m := range r.known {
+	for id, m := range r.members {
 		_, linked := a.Links[id]
 		switch {
 		case !linked:
-			m.expected = time.Time{}
-		case m.expected.IsZero() && now.After(m.absent):
-			m.expected = now
+			m.expectedSince = time.Time{}
+		case m.expectedSince.IsZero() && now.After(m.skipUntil):
+			m.expectedSince = now
 		}
 	}
 	return a
 }
 
-// size is how many daemons there are by the roster and by those that are heard.
-func (r *Roster) size() int {
-	size := len(r.known) + 1
-	for _, m := range r.known {
-		if !m.heard.IsZero() {
+// clusterSize is the number of daemons according to the roster and to the heartbeats of live
+// daemons, whichever is greatest.
+func (r *Roster) clusterSize() int {
+	size := len(r.members) + 1
+	for _, m := range r.members {
+		if !m.lastHeard.IsZero() {
 			size = max(size, m.Size)
 		}
 	}
 	return size
 }
 
-// zone is how many daemons are known in this one's zone.
-func (r *Roster) zone() int {
+// zoneSize is the number of known daemons in this daemon's zone, itself included.
+func (r *Roster) zoneSize() int {
 	n := 1
-	for _, m := range r.known {
+	for _, m := range r.members {
 		if m.Zone == r.self.Zone {
 			n++
 		}
@@ -100,45 +104,45 @@
 	return n
 }
 
-// mesh links this daemon to all others.
-func (r *Roster) mesh(a *Arrangement) {
+// linkAll links this daemon to all others.
+func (r *Roster) linkAll(a *Arrangement) {
 	a.Planners = append(a.Planners, r.self)
-	for id, m := range r.known {
+	for id, m := range r.members {
 		a.Links[id] = Link{Often: true}
-		if !m.heard.IsZero() {
+		if !m.lastHeard.IsZero() {
 			a.Planners = append(a.Planners, m.Daemon)
 		}
 	}
 }
 
-// relays are the relays of each zone: those that come first of the daemons that
-// are not passed over, and of those that are if there are no others.
-func (r *Roster) relays(now time.Time) map[models.Zone][]Daemon {
-	present, absent := map[models.Zone][]Daemon{}, map[models.Zone][]Daemon{}
-	present[r.self.Zone] = []Daemon{r.self}
-	for _, m := range r.known {
-		if now.Before(m.absent) {
-			absent[m.Zone] = append(absent[m.Zone], m.Daemon)
+// selectRelays returns the relays of each zone: the highest-ranked live daemons, and skipped
+// daemons if there are not enough live ones.
+func (r *Roster) selectRelays(now time.Time) map[models.Zone][]Daemon {
+	live, skipped := map[models.Zone][]Daemon{}, map[models.Zone][]Daemon{}
+	live[r.self.Zone] = []Daemon{r.self}
+	for _, m := range r.members {
+		if now.Before(m.skipUntil) {
+			skipped[m.Zone] = append(skipped[m.Zone], m.Daemon)
 		} else {
-			present[m.Zone] = append(present[m.Zone], m.Daemon)
+			live[m.Zone] = append(live[m.Zone], m.Daemon)
 		}
 	}
 	out := map[models.Zone][]Daemon{}
-	for zone, of := range present {
-		out[zone] = first(of, r.policy.Relays)
+	for zone, daemons := range live {
+		out[zone] = topRanked(daemons, r.policy.RelaysPerZone)
 	}
-	for zone, of := range absent {
-		if missing := r.policy.Relays - len(out[zone]); missing > 0 {
-			out[zone] = append(out[zone], first(of, missing)...)
+	for zone, daemons := range skipped {
+		if missing := r.policy.RelaysPerZone - len(out[zone]); missing > 0 {
+			out[zone] = append(out[zone], topRanked(daemons, missing)...)
 		}
 	}
 	return out
 }
 
-// first returns the n daemons that come before the others, in their standing.
-func first(of []Daemon, n int) []Daemon {
+// topRanked returns the n highest-ranked daemons, in order of rank.
+func topRanked(daemons []Daemon, n int) []Daemon {
 	var out []Daemon
-	for _, d := range of {
+	for _, d := range daemons {
 		at := len(out)
 		for at > 0 && d.Before(out[at-1]) {
 			at--
@@ -151,13 +155,13 @@
 	return out
 }
 
-// tree links this daemon to the relays of its zone, to those that rely on it,
-// and, if it is a relay, to its zone and the relays of the others.
-func (r *Roster) tree(a *Arrangement, relays map[models.Zone][]Daemon) {
+// linkRelays links this daemon to the relays of its zone and to the daemons that use it as a relay.
+// If it is a relay itself, it also links to its zone and to the relays of the other zones.
+func (r *Roster) linkRelays(a *Arrangement, relays map[models.Zone][]Daemon) {
 	own := relays[r.self.Zone]
 	a.First = own[0].ID
-	for _, of := range relays {
-		a.Planners = append(a.Planners, of...)
+	for _, zoneRelays := range relays {
+		a.Planners = append(a.Planners, zoneRelays...)
 	}
 	for _, d := range own {
 		if d.ID == r.self.ID {
@@ -166,7 +170,7 @@
 		}
 		a.Links[d.ID] = Link{Relies: true, RelaysFirst: d.ID == a.First}
 	}
-	for id, m := range r.known {
+	for id, m := range r.members {
 		own := m.Zone == r.self.Zone
 		if !m.Relies && (!own || !a.Relay) {
 			continue
@@ -178,11 +182,11 @@
 	if !a.Relay {
 		return
 	}
-	for zone, of := range relays {
+	for zone, zoneRelays := range relays {
 		if zone == r.self.Zone {
 			continue
 		}
-		for _, d := range of {
+		for _, d := range zoneRelays {
 			a.Links[d.ID] = Link{Often: true, Relies: true, Across: true}
 		}
 	}
--- a/membership/granters.go
+++ b/membership/granters.go
@@ -8,105 +8,106 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// One daemon grants the permits for all instances of an availability zone that bound how
-// many requests they get. Nobody appoints it: each daemon asks the one that it takes for
-// the granter, and tells it so in its heartbeats. Two daemons may grant for the same zone
-// while others disagree, so each grants only a share, by how many ask it.
+// One daemon, the granter, grants the permits for all rate-limited instances of an availability
+// zone. There is no election: each daemon asks the daemon that it considers the granter, and votes
+// for it in its heartbeats. While daemons disagree, two of them may grant permits for the same
+// zone, so the share that a daemon grants depends on the number of its votes.
 
-// elsewhere stands for the zones of instances that have no daemons.
-const elsewhere models.Zone = ""
+// otherZones stands for all zones of instances that have no daemons.
+const otherZones models.Zone = ""
 
-// Granter is the daemon that grants permits for the instances of a zone, empty if none is
+// Granter returns the daemon that grants permits for the instances of a zone, empty if none is
 // known.
 func (a *Arrangement) Granter(zone models.Zone) models.DaemonID {
 	if id, known := a.Granters[zone]; known {
 		return id
 	}
-	return a.Granters[elsewhere]
+	return a.Granters[otherZones]
 }
 
-// ShareOf is what shares hold for the instances of a zone.
+// ShareOf returns the share for the instances of a zone.
 func (a *Arrangement) ShareOf(shares map[models.Zone]float64, zone models.Zone) float64 {
 	if _, known := a.Granters[zone]; known {
 		return shares[zone]
 	}
-	return shares[elsewhere]
+	return shares[otherZones]
 }
 
-// addGranters finds who grants permits. In a mesh that is the first daemon of each zone that
-// is heard; with relays, the first relay of each zone that is. Only relays hear relays of
-// other zones, and tell those who rely on them.
+// addGranters determines the granters. In a mesh, the granter of a zone is its highest-ranked live
+// daemon; with relays, its highest-ranked live relay. Only relays receive heartbeats from relays of
+// other zones. They pass the granters on to the daemons that use them as relays.
 func (r *Roster) addGranters(a *Arrangement, relays map[models.Zone][]Daemon) {
 	a.Granters = map[models.Zone]models.DaemonID{}
-	a.speaker, _ = r.firstHeard(relays[r.self.Zone])
+	a.voteRelay, _ = r.firstLive(relays[r.self.Zone])
 	switch {
 	case a.Mesh:
 		for _, d := range a.Planners {
-			// Planners are in their standing.
+			// Planners are in order of rank.
 			if _, known := a.Granters[d.Zone]; !known {
 				a.Granters[d.Zone] = d.ID
 			}
 		}
-	case a.speaker == r.self.ID:
-		for zone, of := range relays {
-			if id, heard := r.firstHeard(of); heard {
+	case a.voteRelay == r.self.ID:
+		for zone, zoneRelays := range relays {
+			if id, live := r.firstLive(zoneRelays); live {
 				a.Granters[zone] = id
 			}
 		}
-	case a.speaker != "":
-		maps.Copy(a.Granters, r.known[a.speaker].Granters)
-		a.Granters[r.self.Zone] = a.speaker
+	case a.voteRelay != "":
+		maps.Copy(a.Granters, r.members[a.voteRelay].Granters)
+		a.Granters[r.self.Zone] = a.voteRelay
 	}
-	delete(a.Granters, elsewhere)
+	delete(a.Granters, otherZones)
 	if len(a.Granters) == 0 {
 		return
 	}
-	// Zones of which no daemon is heard are named too: a daemon that others ask for them
-	// must not be taken for one that all ask.
-	first := a.Granters[slices.Min(slices.Collect(maps.Keys(a.Granters)))]
-	a.Granters[elsewhere] = first
-	for _, m := range r.known {
+	// Zones without live daemons get an entry too. Otherwise, a daemon that others ask for permits
+	// of such a zone would be taken for the granter of all zones without daemons.
+	fallback := a.Granters[slices.Min(slices.Collect(maps.Keys(a.Granters)))]
+	a.Granters[otherZones] = fallback
+	for _, m := range r.members {
 		if _, known := a.Granters[m.Zone]; !known {
-			a.Granters[m.Zone] = first
+			a.Granters[m.Zone] = fallback
 		}
 	}
 }
 
-// firstHeard returns the first of some daemons that is heard, or is this one.
-func (r *Roster) firstHeard(of []Daemon) (models.DaemonID, bool) {
-	at := slices.IndexFunc(of, func(d Daemon) bool {
-		m := r.known[d.ID]
-		return d.ID == r.self.ID || (m != nil && !m.heard.IsZero())
+// firstLive returns the first of the daemons that is live or is this daemon.
+func (r *Roster) firstLive(daemons []Daemon) (models.DaemonID, bool) {
+	at := slices.IndexFunc(daemons, func(d Daemon) bool {
+		m := r.members[d.ID]
+		return d.ID == r.self.ID || (m != nil && !m.lastHeard.IsZero())
 	})
 	if at < 0 {
 		return "", false
 	}
-	return of[at].ID, true
+	return daemons[at].ID, true
 }
 
 const (
-	// leastVote is for how long at least a heartbeat's word of whom its sender asks for
-	// permits holds, voteBeats for how many of its heartbeats: one that asks another
-	// daemon from now on need not tell this one.
-	leastVote = 1200 * time.Millisecond
-	voteBeats = 1.5
+	// A vote in a heartbeat is valid for voteLifetimeIntervals heartbeat intervals of its sender,
+	// but at least for minVoteLifetime: a daemon that votes for another granter from now on need
+	// not withdraw its vote.
+	minVoteLifetime       = 1200 * time.Millisecond
+	voteLifetimeIntervals = 1.5
 )
 
-// votes reports whether the member's word of whom it asks for permits still holds.
-func (m *member) votes(now time.Time) bool {
-	holds := max(leastVote, time.Duration(voteBeats*float64(m.Every)))
-	return !m.heard.IsZero() && now.Sub(m.heard) <= holds
+// voteValid reports whether the vote in the member's last heartbeat is still valid.
+func (m *member) voteValid(now time.Time) bool {
+	lifetime := max(minVoteLifetime, time.Duration(voteLifetimeIntervals*float64(m.Every)))
+	return !m.lastHeard.IsZero() && now.Sub(m.lastHeard) <= lifetime
 }
 
-// Votes is for how many daemons this one asks another one for permits, by zone of the
-// instances. Where there are relays one of each zone speaks for those that ask it.
+// Votes returns the number of votes that this daemon has for another daemon as a granter, by zone
+// of the instances. With relays, one relay of each zone also casts the votes of the daemons of its
+// zone that ask it.
 func (r *Roster) Votes(a *Arrangement, to models.DaemonID) map[models.Zone]int {
 	weight := 1
 	switch {
-	case a.Mesh || to == a.speaker:
-	case a.speaker == r.self.ID:
-		for _, m := range r.known {
-			if !m.heard.IsZero() && m.Zone == r.self.Zone && m.Grants[m.Zone] > 0 {
+	case a.Mesh || to == a.voteRelay:
+	case a.voteRelay == r.self.ID:
+		for _, m := range r.members {
+			if !m.lastHeard.IsZero() && m.Zone == r.self.Zone && m.Grants[m.Zone] > 0 {
 				weight++
 			}
 		}
@@ -122,15 +123,16 @@
 	return votes
 }
 
-// Shares is the part of the rates of a zone's instances that this daemon may grant, for the
-// zones that it grants permits for: all if more than half of the daemons ask it. Others may
-// ask one that it does not hear, so with fewer it grants half of their part, and all granters
-// together never more than one and a quarter of a rate.
+// Shares returns the fraction of the rates that this daemon may grant for the instances of each
+// zone that it is the granter of: all of them if it has the votes of more than half of the daemons.
+// With fewer votes, it grants half of the fraction of its votes, since the others may vote for a
+// daemon that this one does not hear. All granters together never grant more than 1.25 times a
+// rate.
 func (r *Roster) Shares(a *Arrangement, now time.Time) map[models.Zone]float64 {
-	all := len(r.known) + 1
-	for _, m := range r.known {
-		// Also by the word of those that are not heard any more.
-		all = max(all, m.Size)
+	total := len(r.members) + 1
+	for _, m := range r.members {
+		// Sizes reported by daemons that are silent now count too.
+		total = max(total, m.Size)
 	}
 	shares := map[models.Zone]float64{}
 	for zone, id := range a.Granters {
@@ -138,14 +140,14 @@
 			continue
 		}
 		votes := 1
-		for _, m := range r.known {
-			if m.votes(now) {
+		for _, m := range r.members {
+			if m.voteValid(now) {
 				votes += m.Grants[zone]
 			}
 		}
 		shares[zone] = 1
-		if part := float64(votes) / float64(all); part <= 0.5 {
-			shares[zone] = part / 2
+		if fraction := float64(votes) / float64(total); fraction <= 0.5 {
+			shares[zone] = fraction / 2
 		}
 	}
 	return shares
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,14 +1,14 @@
-// Package membership decides which daemons tell each other of themselves. Where
-// there are few, each tells every other one. Where there are many, each
-// availability zone has a few relays: a daemon tells the relays of its zone,
-// these tell each other and the daemons of their zone. Links, heartbeats and
-// bytes then grow with the number of daemons and not with its square.
+// Package membership decides which daemons exchange heartbeats. A few daemons form a full mesh.
+// With many daemons, each availability zone has a few relays: a daemon sends heartbeats to the
+// relays of its zone, and the relays send them to each other and to the daemons of their zone. The
+// number of links, heartbeats and bytes then grows linearly with the number of daemons rather than
+// with its square.
 //
-// Nobody appoints relays. Each daemon finds them by itself from the roster, by
-// an order that is the same for all, and passes over those that fell silent. Two
-// daemons may disagree for a moment; one that is taken for a relay acts as one.
+// There is no election. Each daemon selects the relays from the roster by a ranking that is the
+// same for all daemons, and skips daemons that are silent. Two daemons may disagree for a short
+// time; a daemon that any other daemon uses as a relay acts as one.
 //
-// The package is pure: it does no input or output, and the time is handed in.
+// The package does no I/O, and the time is passed in.
 package membership
 
 import (
@@ -19,51 +19,48 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Policy holds the limits by which daemons are arranged.
+// Policy holds the parameters of the topology.
 type Policy struct {
-	// Few is up to how many daemons, this one among them, each tells every other
-	// one.
+	// Few is the maximum number of daemons, this daemon included, that form a full mesh.
 	Few int
-	// Relays is how many daemons of an availability zone are its relays.
-	Relays int
-	// Patience is for how long a daemon that should tell this one of itself, and
-	// was never heard to, is waited for.
-	Patience time.Duration
-	// Beats is how many heartbeats in a row may not come from a daemon that was
-	// heard.
+	// RelaysPerZone is the number of relays of an availability zone.
+	RelaysPerZone int
+	// FirstHeartbeatTimeout is how long this daemon waits for the first heartbeat of a daemon that
+	// should send heartbeats to it.
+	FirstHeartbeatTimeout time.Duration
+	// Beats is the number of consecutive heartbeats that a live daemon may miss.
 	Beats int
-	// Absence is for how long a daemon that fell silent is passed over.
-	Absence time.Duration
+	// SilentBackoff is how long a daemon that became silent is skipped.
+	SilentBackoff time.Duration
 }
 
-// DefaultPolicy returns the limits in use.
+// DefaultPolicy returns the parameters used in production.
 func DefaultPolicy() Policy {
 	return Policy{
-		// All to all takes 9 daemons 0.043 of a core each, requests included, and 295
-		// daemons 0.070 where relays take 0.016, measured on the users' sites.
+		// A full mesh of 9 daemons takes 0.043 of a core per daemon, requests included. 295 daemons
+		// take 0.070 in a full mesh and 0.016 with relays.
 		Few: 20,
-		// One that is left takes over without a gap in the news if the other one is
-		// lost; a third would cost every daemon each piece of news once more.
-		Relays: 2,
-		// Four heartbeats of a relay, as for one that was heard.
-		Patience: 1200 * time.Millisecond,
-		Beats:    4,
-		// An estimate: longer than a daemon takes to be started again, 0.6 to 4 s on
-		// the users' sites.
-		Absence: 6 * time.Second,
+		// With two relays, the other one takes over without a gap in the broadcasts if one is lost.
+		// A third relay would send every broadcast to each daemon once more.
+		RelaysPerZone: 2,
+		// As long as Beats heartbeats of a relay.
+		FirstHeartbeatTimeout: 1200 * time.Millisecond,
+		Beats:                 4,
+		// Longer than a daemon takes to restart, which is 0.6 to 4 s.
+		SilentBackoff: 6 * time.Second,
 	}
 }
 
-// Daemon is one daemon as the roster or its own heartbeat names it.
+// Daemon is a daemon as described by the roster or by its own heartbeats.
 type Daemon struct {
 	ID   models.DaemonID
 	Zone models.Zone
-	// Power is the part of a core that it may use.
+	// Power is the fraction of a core that the daemon may use.
 	Power float64
 }
 
-// Before reports whether a daemon takes a part rather than another: those with
-// the most processor first, and equals by a hash of their names.
+// Before reports whether a daemon ranks higher than another: the one with more CPU, or with equal
+// CPU by a hash of the IDs.
 func (d Daemon) Before(o Daemon) bool {
 	if d.Power != o.Power {
 		return d.Power > o.Power
@@ -80,87 +77,86 @@
 	return h.Sum64()
 }
 
-// Beat is what a heartbeat tells that matters to the arrangement.
+// Beat holds the fields of a heartbeat that the topology depends on.
 type Beat struct {
 	Daemon
-	// Every is how often its sender tells this daemon of itself.
+	// Every is the sender's heartbeat interval for this daemon.
 	Every time.Duration
-	// Relies tells that its sender takes this daemon for one of its relays,
-	// RelaysFirst that it is the one whose word of loads it uses.
+	// Relies is set if the sender uses this daemon as a relay, RelaysFirst if it uses this daemon's
+	// load totals.
 	Relies, RelaysFirst bool
-	// Size is how many daemons its sender knows of, itself among them.
+	// Size is the number of daemons that the sender knows, itself included.
 	Size int
-	// Grants is for how many daemons its sender asks this one for permits, by zone of
+	// Grants is the sender's number of votes for this daemon as a granter of permits, by zone of
 	// the instances.
 	Grants map[models.Zone]int
-	// Granters are who grants permits by what its sender knows. Only relays tell that.
+	// Granters holds the granters that the sender knows. Only relays fill it in.
 	Granters map[models.Zone]models.DaemonID
 }
 
-// Roster is what one daemon knows of the others. It is not safe for use by
-// several goroutines.
+// Roster is what one daemon knows of the others. It is not safe for concurrent use.
 type Roster struct {
-	self   Daemon
-	policy Policy
-	known  map[models.DaemonID]*member
+	self    Daemon
+	policy  Policy
+	members map[models.DaemonID]*member
 }
 
-// member is another daemon and how it stands to this one.
+// member is the state of another daemon.
 type member struct {
 	Beat
-	// heard is when its last heartbeat came, zero if it is silent.
-	heard time.Time
-	// expected is since when it should tell this daemon of itself, zero if it need
-	// not.
-	expected time.Time
-	// absent is until when it is passed over.
-	absent time.Time
+	// lastHeard is when its last heartbeat arrived, zero if it is silent.
+	lastHeard time.Time
+	// expectedSince is when it was first expected to send heartbeats to this daemon, zero if none
+	// are expected.
+	expectedSince time.Time
+	// skipUntil is how long the daemon is skipped as a relay after it became silent.
+	skipUntil time.Time
 }
 
-// NewRoster returns a roster that knows of no other daemon.
+// NewRoster returns a roster without other daemons.
 func NewRoster(self Daemon, p Policy) *Roster {
-	return &Roster{self: self, policy: p, known: map[models.DaemonID]*member{}}
+	return &Roster{self: self, policy: p, members: map[models.DaemonID]*member{}}
 }
 
-// Enter notes that a daemon exists.
+// Enter adds a daemon or updates its description.
 func (r *Roster) Enter(d Daemon) {
 	if d.ID == r.self.ID {
 		return
 	}
-	if m := r.known[d.ID]; m != nil {
+	if m := r.members[d.ID]; m != nil {
 		m.Daemon = d
 		return
 	}
-	r.known[d.ID] = &member{Beat: Beat{Daemon: d}}
+	r.members[d.ID] = &member{Beat: Beat{Daemon: d}}
 }
 
-// Hear notes a heartbeat. It reports whether that may change the arrangement.
+// Hear records a heartbeat. It reports whether the topology may change.
 func (r *Roster) Hear(b Beat, at time.Time) bool {
 	if b.ID == r.self.ID {
 		return false
 	}
 	r.Enter(b.Daemon)
-	m := r.known[b.ID]
-	news := m.heard.IsZero() || m.Relies != b.Relies || m.RelaysFirst != b.RelaysFirst || m.Size != b.Size ||
+	m := r.members[b.ID]
+	changed := m.lastHeard.IsZero() || m.Relies != b.Relies || m.RelaysFirst != b.RelaysFirst || m.Size != b.Size ||
 		!maps.Equal(m.Granters, b.Granters)
-	m.Beat, m.heard, m.absent = b, at, time.Time{}
-	return news
+	m.Beat, m.lastHeard, m.skipUntil = b, at, time.Time{}
+	return changed
 }
 
-// Notice passes over the daemons that should have told of themselves and did
-// not. It returns those that were heard before.
+// Notice marks daemons as silent whose heartbeats are overdue, and returns those that were live
+// before.
 func (r *Roster) Notice(now time.Time) []models.DaemonID {
 	var silent []models.DaemonID
-	for id, m := range r.known {
+	for id, m := range r.members {
 		switch {
-		case !m.heard.IsZero() && now.Sub(m.heard) > time.Duration(r.policy.Beats)*m.Every:
+		case !m.lastHeard.IsZero() && now.Sub(m.lastHeard) > time.Duration(r.policy.Beats)*m.Every:
 			silent = append(silent, id)
-		case !m.heard.IsZero(), m.expected.IsZero(), now.Sub(m.expected) <= r.policy.Patience:
+		case !m.lastHeard.IsZero(), m.expectedSince.IsZero(), now.Sub(m.expectedSince) <= r.policy.FirstHeartbeatTimeout:
 			continue
 		}
-		m.heard, m.expected = time.Time{}, time.Time{}
+		m.lastHeard, m.expectedSince = time.Time{}, time.Time{}
 		m.Relies, m.RelaysFirst, m.Grants, m.Granters = false, false, nil, nil
-		m.absent = now.Add(r.policy.Absence)
+		m.skipUntil = now.Add(r.policy.SilentBackoff)
 	}
 	return silent
 }
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -11,45 +11,45 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// mostShares is what all granters' shares may come to on average of any 4 s: an instance may
-// get one and a half times its limit in such a time.
-const mostShares = 1.5
+// maxTotalShare is the maximum for the sum of all granters' shares, averaged over any 4 s: an
+// instance accepts 1.5 times its limit for that long.
+const maxTotalShare = 1.5
 
-// Whatever is killed, started, cut off and healed when, granters of permits together never
-// come to more than an instance bears. With few daemons all tell each other, with more there
-// are relays.
+// Whatever sequence of kills, starts, partitions and heals occurs, the shares of all granters of
+// permits together stay within what an instance accepts. Three daemons per zone form a full mesh,
+// eight use relays.
 func TestSharesInMadeUpHistories(t *testing.T) {
 	for _, perZone := range []int{3, 8} {
 		t.Run(fmt.Sprint(perZone), func(t *testing.T) {
 			c := qt.New(t)
 			rapid.Check(t, func(t *rapid.T) {
 				zones := []models.Zone{"a", "b", "c"}
-				s := &site{
+				s := &simulation{
 					c: c, now: time.Unix(1_000_000, 0), byID: map[models.DaemonID]*daemon{},
-					cut: map[models.Zone]bool{}, granted: map[models.Zone][]float64{}, entered: map[models.DaemonID]bool{},
+					cut: map[models.Zone]bool{}, granted: map[models.Zone][]float64{}, registered: map[models.DaemonID]bool{},
 				}
 				for _, zone := range zones {
 					s.add(zone, perZone, rapid.IntRange(0, perZone).Draw(t, "strong"))
 				}
-				s.do("start", nil)
-				s.do("run", []string{"4s"})
+				s.exec("start", nil)
+				s.exec("run", []string{"4s"})
 				for range rapid.IntRange(1, 8).Draw(t, "steps") {
 					zone := string(rapid.SampledFrom(zones).Draw(t, "zone"))
 					switch verb := rapid.SampledFrom([]string{"kill", "kill", "kill all", "start", "start", "cut", "heal"}).Draw(t, "verb"); verb {
 					case "kill all":
-						s.do("kill", []string{"all"})
-						s.do("start", nil)
+						s.exec("kill", []string{"all"})
+						s.exec("start", nil)
 					case "kill":
-						if s.running(models.Zone(zone)) > 0 {
-							s.do("kill", []string{zone, "1"})
+						if s.countRunning(models.Zone(zone)) > 0 {
+							s.exec("kill", []string{zone, "1"})
 						}
 					default:
-						s.do(verb, []string{zone})
+						s.exec(verb, []string{zone})
 					}
-					s.do("run", []string{fmt.Sprint(rapid.IntRange(50, 4000).Draw(t, "ms"), "ms")})
+					s.exec("run", []string{fmt.Sprint(rapid.IntRange(50, 4000).Draw(t, "ms"), "ms")})
 				}
 				for zone, worst := range s.worstGranted() {
-					if worst > mostShares {
+					if worst > maxTotalShare {
 						t.Fatalf("zone %s: %.2f of the rate granted", zone, worst)
 					}
 				}
@@ -58,8 +58,8 @@
 	}
 }
 
-// running is how many daemons of a zone are up.
-func (s *site) running(zone models.Zone) int {
+// countRunning returns the number of running daemons of a zone.
+func (s *simulation) countRunning(zone models.Zone) int {
 	n := 0
 	for _, d := range s.daemons {
 		if d.up && d.Zone == zone {
--- a/membership/script_test.go
+++ b/membership/script_test.go
@@ -17,83 +17,84 @@
 )
 
 const (
-	// step is how far the time of a script moves at once.
+	// step is the time step of the simulation.
 	step = 50 * time.Millisecond
-	// arrangeEvery is how often a daemon is arranged anew without news.
-	arrangeEvery = 300 * time.Millisecond
+	// arrangeInterval is how often a daemon computes its topology again without changes.
+	arrangeInterval = 300 * time.Millisecond
 )
 
-// daemon is one daemon of a script.
+// daemon is a simulated daemon.
 type daemon struct {
 	membership.Daemon
-	roster   *membership.Roster
-	arranged *membership.Arrangement
-	up       bool
-	// arrangedAt is when it was arranged last, stale tells that it heard something
-	// since that may change it.
+	roster      *membership.Roster
+	arrangement *membership.Arrangement
+	up          bool
+	// arrangedAt is when the topology was last computed; stale is set by a heartbeat that may
+	// change it.
 	arrangedAt time.Time
 	stale      bool
-	// beaten is when each other daemon was last told.
-	beaten map[models.DaemonID]time.Time
+	// lastSent is when the last heartbeat was sent to each other daemon.
+	lastSent map[models.DaemonID]time.Time
 }
 
-// site is all daemons of a script and the time.
-type site struct {
+// simulation holds all daemons and the time.
+type simulation struct {
 	c       *qt.C
 	now     time.Time
 	daemons []*daemon
 	byID    map[models.DaemonID]*daemon
 	cut     map[models.Zone]bool
-	// granted is, by zone, what all granters' shares came to at each step.
+	// granted is the sum of all granters' shares at each step, by zone.
 	granted map[models.Zone][]float64
-	// entered are the daemons that the store's roster still names from earlier runs; nil
-	// in scripts, whose daemons only find those that started before them.
-	entered map[models.DaemonID]bool
+	// registered holds the daemons whose entries from earlier runs are still in the store's roster.
+	// It is nil in scripts, whose daemons only find daemons that started before them.
+	registered map[models.DaemonID]bool
 }
 
-// TestScripts plays the scripts: daemons find each other by the store's roster and
-// by heartbeats alone, each deciding for itself.
+// TestScripts runs the scripts in testdata. Daemons find each other only by the store's roster and
+// by heartbeats, and each computes its own topology.
 //
-//	daemons ZONE N STRONG  N daemons, STRONG of them with four times the processor
-//	start                  all that are down start, one after the other within 0.3 s
-//	run DURATION           time passes
-//	kill ZONE N            the first N running daemons of a zone's standing end
-//	kill all               all end
-//	cut ZONE, heal ZONE    nothing passes between the zone and others
-//	links MOST             check how many links there are
-//	reach                  check that news of each daemon reaches all others
-//	loads                  check that each zone agrees whose word of loads it uses
-//	permits LEAST          check that each zone's permits are granted, to whom all running
-//	                       daemons of reachable zones ask, and that all shares come to this
-//	granted MOST           check what all shares came to, on average of any 4 s so far
-//	planners MOST          check that some daemon may plan, and how many
+//	daemons ZONE N STRONG  add N daemons, STRONG of them with four times the CPU
+//	start                  start all daemons that are down, one after the other
+//	                       within 0.3 s
+//	run DURATION           advance the time
+//	kill ZONE N            kill the N highest-ranked running daemons of a zone
+//	kill all               kill all daemons
+//	cut ZONE, heal ZONE    partition the zone from all others, or end that
+//	links MOST             check the number of links
+//	reach                  check that a broadcast of each daemon reaches all others
+//	loads                  check that the daemons of each zone use the same load totals
+//	permits LEAST          check that all running daemons of reachable zones ask the same
+//	                       granter for each zone, and the sum of all shares
+//	granted MOST           check the sum of all shares, averaged over any 4 s so far
+//	planners MOST          check the number of planner candidates, at least one
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no scripts", err)
 	}
 	for _, file := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) { play(t, file) })
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) { runScript(t, file) })
 	}
 }
 
-func play(t *testing.T, file string) {
+func runScript(t *testing.T, file string) {
 	c := qt.New(t)
 	f, err := os.Open(file)
 	c.Assert(err, qt.IsNil)
 	defer f.Close()
-	s := &site{c: c, now: time.Unix(1_000_000, 0), byID: map[models.DaemonID]*daemon{}, cut: map[models.Zone]bool{}, granted: map[models.Zone][]float64{}}
+	s := &simulation{c: c, now: time.Unix(1_000_000, 0), byID: map[models.DaemonID]*daemon{}, cut: map[models.Zone]bool{}, granted: map[models.Zone][]float64{}}
 	lines := bufio.NewScanner(f)
 	for lines.Scan() {
 		line, _, _ := strings.Cut(lines.Text(), "#")
 		if words := strings.Fields(line); len(words) > 0 {
-			s.do(words[0], append(words[1:], "", "", ""))
+			s.exec(words[0], append(words[1:], "", "", ""))
 		}
 	}
 	c.Assert(lines.Err(), qt.IsNil)
 }
 
-func (s *site) do(verb string, args []string) {
+func (s *simulation) exec(verb string, args []string) {
 	switch verb {
 	case "daemons":
 		s.add(models.Zone(args[0]), s.number(args[1]), s.number(args[2]))
@@ -110,35 +111,35 @@
 	case "cut", "heal":
 		s.cut[models.Zone(args[0])] = verb == "cut"
 	case "links":
-		s.c.Check(s.links() <= s.number(args[0]), qt.IsTrue, qt.Commentf("%d links", s.links()))
+		s.c.Check(s.countLinks() <= s.number(args[0]), qt.IsTrue, qt.Commentf("%d links", s.countLinks()))
 	case "reach":
-		s.reach()
+		s.checkReach()
 	case "loads":
-		s.loads()
+		s.checkLoads()
 	case "permits":
-		s.permits(s.part(args[0]))
+		s.checkPermits(s.fraction(args[0]))
 	case "granted":
-		s.mostGranted(s.part(args[0]))
+		s.checkGranted(s.fraction(args[0]))
 	case "planners":
-		s.planners(s.number(args[0]))
+		s.checkPlanners(s.number(args[0]))
 	default:
-		s.c.Fatalf("unknown: %s", verb)
+		s.c.Fatalf("unknown command %s", verb)
 	}
 }
 
-func (s *site) number(text string) int {
+func (s *simulation) number(text string) int {
 	n, err := strconv.Atoi(text)
 	s.c.Assert(err, qt.IsNil)
 	return n
 }
 
-func (s *site) part(text string) float64 {
-	part, err := strconv.ParseFloat(text, 64)
+func (s *simulation) fraction(text string) float64 {
+	fraction, err := strconv.ParseFloat(text, 64)
 	s.c.Assert(err, qt.IsNil)
-	return part
+	return fraction
 }
 
-func (s *site) add(zone models.Zone, n, strong int) {
+func (s *simulation) add(zone models.Zone, n, strong int) {
 	for i := range n {
 		power := 0.2
 		if i < strong {
@@ -149,30 +150,30 @@
 	}
 }
 
-// start starts all that are down: each enters itself in the store's roster and
-// reads it, so that of any two the later one finds the other.
-func (s *site) start() {
+// start starts all daemons that are down. Each registers in the store's roster and then reads it,
+// so that of any two daemons the later one finds the other.
+func (s *simulation) start() {
 	for i, d := range s.daemons {
 		if d.up {
 			continue
 		}
-		d.up, d.beaten = true, map[models.DaemonID]time.Time{}
+		d.up, d.lastSent = true, map[models.DaemonID]time.Time{}
 		d.roster = membership.NewRoster(d.Daemon, membership.DefaultPolicy())
 		for n, other := range s.daemons {
-			if n < i || s.entered[other.ID] {
+			if n < i || s.registered[other.ID] {
 				d.roster.Enter(other.Daemon)
 			}
 		}
-		d.arranged, d.arrangedAt = d.roster.Arrange(s.now), s.now
+		d.arrangement, d.arrangedAt = d.roster.Arrange(s.now), s.now
 	}
 	for _, d := range s.daemons {
-		if s.entered != nil {
-			s.entered[d.ID] = true
+		if s.registered != nil {
+			s.registered[d.ID] = true
 		}
 	}
 }
 
-func (s *site) kill(args []string) {
+func (s *simulation) kill(args []string) {
 	for _, d := range s.daemons {
 		if args[0] == "all" {
 			d.up = false
@@ -192,13 +193,13 @@
 	}
 }
 
-// reaches reports whether messages pass from one daemon to another.
-func (s *site) reaches(from, to *daemon) bool {
+// reaches reports whether messages get from one daemon to another.
+func (s *simulation) reaches(from, to *daemon) bool {
 	return from.up && to.up && (from.Zone == to.Zone || (!s.cut[from.Zone] && !s.cut[to.Zone]))
 }
 
-// step has all daemons tell each other what is due, and look around.
-func (s *site) step() {
+// step sends all heartbeats that are due and updates all topologies.
+func (s *simulation) step() {
 	s.now = s.now.Add(step)
 	for _, d := range s.daemons {
 		for id, link := range d.links() {
@@ -207,20 +208,20 @@
 				every = 300 * time.Millisecond
 			}
 			to := s.byID[id]
-			if s.now.Sub(d.beaten[id]) < every || !s.reaches(d, to) {
+			if s.now.Sub(d.lastSent[id]) < every || !s.reaches(d, to) {
 				continue
 			}
-			d.beaten[id] = s.now
-			news := to.roster.Hear(membership.Beat{
-				Daemon: d.Daemon, Every: every, Relies: link.Relies, RelaysFirst: link.RelaysFirst, Size: d.arranged.Size,
-				Grants: d.roster.Votes(d.arranged, id), Granters: d.arranged.Granters,
+			d.lastSent[id] = s.now
+			changed := to.roster.Hear(membership.Beat{
+				Daemon: d.Daemon, Every: every, Relies: link.Relies, RelaysFirst: link.RelaysFirst, Size: d.arrangement.Size,
+				Grants: d.roster.Votes(d.arrangement, id), Granters: d.arrangement.Granters,
 			}, s.now)
-			to.stale = to.stale || news
+			to.stale = to.stale || changed
 		}
 	}
 	for _, d := range s.daemons {
 		if d.up {
-			d.lookAround(s.now)
+			d.rearrange(s.now)
 		}
 	}
 	for zone, sum := range s.shares() {
@@ -228,8 +229,8 @@
 	}
 }
 
-// shares is what all granters' shares come to now, by zone of the instances.
-func (s *site) shares() map[models.Zone]float64 {
+// shares returns the sum of all granters' shares, by zone of the instances.
+func (s *simulation) shares() map[models.Zone]float64 {
 	sums := map[models.Zone]float64{}
 	for _, d := range s.daemons {
 		sums[d.Zone] += 0
@@ -238,39 +239,39 @@
 		if !d.up {
 			continue
 		}
-		shares := d.roster.Shares(d.arranged, s.now)
+		shares := d.roster.Shares(d.arrangement, s.now)
 		for zone := range sums {
-			sums[zone] += d.arranged.ShareOf(shares, zone)
+			sums[zone] += d.arrangement.ShareOf(shares, zone)
 		}
 	}
 	return sums
 }
 
-// permits checks that all that reach each other ask the same daemon for permits, and what
-// all granters' shares come to.
-func (s *site) permits(least float64) {
+// checkPermits checks that all daemons that reach each other ask the same granter, and that the sum
+// of the shares of each zone is at least the given value.
+func (s *simulation) checkPermits(least float64) {
 	for zone, sum := range s.shares() {
 		s.c.Check(sum >= least, qt.IsTrue, qt.Commentf("zone %q: %v granted", zone, sum))
 		for _, a := range s.daemons {
 			for _, b := range s.daemons {
 				if s.reaches(a, b) && s.reaches(b, a) && (!s.cut[zone] || a.Zone == b.Zone) {
-					s.c.Assert(a.arranged.Granter(zone), qt.Equals, b.arranged.Granter(zone), qt.Commentf("%s and %s for %q", a.ID, b.ID, zone))
+					s.c.Assert(a.arrangement.Granter(zone), qt.Equals, b.arrangement.Granter(zone), qt.Commentf("%s and %s for %q", a.ID, b.ID, zone))
 				}
 			}
 		}
 	}
 }
 
-// mostGranted checks what all shares came to on average of any window.
-func (s *site) mostGranted(most float64) {
+// checkGranted checks the highest average of the sum of all shares over any window.
+func (s *simulation) checkGranted(most float64) {
 	for zone, worst := range s.worstGranted() {
-		s.c.Logf("zone %q: %.2f at most", zone, worst)
+		s.c.Logf("zone %q: at most %.2f granted", zone, worst)
 		s.c.Check(worst <= most, qt.IsTrue, qt.Commentf("zone %q: %v granted", zone, worst))
 	}
 }
 
-// worstGranted is what all shares came to, by zone, on average of the worst window.
-func (s *site) worstGranted() map[models.Zone]float64 {
+// worstGranted returns the highest average of the sum of all shares over any window, by zone.
+func (s *simulation) worstGranted() map[models.Zone]float64 {
 	window := int(4 * time.Second / step)
 	out := map[models.Zone]float64{}
 	for zone, sums := range s.granted {
@@ -286,23 +287,23 @@
 	return out
 }
 
-// lookAround arranges the daemon anew if it has reason to, and every now and then.
-func (d *daemon) lookAround(now time.Time) {
+// rearrange computes the topology again if it may have changed or arrangeInterval is over.
+func (d *daemon) rearrange(now time.Time) {
 	silent := d.roster.Notice(now)
-	if len(silent) == 0 && !d.stale && now.Sub(d.arrangedAt) < arrangeEvery {
+	if len(silent) == 0 && !d.stale && now.Sub(d.arrangedAt) < arrangeInterval {
 		return
 	}
-	d.arranged, d.arrangedAt, d.stale = d.roster.Arrange(now), now, false
+	d.arrangement, d.arrangedAt, d.stale = d.roster.Arrange(now), now, false
 }
 
 func (d *daemon) links() map[models.DaemonID]membership.Link {
 	if !d.up {
 		return nil
 	}
-	return d.arranged.Links
+	return d.arrangement.Links
 }
 
-func (s *site) links() int {
+func (s *simulation) countLinks() int {
 	n := 0
 	for _, d := range s.daemons {
 		n += len(d.links())
@@ -310,76 +311,76 @@
 	return n
 }
 
-// reach checks that news of each daemon reaches all others that it can reach.
-func (s *site) reach() {
+// checkReach checks that a broadcast of each daemon reaches all daemons that it is connected to.
+func (s *simulation) checkReach() {
 	for _, from := range s.daemons {
 		if !from.up {
 			continue
 		}
 		heard := map[models.DaemonID]bool{from.ID: true}
-		s.spread(from, heard)
+		s.broadcast(from, heard)
 		for _, to := range s.daemons {
 			if s.reaches(from, to) && !heard[to.ID] {
-				s.c.Errorf("news of %s did not reach %s", from.ID, to.ID)
+				s.c.Errorf("a broadcast of %s did not reach %s", from.ID, to.ID)
 				return
 			}
 		}
 	}
 }
 
-// spread passes news on as daemons do: from one that is no relay to the relay it
-// relies on, from relays to their zones and across.
-func (s *site) spread(from *daemon, heard map[models.DaemonID]bool) {
-	relayed := from.arranged.Mesh || from.arranged.Relay
+// broadcast forwards a message as daemons do: from a daemon that is not a relay to the relay that
+// it uses, and from relays to their zones and to the other relays.
+func (s *simulation) broadcast(from *daemon, heard map[models.DaemonID]bool) {
+	relayed := from.arrangement.Mesh || from.arrangement.Relay
 	for id, link := range from.links() {
 		if to := s.byID[id]; s.reaches(from, to) && (relayed || link.RelaysFirst) {
 			heard[id] = true
-			s.passOn(from, to, !relayed, heard)
+			s.forward(from, to, !relayed, heard)
 		}
 	}
 }
 
-func (s *site) passOn(from, by *daemon, everywhere bool, heard map[models.DaemonID]bool) {
-	if by.arranged.Mesh || (from.Zone == by.Zone && !everywhere) {
+func (s *simulation) forward(from, by *daemon, allZones bool, heard map[models.DaemonID]bool) {
+	if by.arrangement.Mesh || (from.Zone == by.Zone && !allZones) {
 		return
 	}
 	for id, link := range by.links() {
-		if to := s.byID[id]; s.reaches(by, to) && (link.Member || (everywhere && link.Across)) {
+		if to := s.byID[id]; s.reaches(by, to) && (link.Member || (allZones && link.Across)) {
 			heard[id] = true
-			s.passOn(by, to, false, heard)
+			s.forward(by, to, false, heard)
 		}
 	}
 }
 
-// loads checks that the running daemons of each zone use the word of the same
-// relay, which runs.
-func (s *site) loads() {
+// checkLoads checks that the running daemons of each zone use the load totals of the same relay,
+// and that it is running.
+func (s *simulation) checkLoads() {
 	first := map[models.Zone]models.DaemonID{}
 	for _, d := range s.daemons {
-		if !d.up || d.arranged.Mesh {
+		if !d.up || d.arrangement.Mesh {
 			continue
 		}
 		if of, known := first[d.Zone]; known {
-			s.c.Check(d.arranged.First, qt.Equals, of, qt.Commentf("%s", d.ID))
+			s.c.Check(d.arrangement.First, qt.Equals, of, qt.Commentf("%s", d.ID))
 			continue
 		}
-		first[d.Zone] = d.arranged.First
-		s.c.Check(s.byID[d.arranged.First].up, qt.IsTrue, qt.Commentf("%s relies on %s", d.ID, d.arranged.First))
+		first[d.Zone] = d.arrangement.First
+		s.c.Check(s.byID[d.arrangement.First].up, qt.IsTrue, qt.Commentf("%s uses the load totals of %s", d.ID, d.arrangement.First))
 	}
 }
 
-// planners checks how many daemons take themselves for ones that may plan.
-func (s *site) planners(most int) {
+// checkPlanners checks how many daemons consider themselves candidates for planner.
+func (s *simulation) checkPlanners(most int) {
 	n := 0
 	for _, d := range s.daemons {
 		if !d.up {
 			continue
 		}
-		for _, p := range d.arranged.Planners {
+		for _, p := range d.arrangement.Planners {
 			if p.ID == d.ID {
 				n++
 			}
 		}
 	}
-	s.c.Check(n > 0 && n <= most, qt.IsTrue, qt.Commentf("%d may plan", n))
+	s.c.Check(n > 0 && n <= most, qt.IsTrue, qt.Commentf("%d candidates for planner", n))
 }
