--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -7,74 +7,77 @@
 )
 
 const (
-	// burst is how many permits may be granted at once after a pause.
+	// burst is the number of permits that may be granted at once after a pause.
 	burst = 2
-	// reserved is how many of them are kept for more urgent requests while such wait.
-	reserved = 1
-	// urgentFor is for how long a refused request counts as waiting.
-	urgentFor = time.Second
-	// open is how often a permit is granted to whoever asks, of so many: the least urgent
-	// requests are not to be starved.
-	open = 4
-	// crowd is how many askers may be told to come back for the same permit.
-	crowd = 8
-	// longestWait bounds how long an asker is told to wait.
-	longestWait = 2 * time.Second
-	// forgotten is after how long without a permit a bucket is dropped: it is full again.
-	forgotten = time.Minute
+	// reservedPermits is the part of burst that is reserved for more urgent requests while they
+	// wait.
+	reservedPermits = 1
+	// urgentWindow is how long a refused request counts as waiting.
+	urgentWindow = time.Second
+	// unreservedInterval is the number of permits of which one is granted regardless of urgency, so
+	// that the least urgent requests don't starve.
+	unreservedInterval = 4
+	// askersPerPermit is how many refused askers may be given the same time to ask again.
+	askersPerPermit = 8
+	// maxWait bounds the time until an asker may ask again.
+	maxWait = 2 * time.Second
+	// bucketIdleTimeout is how long a bucket is kept without an ask: an unused bucket has drained
+	// long before.
+	bucketIdleTimeout = time.Minute
 )
 
-// Wanted is an instance that a request may go to, and how many requests a second it may get
-// as the asker knows.
+// Wanted is an instance that a request may be sent to, and its rate limit in requests per second as
+// known to the asker.
 type Wanted struct {
 	Instance models.InstanceID `msgpack:"i"`
 	Rate     float64           `msgpack:"r"`
 }
 
-// Ask asks for a permit to send one request to one of several instances.
+// Ask is a request for a permit to send one request to one of several instances.
 type Ask struct {
-	// Rank tells how urgent the request is, 0 first.
+	// Rank is the priority of the request, 0 is the most urgent.
 	Rank int `msgpack:"k"`
-	// Wanted are the instances, the best first.
+	// Wanted holds the instances in order of preference.
 	Wanted []Wanted `msgpack:"w"`
-	// Charge tells that something was sent to the first of them without a permit, which
-	// counts against its rate all the same.
+	// Charge reports that something was sent to the first instance without a permit. It counts
+	// against the instance's rate.
 	Charge bool `msgpack:"c,omitempty"`
 }
 
-// Grant answers an Ask.
+// Grant is the answer to an Ask.
 type Grant struct {
-	// Granted tells that the request may be sent to the wanted instance at At.
+	// Granted is set if the request may be sent to the instance with index At in Wanted.
 	Granted bool `msgpack:"g,omitempty"`
 	At      int  `msgpack:"a,omitempty"`
-	// Waits are how long it is useless to ask again, for each wanted instance; zero
-	// for those that were not looked at.
+	// Waits holds for each wanted instance how long asking again is useless; zero for instances
+	// that were not checked.
 	Waits []time.Duration `msgpack:"w,omitempty"`
 }
 
-// Granter holds the buckets of the instances that one daemon grants permits for. The zero
-// value is ready to use. It is not safe for use by several goroutines.
+// Granter holds the buckets of the instances for which a daemon grants permits. The zero value is
+// ready to use. It is not safe for concurrent use.
 type Granter struct {
 	buckets map[models.InstanceID]*bucket
 }
 
-// bucket is a leaky bucket that holds the permits granted of late.
+// bucket is a leaky bucket: each permit fills it, and it drains at the instance's rate.
 type bucket struct {
 	level float64
-	// at is when it was looked at last, rate what it then drained at.
-	at   time.Time
-	rate float64
+	// updatedAt is when the level was last computed, rate the rate at that time.
+	updatedAt time.Time
+	rate      float64
 	// granted counts all permits.
 	granted int
-	// denied counts the asks refused since the last one.
+	// denied counts the asks refused since the last permit.
 	denied int
-	// urgent is the rank of the most urgent request that was refused of late, until then.
-	urgent int
-	until  time.Time
+	// urgentRank is the rank of the most urgent request refused within urgentWindow, valid until
+	// urgentUntil.
+	urgentRank  int
+	urgentUntil time.Time
 }
 
-// Ask grants a permit for the first of the wanted instances that may get one more request
-// now. The function tells the rate at which this daemon may grant permits of an instance.
+// Ask grants a permit for the first of the wanted instances that may get another request now. The
+// function rate returns the rate at which this daemon may grant permits for an instance.
 func (g *Granter) Ask(ask Ask, rate func(Wanted) float64, now time.Time) Grant {
 	waits := make([]time.Duration, len(ask.Wanted))
 	if ask.Charge && len(ask.Wanted) > 0 {
@@ -90,7 +93,7 @@
 		}
 		if r <= 0 {
 			g.bucket(w.Instance, now).drain(0, now)
-			waits[n] = longestWait
+			waits[n] = maxWait
 			continue
 		}
 		if waits[n] = g.bucket(w.Instance, now).take(ask.Rank, r, now); waits[n] == 0 {
@@ -100,41 +103,41 @@
 	return Grant{Waits: waits}
 }
 
-// bucket returns the bucket of an instance. A new one grants nothing at once: another
-// daemon may have granted permits until now.
+// bucket returns the bucket of an instance. A new bucket is full, since another daemon may have
+// granted permits until now.
 func (g *Granter) bucket(id models.InstanceID, now time.Time) *bucket {
 	if g.buckets == nil {
 		g.buckets = map[models.InstanceID]*bucket{}
 	}
 	b := g.buckets[id]
 	if b == nil {
-		b = &bucket{level: burst, at: now}
+		b = &bucket{level: burst, updatedAt: now}
 		g.buckets[id] = b
 	}
 	return b
 }
 
-// drain has the bucket drain until now. The rate may have changed at any time since it last
-// did.
+// drain computes the level at the given time. The rate may have changed at any time since the last
+// update, so the lower of both rates applies.
 func (b *bucket) drain(rate float64, now time.Time) {
-	drained := min(rate, b.rate) * max(0, now.Sub(b.at).Seconds())
-	b.level, b.at, b.rate = max(0, b.level-drained), now, rate
+	drained := min(rate, b.rate) * max(0, now.Sub(b.updatedAt).Seconds())
+	b.level, b.updatedAt, b.rate = max(0, b.level-drained), now, rate
 }
 
-// take takes one permit and returns zero, or how long there will be none.
+// take takes one permit and returns zero, or returns how long no permit will be available.
 func (b *bucket) take(rank int, rate float64, now time.Time) time.Duration {
 	b.drain(rate, now)
-	need := 1.0
-	waiting := now.Before(b.until)
-	if waiting && rank > b.urgent && b.granted%open != 0 {
-		need += reserved
+	required := 1.0
+	waiting := now.Before(b.urgentUntil)
+	if waiting && rank > b.urgentRank && b.granted%unreservedInterval != 0 {
+		required += reservedPermits
 	}
-	if over := b.level + need - burst; over > 0 {
+	if excess := b.level + required - burst; excess > 0 {
 		b.denied++
-		if !waiting || rank <= b.urgent {
-			b.urgent, b.until = rank, now.Add(urgentFor)
+		if !waiting || rank <= b.urgentRank {
+			b.urgentRank, b.urgentUntil = rank, now.Add(urgentWindow)
 		}
-		wait := min(longestWait.Seconds(), over/rate*(1+float64(b.denied)/crowd))
+		wait := min(maxWait.Seconds(), excess/rate*(1+float64(b.denied)/askersPerPermit))
 		return time.Duration(wait*float64(time.Second)) + time.Millisecond
 	}
 	b.level++
@@ -143,10 +146,10 @@
 	return 0
 }
 
-// Prune forgets buckets that were not used for long.
+// Prune drops buckets that have not been used for bucketIdleTimeout.
 func (g *Granter) Prune(now time.Time) {
 	for id, b := range g.buckets {
-		if now.Sub(b.at) > forgotten {
+		if now.Sub(b.updatedAt) > bucketIdleTimeout {
 			delete(g.buckets, id)
 		}
 	}
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -11,11 +11,11 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-func want(id models.InstanceID) []Wanted { return []Wanted{{Instance: id, Rate: 1}} }
+func wantOne(id models.InstanceID) []Wanted { return []Wanted{{Instance: id, Rate: 1}} }
 
-// Whatever is asked for when, and however the rate changes, no more permits are granted than
-// the rate comes to, and the burst.
-func TestGrantsKeepWithinTheRate(t *testing.T) {
+// For any sequence of asks and rate changes, the number of permits never exceeds what the rate
+// allows plus the burst.
+func TestGrantsStayWithinRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
 		var g Granter
@@ -29,10 +29,10 @@
 				rate = rapid.SampledFrom([]float64{0, 0.3, 1.4, 5}).Draw(t, "rate")
 			}
 			rank := rapid.IntRange(0, 9).Draw(t, "rank")
-			got := g.Ask(Ask{Rank: rank, Wanted: want("i")}, func(Wanted) float64 { return rate }, now)
+			got := g.Ask(Ask{Rank: rank, Wanted: wantOne("i")}, func(Wanted) float64 { return rate }, now)
 			if !got.Granted {
-				if wait := got.Waits[0]; wait <= 0 || wait > longestWait+time.Millisecond {
-					t.Fatalf("a wait of %v", wait)
+				if wait := got.Waits[0]; wait <= 0 || wait > maxWait+time.Millisecond {
+					t.Fatalf("the wait is %v", wait)
 				}
 				continue
 			}
@@ -48,13 +48,14 @@
 	})
 }
 
-// While more urgent requests wait the last permit is kept for them, but for one in four.
-func TestUrgentComeFirst(t *testing.T) {
+// While more urgent requests wait, the last permit is reserved for them, except for every fourth
+// permit.
+func TestUrgentRequestsFirst(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	var g Granter
 	rate := func(Wanted) float64 { return 1 }
-	ask := func(rank int) bool { return g.Ask(Ask{Rank: rank, Wanted: want("i")}, rate, now).Granted }
+	ask := func(rank int) bool { return g.Ask(Ask{Rank: rank, Wanted: wantOne("i")}, rate, now).Granted }
 	granted := map[int]int{}
 	for range 400 {
 		now = now.Add(100 * time.Millisecond)
@@ -68,8 +69,8 @@
 	c.Assert(granted[5] >= 8 && granted[5] <= 14, qt.IsTrue, qt.Commentf("%v", granted))
 }
 
-// What is sent without a permit leaves fewer for requests.
-func TestChargesCount(t *testing.T) {
+// Requests sent without a permit reduce the number of permits.
+func TestChargesConsumePermits(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	var g Granter
@@ -78,9 +79,9 @@
 	for n := range 100 {
 		now = now.Add(100 * time.Millisecond)
 		if n%20 == 0 {
-			g.Ask(Ask{Wanted: want("i"), Charge: true}, rate, now)
+			g.Ask(Ask{Wanted: wantOne("i"), Charge: true}, rate, now)
 		}
-		if g.Ask(Ask{Wanted: want("i")}, rate, now).Granted {
+		if g.Ask(Ask{Wanted: wantOne("i")}, rate, now).Granted {
 			granted++
 		}
 	}
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -1,8 +1,8 @@
-// Package ratelimit keeps the request rates that instances name in their answers, and
-// divides each of them among all daemons: one daemon holds the token bucket of an
-// instance, the others ask it for a permit before each send.
+// Package ratelimit tracks the rate limits that instances announce in their responses, and divides
+// each limit among all daemons: one daemon holds the leaky bucket of an instance, and the others
+// ask it for a permit before each request.
 //
-// The package is pure: it does no input or output, and the time is handed in.
+// The package does no I/O, and the time is passed in.
 package ratelimit
 
 import (
@@ -15,77 +15,78 @@
 )
 
 const (
-	// leastRate stands for lower limits, in requests a second: an instance that gets none
-	// at all could not tell that its limit has ended.
-	leastRate = 0.1
-	// slowStart is for how long after a limit has ended requests are still bounded,
-	// doubling is how long the rate takes to double meanwhile.
-	slowStart = 3 * time.Second
-	doubling  = 500 * time.Millisecond
-	// kept is for how long an ended limit is remembered, so that old word of it is known
-	// for what it is.
-	kept = time.Minute
-	// mostRates bounds the rates remembered of one instance.
-	mostRates = 8
+	// minRate is the minimum limit in requests per second: an instance that gets no requests at all
+	// could not announce the end of its limit.
+	minRate = 0.1
+	// rampUpTime is how long requests are still limited after the end of a limit; the rate doubles
+	// every rampDoublingTime meanwhile.
+	rampUpTime       = 3 * time.Second
+	rampDoublingTime = 500 * time.Millisecond
+	// endedRetention is how long an ended limit is kept, so that outdated sightings of it are
+	// recognized.
+	endedRetention = time.Minute
+	// maxSpans bounds the number of spans kept per instance.
+	maxSpans = 8
 )
 
-// Sighting is what the head of one answer told of its instance's limit.
+// Sighting is the limit that an instance announced in the header of one response.
 type Sighting struct {
 	Instance models.InstanceID
-	// Born tells lives of one id apart; it is zero where births are not told.
+	// Born is when the instance started, to distinguish restarts under the same ID; zero if not
+	// known.
 	Born time.Time
-	// Rate is the limit, models.NoLimit if the answer named none.
+	// Rate is the limit in requests per second, models.NoLimit if the response had none.
 	Rate float64
-	// Asked is when the request was sent, Heard when the head of its answer came. The
-	// instance named the limit in between.
+	// Asked is when the request was sent, Heard when the header of the response arrived. The
+	// instance announced the limit between the two.
 	Asked, Heard time.Time
-	// By is the daemon that heard the answer, empty for this one, Number rises with what
-	// that daemon hears.
+	// By is the daemon that received the response, empty for this daemon. Number increases with
+	// each response that the daemon receives.
 	By     models.DaemonID
 	Number int64
 }
 
-// Source tells who told of something; the empty one is this daemon itself.
+// Source is the daemon that a sighting came from, empty for this daemon.
 type Source = models.DaemonID
 
-// Limits holds what is known of instances' limits. Sightings join in any order and any
-// number of times. Of two that overlap in time it is not known which is newer, and the
-// lower rate holds; a later one replaces an earlier one. Limits is not safe for use by
-// several goroutines.
+// Limits holds the known limits of all instances. Sightings may be added in any order and any
+// number of times. A later sighting replaces an earlier one. If two overlap in time, it is not
+// known which is newer, and the lower rate applies. Limits is not safe for concurrent use.
 type Limits struct {
-	known map[models.InstanceID]*limit
-	// changes numbers what is learned, so that others can be told what is new.
-	changes uint64
+	limits map[models.InstanceID]*limit
+	// version increases with each change, so that peers can be sent only what is new.
+	version uint64
 }
 
-// limit is what is known of one life of an instance.
+// limit is the state of one instance between two restarts.
 type limit struct {
-	life models.UpstreamInstance
-	// spans are the sightings that none is known to follow, joined by rate.
+	instance models.UpstreamInstance
+	// spans holds the sightings that no known sighting follows, merged by rate.
 	spans []span
-	// numbers are those of the last sightings by each daemon. What is told seems younger
-	// by its way here, so that a sighting which came round must not count anew.
-	numbers map[models.DaemonID]int64
-	// last is the rate that held before the limit ended, at the time ended.
-	last   float64
-	ended  time.Time
-	change uint64
-	from   Source
+	// lastNumbers is the number of the last sighting by each daemon. The times of a relayed
+	// sighting get later by the time that the messages take, so a sighting that comes back by
+	// another path must not count as new.
+	lastNumbers map[models.DaemonID]int64
+	// lastRate is the rate before the limit ended at endedAt.
+	lastRate float64
+	endedAt  time.Time
+	version  uint64
+	source   Source
 }
 
-// span is the time in which an instance is known to have named a rate.
+// span is a period in which an instance is known to have announced a rate.
 type span struct {
 	rate         float64
 	asked, heard time.Time
-	// by and number are those of the sighting that was heard last.
+	// by and number identify the sighting that was heard last.
 	by     models.DaemonID
 	number int64
 }
 
-// Change is what a sighting changed.
+// Change is the effect of a sighting on a limit.
 type Change int
 
-// The changes.
+// The kinds of change.
 const (
 	Unchanged Change = iota
 	Begun
@@ -93,46 +94,46 @@
 	Ended
 )
 
-// Note takes in a sighting. It tells what that changed, and whether there is something to
-// tell others.
-func (l *Limits) Note(s Sighting, from Source) (Change, bool) {
-	known := l.known[s.Instance]
-	if known != nil && known.life.LifeOf(s.Born) == models.EarlierLife {
+// Note adds a sighting. It returns the change of the limit, and whether there is something to
+// publish to peers.
+func (l *Limits) Note(s Sighting, source Source) (Change, bool) {
+	lim := l.limits[s.Instance]
+	if lim != nil && lim.instance.LifeOf(s.Born) == models.EarlierLife {
 		return Unchanged, false
 	}
-	if known == nil && s.Rate == models.NoLimit {
+	if lim == nil && s.Rate == models.NoLimit {
 		return Unchanged, false
 	}
-	if known == nil || known.life.LifeOf(s.Born) == models.LaterLife {
-		known = &limit{
-			life: models.UpstreamInstance{ID: s.Instance, Born: s.Born}, last: models.NoLimit, numbers: map[models.DaemonID]int64{},
+	if lim == nil || lim.instance.LifeOf(s.Born) == models.LaterLife {
+		lim = &limit{
+			instance: models.UpstreamInstance{ID: s.Instance, Born: s.Born}, lastRate: models.NoLimit, lastNumbers: map[models.DaemonID]int64{},
 		}
-		if l.known == nil {
-			l.known = map[models.InstanceID]*limit{}
+		if l.limits == nil {
+			l.limits = map[models.InstanceID]*limit{}
 		}
-		l.known[s.Instance] = known
+		l.limits[s.Instance] = lim
 	}
-	if s.Number > 0 && s.Number <= known.numbers[s.By] {
+	if s.Number > 0 && s.Number <= lim.lastNumbers[s.By] {
 		return Unchanged, false
 	}
-	known.numbers[s.By] = s.Number
-	before, spans := known.rate(), len(known.spans)
-	newer := known.join(span{s.Rate, s.Asked, s.Heard, s.By, s.Number})
-	after := known.rate()
-	tell := after != before || len(known.spans) != spans
-	if !newer && from != "" {
-		// Whoever tells what is out of date is to be told what replaced it.
-		tell, from = true, ""
+	lim.lastNumbers[s.By] = s.Number
+	before, spans := lim.rate(), len(lim.spans)
+	newer := lim.merge(span{s.Rate, s.Asked, s.Heard, s.By, s.Number})
+	after := lim.rate()
+	publish := after != before || len(lim.spans) != spans
+	if !newer && source != "" {
+		// A peer that sends an outdated sighting must receive the sighting that replaced it.
+		publish, source = true, ""
 	}
-	if tell {
-		l.changes++
-		known.change, known.from = l.changes, from
+	if publish {
+		l.version++
+		lim.version, lim.source = l.version, source
 	}
-	return changeOf(before, after), tell
+	return classifyChange(before, after), publish
 }
 
-// changeOf names the change of a rate.
-func changeOf(before, after float64) Change {
+// classifyChange returns the kind of change between two rates.
+func classifyChange(before, after float64) Change {
 	switch {
 	case after == before:
 		return Unchanged
@@ -145,39 +146,40 @@
 	}
 }
 
-// join takes in a span unless a known one is later, and reports whether it did. What it
-// is later than is dropped.
-func (k *limit) join(s span) bool {
-	if slices.ContainsFunc(k.spans, func(other span) bool { return other.asked.After(s.heard) }) {
+// merge adds a span unless a known span is later, and reports whether it was added. Spans that are
+// earlier than s are dropped.
+func (l *limit) merge(s span) bool {
+	if slices.ContainsFunc(l.spans, func(other span) bool { return other.asked.After(s.heard) }) {
 		return false
 	}
-	before := k.rate()
-	k.spans = slices.DeleteFunc(k.spans, func(other span) bool { return s.asked.After(other.heard) })
-	at := slices.IndexFunc(k.spans, func(other span) bool { return other.rate == s.rate })
+	before := l.rate()
+	l.spans = slices.DeleteFunc(l.spans, func(other span) bool { return s.asked.After(other.heard) })
+	at := slices.IndexFunc(l.spans, func(other span) bool { return other.rate == s.rate })
 	switch {
 	case at >= 0:
-		k.spans[at].joinSame(s)
+		l.spans[at].extend(s)
 	default:
-		k.spans = append(k.spans, s)
-		k.dropHighest()
+		l.spans = append(l.spans, s)
+		l.dropHighest()
 	}
-	if before != models.NoLimit && k.rate() == models.NoLimit {
-		k.last, k.ended = before, s.heard
+	if before != models.NoLimit && l.rate() == models.NoLimit {
+		l.lastRate, l.endedAt = before, s.heard
 	}
 	return true
 }
 
-// dropHighest drops the span of the highest rate if there are too many: the lowest one holds.
-func (k *limit) dropHighest() {
-	if len(k.spans) <= mostRates {
+// dropHighest drops the span with the highest rate if there are too many. The limit is the lowest
+// rate.
+func (l *limit) dropHighest() {
+	if len(l.spans) <= maxSpans {
 		return
 	}
-	slices.SortFunc(k.spans, func(a, b span) int { return cmp.Compare(a.rate, b.rate) })
-	k.spans = k.spans[:mostRates]
+	slices.SortFunc(l.spans, func(a, b span) int { return cmp.Compare(a.rate, b.rate) })
+	l.spans = l.spans[:maxSpans]
 }
 
-// joinSame takes in a sighting of the same rate.
-func (s *span) joinSame(o span) {
+// extend merges a span of the same rate.
+func (s *span) extend(o span) {
 	s.asked = later(s.asked, o.asked)
 	if o.heard.After(s.heard) {
 		s.heard, s.by, s.number = o.heard, o.by, o.number
@@ -192,84 +194,84 @@
 }
 
 // rate is the limit in force, models.NoLimit if there is none.
-func (k *limit) rate() float64 {
+func (l *limit) rate() float64 {
 	rate := models.NoLimit
-	for _, s := range k.spans {
+	for _, s := range l.spans {
 		rate = min(rate, s.rate)
 	}
 	return rate
 }
 
-// heard is when the instance was heard of last.
-func (k *limit) heard() time.Time {
+// lastHeard is the time of the last known sighting of the instance.
+func (l *limit) lastHeard() time.Time {
 	var at time.Time
-	for _, s := range k.spans {
+	for _, s := range l.spans {
 		at = later(at, s.heard)
 	}
 	return at
 }
 
-// Rate is how many requests a second an instance may get from all daemons together,
-// models.NoLimit if it is not bounded. After a limit has ended the rate rises from it.
+// Rate is the number of requests per second that an instance may get from all daemons together,
+// models.NoLimit if it is not limited. After a limit has ended, the rate increases gradually.
 func (l *Limits) Rate(i models.UpstreamInstance, now time.Time) float64 {
-	known := l.known[i.ID]
-	if known == nil || i.LifeOf(known.life.Born) == models.EarlierLife {
+	lim := l.limits[i.ID]
+	if lim == nil || i.LifeOf(lim.instance.Born) == models.EarlierLife {
 		return models.NoLimit
 	}
-	if rate := known.rate(); rate != models.NoLimit {
-		return max(leastRate, rate)
+	if rate := lim.rate(); rate != models.NoLimit {
+		return max(minRate, rate)
 	}
-	since := now.Sub(known.ended)
-	if known.last == models.NoLimit || since >= slowStart {
+	since := now.Sub(lim.endedAt)
+	if lim.lastRate == models.NoLimit || since >= rampUpTime {
 		return models.NoLimit
 	}
-	return max(leastRate, known.last) * math.Exp2(max(0, since.Seconds())/doubling.Seconds())
+	return max(minRate, lim.lastRate) * math.Exp2(max(0, since.Seconds())/rampDoublingTime.Seconds())
 }
 
-// Named is the limit that an instance names itself.
+// Named is the limit that an instance announces.
 func (l *Limits) Named(id models.InstanceID) float64 {
-	if known := l.known[id]; known != nil {
-		return known.rate()
+	if lim := l.limits[id]; lim != nil {
+		return lim.rate()
 	}
 	return models.NoLimit
 }
 
-// InForce is how many instances name a limit.
+// InForce is the number of instances that announce a limit.
 func (l *Limits) InForce() int {
 	n := 0
-	for _, known := range l.known {
-		if known.rate() != models.NoLimit {
+	for _, lim := range l.limits {
+		if lim.rate() != models.NoLimit {
 			n++
 		}
 	}
 	return n
 }
 
-// Empty reports whether no limit is known, ended ones among them.
-func (l *Limits) Empty() bool { return len(l.known) == 0 }
+// Empty reports whether no limit is known, ended limits included.
+func (l *Limits) Empty() bool { return len(l.limits) == 0 }
 
-// Since returns what was learned after a change from those sources that are to be told
-// of, and the newest change.
-func (l *Limits) Since(seen uint64, tells func(Source) bool) ([]Sighting, uint64) {
+// Since returns the sightings added after a version from the included sources, and the current
+// version.
+func (l *Limits) Since(seen uint64, include func(Source) bool) ([]Sighting, uint64) {
 	var out []Sighting
-	for id, known := range l.known {
-		if known.change <= seen || !tells(known.from) {
+	for id, lim := range l.limits {
+		if lim.version <= seen || !include(lim.source) {
 			continue
 		}
-		for _, s := range known.spans {
-			out = append(out, Sighting{Instance: id, Born: known.life.Born, Rate: s.rate, Asked: s.asked, Heard: s.heard, By: s.by, Number: s.number})
+		for _, s := range lim.spans {
+			out = append(out, Sighting{Instance: id, Born: lim.instance.Born, Rate: s.rate, Asked: s.asked, Heard: s.heard, By: s.by, Number: s.number})
 		}
 	}
-	return out, l.changes
+	return out, l.version
 }
 
-// Prune forgets instances that are gone, and limits that ended long ago.
+// Prune drops instances that are gone, and limits that ended longer than endedRetention ago.
 func (l *Limits) Prune(gone func(models.InstanceID) bool, now time.Time) {
-	for id, known := range l.known {
-		inForce := known.rate() != models.NoLimit
+	for id, lim := range l.limits {
+		inForce := lim.rate() != models.NoLimit
 		switch {
-		case inForce && gone(id) && now.Sub(known.heard()) > kept, !inForce && now.Sub(known.ended) > kept:
-			delete(l.known, id)
+		case inForce && gone(id) && now.Sub(lim.lastHeard()) > endedRetention, !inForce && now.Sub(lim.endedAt) > endedRetention:
+			delete(l.limits, id)
 		}
 	}
 }
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -11,7 +11,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// drawSightings draws what the answers of one instance tell that names one rate after the
+// drawSightings draws the sightings of an instance that announces several rates one after the
 // other.
 func drawSightings(t *rapid.T, began time.Time) []Sighting {
 	var out []Sighting
@@ -29,25 +29,25 @@
 	return out
 }
 
-// Daemons that hear the same in another order, some of it twice, believe the same limit, and
-// never one above what the last answers that overlap in time named.
-func TestSightingsJoinInAnyOrder(t *testing.T) {
+// Daemons that receive the same sightings in another order, some of them twice, compute the same
+// limit, and never a limit above the rates of the last overlapping sightings.
+func TestSightingsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		began := time.Unix(1_000_000, 0)
 		sightings := drawSightings(t, began)
 		want := models.NoLimit
 		for _, s := range sightings {
-			followed := false
+			superseded := false
 			for _, other := range sightings {
-				followed = followed || other.Asked.After(s.Heard)
+				superseded = superseded || other.Asked.After(s.Heard)
 			}
-			if !followed {
+			if !superseded {
 				want = min(want, s.Rate)
 			}
 		}
 		order := rapid.Permutation(append(sightings, sightings[0], sightings[len(sightings)-1])).Draw(t, "order")
 		var l Limits
-		// Without one that names a limit nothing is remembered.
+		// Nothing is kept before the first sighting with a limit.
 		l.Note(Sighting{Instance: "i1", Rate: 1, Asked: began.Add(-2 * time.Second), Heard: began.Add(-time.Second)}, "")
 		for _, s := range order {
 			l.Note(s, "")
@@ -58,32 +58,33 @@
 	})
 }
 
-// What is told over and over need not be told on, and what is out of date is answered.
-func TestLimitsAreToldOnce(t *testing.T) {
+// A sighting that changes nothing is not published again, and an outdated sighting is answered with
+// the current one.
+func TestKnownLimitsAreNotPublishedAgain(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	var l Limits
 	all := func(Source) bool { return true }
-	change, tell := l.Note(Sighting{Instance: "i1", Rate: 2, Asked: at(0), Heard: at(10)}, "")
+	change, publish := l.Note(Sighting{Instance: "i1", Rate: 2, Asked: at(0), Heard: at(10)}, "")
 	c.Assert(change, qt.Equals, Begun)
-	c.Assert(tell, qt.IsTrue)
-	told, seen := l.Since(0, all)
-	c.Assert(told, qt.HasLen, 1)
-	change, tell = l.Note(Sighting{Instance: "i1", Rate: 2, Asked: at(20), Heard: at(30)}, "")
+	c.Assert(publish, qt.IsTrue)
+	published, seen := l.Since(0, all)
+	c.Assert(published, qt.HasLen, 1)
+	change, publish = l.Note(Sighting{Instance: "i1", Rate: 2, Asked: at(20), Heard: at(30)}, "")
 	c.Assert(change, qt.Equals, Unchanged)
-	c.Assert(tell, qt.IsFalse)
-	told, _ = l.Since(seen, all)
-	c.Assert(told, qt.HasLen, 0)
-	_, tell = l.Note(Sighting{Instance: "i1", Rate: models.NoLimit, Asked: at(-10), Heard: at(15)}, "peer")
-	c.Assert(tell, qt.IsTrue)
-	told, _ = l.Since(seen, func(s Source) bool { return s == "" })
-	c.Assert(told, qt.DeepEquals, []Sighting{{Instance: "i1", Rate: 2, Asked: at(20), Heard: at(30)}})
+	c.Assert(publish, qt.IsFalse)
+	published, _ = l.Since(seen, all)
+	c.Assert(published, qt.HasLen, 0)
+	_, publish = l.Note(Sighting{Instance: "i1", Rate: models.NoLimit, Asked: at(-10), Heard: at(15)}, "peer")
+	c.Assert(publish, qt.IsTrue)
+	published, _ = l.Since(seen, func(s Source) bool { return s == "" })
+	c.Assert(published, qt.DeepEquals, []Sighting{{Instance: "i1", Rate: 2, Asked: at(20), Heard: at(30)}})
 }
 
-// Word of a limit that goes round between daemons, each time a little later, does not put off
-// its end.
-func TestWordThatGoesRoundIsNoNews(t *testing.T) {
+// A sighting that is relayed repeatedly between daemons, each time with a later time, must not
+// delay the end of the limit.
+func TestRelayedSightingsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
@@ -92,29 +93,29 @@
 	change, _ := l.Note(Sighting{Instance: "i1", Rate: 1.5, Asked: at(11), Heard: at(15), By: "other", Number: 1}, "other")
 	c.Assert(change, qt.Equals, Changed)
 	for round := range 10 {
-		change, tell := l.Note(Sighting{Instance: "i1", Rate: 2, Asked: at(20 * round), Heard: at(10 + 20*round), By: "peer", Number: 1}, "third")
+		change, publish := l.Note(Sighting{Instance: "i1", Rate: 2, Asked: at(20 * round), Heard: at(10 + 20*round), By: "peer", Number: 1}, "third")
 		c.Assert(change, qt.Equals, Unchanged)
-		c.Assert(tell, qt.IsFalse)
+		c.Assert(publish, qt.IsFalse)
 	}
 	change, _ = l.Note(Sighting{Instance: "i1", Rate: models.NoLimit, Asked: at(20), Heard: at(30), By: "peer", Number: 2}, "peer")
 	c.Assert(change, qt.Equals, Ended)
 }
 
-// An instance that names a lower rate in each of many answers that overlap is taken at the
-// last one.
-func TestManyRatesAtOnce(t *testing.T) {
+// If an instance announces lower and lower rates in many overlapping responses, the lowest rate
+// applies.
+func TestTooManyOverlappingRates(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	var l Limits
-	for n := range 3 * mostRates {
+	for n := range 3 * maxSpans {
 		heard := now.Add(time.Duration(n) * time.Millisecond)
 		l.Note(Sighting{Instance: "i1", Rate: float64(100 - n), Asked: now.Add(-time.Second), Heard: heard}, "")
 	}
-	c.Assert(l.Named("i1"), qt.Equals, float64(101-3*mostRates))
+	c.Assert(l.Named("i1"), qt.Equals, float64(101-3*maxSpans))
 }
 
-// After a limit has ended the instance is not rushed at, and a later life has none.
-func TestRateRisesAfterALimit(t *testing.T) {
+// After a limit has ended, the rate ramps up. An instance that restarted has no limit.
+func TestRateRampsUpAfterLimit(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
@@ -131,12 +132,12 @@
 	c.Assert(l.Rate(i, at(4000)), qt.Equals, models.NoLimit)
 
 	l.Note(Sighting{Instance: "i1", Born: i.Born, Rate: 0, Asked: at(4000), Heard: at(4010)}, "")
-	c.Assert(l.Rate(i, at(4020)), qt.Equals, leastRate)
+	c.Assert(l.Rate(i, at(4020)), qt.Equals, minRate)
 	c.Assert(l.Rate(models.UpstreamInstance{ID: "i1", Born: at(4015)}, at(4020)), qt.Equals, models.NoLimit)
 	c.Assert(l.InForce(), qt.Equals, 1)
 	l.Prune(func(models.InstanceID) bool { return true }, at(5000))
 	c.Assert(l.Empty(), qt.IsFalse)
-	l.Prune(func(models.InstanceID) bool { return true }, at(4020).Add(kept))
+	l.Prune(func(models.InstanceID) bool { return true }, at(4020).Add(endedRetention))
 	c.Assert(l.Empty(), qt.IsTrue)
 }
 
