--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -1,6 +1,6 @@
-// Package quarantine finds requests that crash the instances that run them, and
-// decides which requests are not to be sent any more. It is pure: crashes and times
-// come in as values, and daemons that hold the same crashes decide the same.
+// Package quarantine finds requests that crash the instances that run them, and decides which
+// requests must not be sent any more. It does no I/O: crashes and times are passed in, and daemons
+// with the same crashes make the same decisions.
 package quarantine
 
 import (
@@ -11,28 +11,28 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Request is what makes two requests the same one: who asks for what. The id of a
-// request, its deadline and the event after which a stream is resumed are new each
-// time that a caller comes back.
+// Request holds the fields by which two requests count as the same. The request ID, the deadline
+// and the event after which a stream resumes are not included, since they change with each retry of
+// a caller.
 type Request struct {
 	Workspace models.WorkspaceName
 	Method    string
 	Host      string
-	// Target is the path with its query.
+	// Target is the path with the query.
 	Target string
 	Body   []byte
 }
 
-// Digest stands for a request in logs and in messages between daemons, which hold
-// neither bodies nor keys. Nobody can make another caller's request have the digest
-// of his own, and so have it refused.
+// Digest identifies a request in logs and in messages between daemons, which contain neither bodies
+// nor keys. The hash is collision-resistant, so a caller can't craft a request with the digest of
+// another caller's request to have that request refused.
 type Digest [sha256.Size]byte
 
-// Digest is the request's digest.
+// Digest returns the digest of the request.
 func (r Request) Digest() Digest {
 	h := sha256.New()
 	for _, field := range [][]byte{[]byte(r.Workspace), []byte(r.Method), []byte(r.Host), []byte(r.Target), r.Body} {
-		// Lengths keep the end of one field from passing for the beginning of the next.
+		// The lengths delimit the fields, so that different fields can't hash the same input.
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 		h.Write(length[:])
@@ -41,8 +41,8 @@
 	return Digest(h.Sum(nil))
 }
 
-// shortLen is how much of a digest logs show, in bytes: enough to find a request by.
+// shortLen is the number of digest bytes shown in logs, enough to find a request.
 const shortLen = 6
 
-// String is the beginning of the digest in hex.
+// String returns the first bytes of the digest in hex.
 func (d Digest) String() string { return hex.EncodeToString(d[:shortLen]) }
--- a/quarantine/example_test.go
+++ b/quarantine/example_test.go
@@ -6,7 +6,8 @@
 	"github.com/lupinkeel/lupinkeel/quarantine"
 )
 
-// Two callers who ask the same are told apart, and so are two bodies of one caller.
+// The same request by two callers has different digests, and so have requests with different
+// bodies.
 func ExampleRequest_Digest() {
 	first := quarantine.Request{Workspace: "a", Method: "POST", Host: "api.example", Target: "/briefs/1", Body: []byte("prompt")}
 	other := first
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -8,85 +8,86 @@
 )
 
 const (
-	// kept is for how long a crash is remembered: as long as regions may be parted, so
-	// that what either side saw still joins.
-	kept = time.Hour
-	// mostCrashes and mostRequests bound what is remembered, all crashes and the
-	// requests of one, against a caller who crashes instances with ever new requests.
-	mostCrashes  = 256
-	mostRequests = 128
+	// retention is how long a crash is kept. It is as long as regions may be partitioned, so that
+	// the crashes seen on both sides can still be merged.
+	retention = time.Hour
+	// maxCrashes bounds the number of kept crashes, maxRequestsPerCrash the number of requests of
+	// each. They limit the memory that a caller can fill by crashing instances with ever new
+	// requests.
+	maxCrashes          = 256
+	maxRequestsPerCrash = 128
 )
 
-// Crash is one life of an instance that ended, and requests that it may have been
-// running.
+// Crash is the crash of an instance, with the requests that it may have been running.
 type Crash struct {
 	Instance models.InstanceID
-	// Born tells lives of one id apart; it is zero where births are not told.
+	// Born is when the instance started, to distinguish restarts under the same ID; zero if not
+	// known.
 	Born time.Time
 	At   time.Time
-	// Requests tells of each whether it was cleared: it has ended well elsewhere.
+	// Requests maps each request to whether it is cleared because it has succeeded elsewhere.
 	Requests map[Digest]bool
 }
 
-// Source tells who told of something; the empty one is this daemon itself.
+// Source is the daemon that a crash was reported by, empty for this daemon.
 type Source = models.DaemonID
 
-// List holds crashes. What is told joins in any order and any number of times: a crash
-// that two daemons saw is one, and who was cleared of it stays so. A List is not safe
-// for use by several goroutines.
+// List holds the known crashes. Reports may be added in any order and any number of times: two
+// reports of the same crash are merged, and a cleared request stays cleared. A List is not safe for
+// concurrent use.
 type List struct {
 	crashes []*crash
-	// changes numbers what is learned, so that others can be told what is new.
-	changes uint64
-	// suspects holds, by request, the crashes that it was not cleared of.
+	// version increases with each change, so that peers can be sent only what is new.
+	version uint64
+	// suspects holds the crashes of each request from which it is not cleared.
 	suspects map[Digest][]*crash
-	// decided is what is held against requests that were on enough instances, explained
-	// the crashes that it is held against them.
-	decided   map[Digest]Standing
-	explained map[*crash]bool
+	// standings holds the evaluation of the requests that were top suspects, attributed the crashes
+	// attributed to them.
+	standings  map[Digest]Standing
+	attributed map[*crash]bool
 }
 
-// crash is a Crash as the list keeps it.
+// crash is the internal form of a Crash.
 type crash struct {
 	instance models.UpstreamInstance
 	at       time.Time
-	requests map[Digest]implication
+	requests map[Digest]suspicion
 }
 
-// implication is that a request was on an instance that crashed.
-type implication struct {
+// suspicion records that a request was on an instance that crashed.
+type suspicion struct {
 	cleared bool
-	change  uint64
-	from    Source
+	version uint64
+	source  Source
 }
 
-// Add takes in a crash, and reports whether anything of it was new.
-func (l *List) Add(c Crash, from Source, now time.Time) bool {
-	if now.Sub(c.At) > kept {
+// Add adds a crash, and reports whether anything in it was new.
+func (l *List) Add(c Crash, source Source, now time.Time) bool {
+	if now.Sub(c.At) > retention {
 		return false
 	}
 	if l.suspects == nil {
 		l.suspects = map[Digest][]*crash{}
 	}
-	before := l.changes
+	before := l.version
 	known := l.find(c)
 	if known == nil {
 		known = &crash{
-			instance: models.UpstreamInstance{ID: c.Instance, Born: c.Born}, at: c.At, requests: map[Digest]implication{},
+			instance: models.UpstreamInstance{ID: c.Instance, Born: c.Born}, at: c.At, requests: map[Digest]suspicion{},
 		}
 		l.crashes = append(l.crashes, known)
 	}
 	for d, cleared := range c.Requests {
-		l.implicate(known, d, cleared, from)
+		l.record(known, d, cleared, source)
 	}
-	if l.changes == before {
+	if l.version == before {
 		return false
 	}
 	l.Prune(now)
 	return true
 }
 
-// find returns the crash of the same life of an instance, if it is known.
+// find returns the known crash of the same instance since the same start, or nil.
 func (l *List) find(c Crash) *crash {
 	for _, known := range l.crashes {
 		if known.instance.ID == c.Instance && known.instance.LifeOf(c.Born) == models.SameLife {
@@ -96,76 +97,74 @@
 	return nil
 }
 
-// implicate notes that an instance had a request when it crashed, or that the request
-// was cleared of it.
-func (l *List) implicate(c *crash, d Digest, cleared bool, from Source) {
-	known, there := c.requests[d]
-	if there && (known.cleared || !cleared) || !there && len(c.requests) >= mostRequests {
+// record records that an instance had a request when it crashed, or that the request is cleared of
+// the crash.
+func (l *List) record(c *crash, d Digest, cleared bool, source Source) {
+	known, present := c.requests[d]
+	if present && (known.cleared || !cleared) || !present && len(c.requests) >= maxRequestsPerCrash {
 		return
 	}
-	l.changes++
-	c.requests[d] = implication{cleared: cleared, change: l.changes, from: from}
+	l.version++
+	c.requests[d] = suspicion{cleared: cleared, version: l.version, source: source}
 	switch {
 	case !cleared:
 		l.suspects[d] = append(l.suspects[d], c)
-	case there:
-		l.unsuspect(d, c)
+	case present:
+		l.removeSuspect(d, c)
 	}
 }
 
-// unsuspect holds a crash against a request no more.
-func (l *List) unsuspect(d Digest, c *crash) {
-	left := slices.DeleteFunc(l.suspects[d], func(other *crash) bool { return other == c })
-	if len(left) == 0 {
+// removeSuspect removes a crash from the crashes of a suspect.
+func (l *List) removeSuspect(d Digest, c *crash) {
+	remaining := slices.DeleteFunc(l.suspects[d], func(other *crash) bool { return other == c })
+	if len(remaining) == 0 {
 		delete(l.suspects, d)
 		return
 	}
-	l.suspects[d] = left
+	l.suspects[d] = remaining
 }
 
-// drop forgets a crash.
-func (l *List) drop(c *crash) {
+// removeCrash removes a crash from the crashes of all its requests.
+func (l *List) removeCrash(c *crash) {
 	for d := range c.requests {
-		l.unsuspect(d, c)
+		l.removeSuspect(d, c)
 	}
 }
 
-// Clear notes that a request ended well, so that it did not crash the instances which it
-// was on before. It reports whether it was suspected of any.
+// Clear records that a request succeeded, which clears it of all crashes before. It reports whether
+// the request was a suspect.
 func (l *List) Clear(d Digest, now time.Time) bool {
-	before := l.changes
+	before := l.version
 	for _, c := range l.crashes {
-		if _, there := c.requests[d]; there {
-			l.implicate(c, d, true, "")
+		if _, present := c.requests[d]; present {
+			l.record(c, d, true, "")
 		}
 	}
-	if l.changes == before {
+	if l.version == before {
 		return false
 	}
-	l.judge(now)
+	l.evaluate(now)
 	return true
 }
 
-// Since returns what was learned after a change from those sources that are to be told
-// of, and the newest change.
-func (l *List) Since(seen uint64, tells func(Source) bool) ([]Crash, uint64) {
+// Since returns what was added after a version by the included sources, and the current version.
+func (l *List) Since(seen uint64, include func(Source) bool) ([]Crash, uint64) {
 	var out []Crash
 	for _, c := range l.crashes {
-		told := Crash{Instance: c.instance.ID, Born: c.instance.Born, At: c.at, Requests: map[Digest]bool{}}
+		report := Crash{Instance: c.instance.ID, Born: c.instance.Born, At: c.at, Requests: map[Digest]bool{}}
 		for d, i := range c.requests {
-			if i.change > seen && tells(i.from) {
-				told.Requests[d] = i.cleared
+			if i.version > seen && include(i.source) {
+				report.Requests[d] = i.cleared
 			}
 		}
-		if len(told.Requests) > 0 {
-			out = append(out, told)
+		if len(report.Requests) > 0 {
+			out = append(out, report)
 		}
 	}
-	return out, l.changes
+	return out, l.version
 }
 
-// Against returns the crashes that a request is held to have caused, with that request
-// alone.
+// Against returns the crashes that a request is a suspect of, each with this request only.
 func (l *List) Against(d Digest) []Crash {
 	var out []Crash
 	for _, c := range l.suspects[d] {
@@ -174,15 +173,15 @@
 	return out
 }
 
-// Own reports whether this daemon itself found anything about a request.
+// Own reports whether this daemon itself recorded anything about a request.
 func (l *List) Own(d Digest) bool {
 	return slices.ContainsFunc(l.crashes, func(c *crash) bool {
-		i, there := c.requests[d]
-		return there && i.from == ""
+		i, present := c.requests[d]
+		return present && i.source == ""
 	})
 }
 
-// HasCrashed reports whether this life of an instance is known to have crashed.
+// HasCrashed reports whether the instance is known to have crashed since its last start.
 func (l *List) HasCrashed(i models.UpstreamInstance) bool {
 	return l.find(Crash{Instance: i.ID, Born: i.Born}) != nil
 }
@@ -190,33 +189,33 @@
 // Empty reports whether no crash is known.
 func (l *List) Empty() bool { return len(l.crashes) == 0 }
 
-// Prune forgets what is old and what is too much, the oldest first that no quarantined
-// request is known by, and judges anew.
+// Prune drops crashes older than retention, and the oldest crashes above maxCrashes that are not
+// evidence against a quarantined request. Then it evaluates the requests again.
 func (l *List) Prune(now time.Time) {
 	l.crashes = slices.DeleteFunc(l.crashes, func(c *crash) bool {
-		old := now.Sub(c.at) > kept
+		old := now.Sub(c.at) > retention
 		if old {
-			l.drop(c)
+			l.removeCrash(c)
 		}
 		return old
 	})
-	l.judge(now)
-	if len(l.crashes) <= mostCrashes {
+	l.evaluate(now)
+	if len(l.crashes) <= maxCrashes {
 		return
 	}
 	slices.SortStableFunc(l.crashes, func(a, b *crash) int { return a.at.Compare(b.at) })
-	for len(l.crashes) > mostCrashes {
-		at := max(0, slices.IndexFunc(l.crashes, func(c *crash) bool { return !l.evidence(c) }))
-		l.drop(l.crashes[at])
+	for len(l.crashes) > maxCrashes {
+		at := max(0, slices.IndexFunc(l.crashes, func(c *crash) bool { return !l.isEvidence(c) }))
+		l.removeCrash(l.crashes[at])
 		l.crashes = slices.Delete(l.crashes, at, at+1)
 	}
-	l.judge(now)
+	l.evaluate(now)
 }
 
-// evidence reports whether a quarantined request is known by the crash.
-func (l *List) evidence(c *crash) bool {
+// isEvidence reports whether a quarantined request is a suspect of the crash.
+func (l *List) isEvidence(c *crash) bool {
 	for d, i := range c.requests {
-		if !i.cleared && l.decided[d].Quarantined {
+		if !i.cleared && l.standings[d].Quarantined {
 			return true
 		}
 	}
--- a/quarantine/list_test.go
+++ b/quarantine/list_test.go
@@ -15,18 +15,18 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// epoch is when scripts begin.
-var epoch = time.Unix(1_000_000, 0)
+// scriptStart is the time at which scripts begin.
+var scriptStart = time.Unix(1_000_000, 0)
 
-func named(name string) Digest { return Request{Target: name}.Digest() }
+func digestOf(name string) Digest { return Request{Target: name}.Digest() }
 
-// TestScripts runs the files in testdata, line by line. Requests have names.
+// TestScripts runs the scripts in testdata. Requests have names.
 //
 //	TIME crash INSTANCE REQUEST...   the instance crashed with these requests
-//	TIME clear REQUEST               the request ended well
-//	TIME prune                       what is old is forgotten
+//	TIME clear REQUEST               the request succeeded
+//	TIME prune                       prune the list
 //	want REQUEST N [quarantined|on-trial]
-//	                                 this many crashes are held against the request
+//	                                 check the standing of the request and its N crashes
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	qt.Assert(t, err, qt.IsNil)
@@ -43,23 +43,23 @@
 	var l List
 	for n, line := range strings.Split(string(data), "\n") {
 		line, _, _ = strings.Cut(line, "#")
-		words := strings.Fields(line)
-		if len(words) == 0 {
+		fields := strings.Fields(line)
+		if len(fields) == 0 {
 			continue
 		}
 		where := qt.Commentf("%s:%d: %s", file, n+1, line)
-		if words[0] == "want" {
-			c.Assert(words[1]+" "+tell(l.Standing(named(words[1]))), qt.Equals, strings.Join(words[1:], " "), where)
+		if fields[0] == "want" {
+			c.Assert(fields[1]+" "+formatStanding(l.Standing(digestOf(fields[1]))), qt.Equals, strings.Join(fields[1:], " "), where)
 			continue
 		}
-		after, err := time.ParseDuration(words[0])
+		after, err := time.ParseDuration(fields[0])
 		c.Assert(err, qt.IsNil, where)
-		now := epoch.Add(after)
-		switch words[1] {
+		now := scriptStart.Add(after)
+		switch fields[1] {
 		case "crash":
-			l.Add(crashOf(words[2], now, words[3:]...), "", now)
+			l.Add(crashOf(fields[2], now, fields[3:]...), "", now)
 		case "clear":
-			l.Clear(named(words[2]), now)
+			l.Clear(digestOf(fields[2]), now)
 		case "prune":
 			l.Prune(now)
 		default:
@@ -71,12 +71,12 @@
 func crashOf(instance string, at time.Time, requests ...string) Crash {
 	out := Crash{Instance: models.InstanceID(instance), At: at, Requests: map[Digest]bool{}}
 	for _, name := range requests {
-		out.Requests[named(name)] = false
+		out.Requests[digestOf(name)] = false
 	}
 	return out
 }
 
-func tell(s Standing) string {
+func formatStanding(s Standing) string {
 	text := fmt.Sprint(s.Crashes)
 	switch {
 	case s.Quarantined:
@@ -87,66 +87,66 @@
 	return text
 }
 
-// What daemons hold does not hang on the order in which they are told, nor on how often,
-// nor on who tells them: after all has come they decide the same.
-func TestJoinsInAnyOrder(t *testing.T) {
+// The decisions of daemons depend neither on the order in which crashes are reported, nor on how
+// often, nor by which daemon: after all reports have arrived they are the same.
+func TestCrashesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		requests := []string{"a", "b", "c", "d"}
-		now := epoch.Add(time.Minute)
-		var told []Crash
+		now := scriptStart.Add(time.Minute)
+		var crashes []Crash
 		for n := range rapid.IntRange(1, 8).Draw(t, "crashes") {
-			c := crashOf(fmt.Sprint("i", n), epoch.Add(time.Duration(n)*time.Second))
+			c := crashOf(fmt.Sprint("i", n), scriptStart.Add(time.Duration(n)*time.Second))
 			for _, name := range requests {
 				switch rapid.IntRange(0, 3).Draw(t, "part") {
 				case 1, 2:
-					c.Requests[named(name)] = false
+					c.Requests[digestOf(name)] = false
 				case 3:
-					c.Requests[named(name)] = true
+					c.Requests[digestOf(name)] = true
 				}
 			}
-			told = append(told, c)
+			crashes = append(crashes, c)
 		}
-		// One daemon saw that requests were there, another one that they ended well.
-		var parts []Crash
-		for _, c := range told {
+		// One daemon saw that requests were there, and another one that they succeeded.
+		var reports []Crash
+		for _, c := range crashes {
 			for d, cleared := range c.Requests {
-				parts = append(parts, Crash{Instance: c.Instance, At: c.At, Requests: map[Digest]bool{d: false}})
+				reports = append(reports, Crash{Instance: c.Instance, At: c.At, Requests: map[Digest]bool{d: false}})
 				if cleared {
-					parts = append(parts, Crash{Instance: c.Instance, At: c.At, Requests: map[Digest]bool{d: true}})
+					reports = append(reports, Crash{Instance: c.Instance, At: c.At, Requests: map[Digest]bool{d: true}})
 				}
 			}
 		}
-		var whole, first, second List
-		for _, c := range told {
-			whole.Add(c, "", now)
+		var complete, first, second List
+		for _, c := range crashes {
+			complete.Add(c, "", now)
 		}
-		for _, p := range rapid.Permutation(parts).Draw(t, "order") {
+		for _, p := range rapid.Permutation(reports).Draw(t, "order") {
 			first.Add(p, "x", now)
 			first.Add(p, "y", now)
 		}
-		news, _ := first.Since(0, func(Source) bool { return true })
-		for _, c := range rapid.Permutation(news).Draw(t, "order of news") {
+		updates, _ := first.Since(0, func(Source) bool { return true })
+		for _, c := range rapid.Permutation(updates).Draw(t, "order of updates") {
 			second.Add(c, "z", now)
 		}
 		for _, name := range requests {
-			want := whole.Standing(named(name))
-			if got := first.Standing(named(name)); got != want {
-				t.Fatalf("%s by parts: %+v, want %+v", name, got, want)
+			want := complete.Standing(digestOf(name))
+			if got := first.Standing(digestOf(name)); got != want {
+				t.Fatalf("%s by reports: %+v, want %+v", name, got, want)
 			}
-			if got := second.Standing(named(name)); got != want {
-				t.Fatalf("%s by news: %+v, want %+v", name, got, want)
+			if got := second.Standing(digestOf(name)); got != want {
+				t.Fatalf("%s by Since: %+v, want %+v", name, got, want)
 			}
 		}
 	})
 }
 
-// A caller crashes instances with ever new requests. What is remembered stays bounded, and
-// a request that was found before them stays found.
-func TestFloodIsBounded(t *testing.T) {
+// A caller crashes instances with ever new requests. The list stays bounded, and a request that was
+// quarantined before stays quarantined.
+func TestManyRequestsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	var l List
-	now := epoch
-	for n := range Limit {
+	now := scriptStart
+	for n := range CrashLimit {
 		l.Add(crashOf(fmt.Sprint("first", n), now, "found"), "", now)
 	}
 	for n := range 1000 {
@@ -157,76 +157,76 @@
 		}
 		l.Add(crashOf(fmt.Sprint("i", n), now, names...), "", now)
 	}
-	c.Assert(len(l.crashes), qt.Equals, mostCrashes)
+	c.Assert(len(l.crashes), qt.Equals, maxCrashes)
 	for _, crash := range l.crashes {
-		c.Assert(len(crash.requests) <= mostRequests, qt.IsTrue)
+		c.Assert(len(crash.requests) <= maxRequestsPerCrash, qt.IsTrue)
 	}
-	c.Assert(l.Standing(named("found")).Quarantined, qt.IsTrue)
+	c.Assert(l.Standing(digestOf("found")).Quarantined, qt.IsTrue)
 }
 
-// site plays requests on groups, of which some crash.
-type site struct {
-	list   List
-	r      *rand.Rand
-	groups int
-	now    time.Time
-	lives  int
-	// refused counts the innocent requests that were refused, crashed those of the
-	// instances that the request ended which ends them.
+// simulation sends requests to groups, some of which crash.
+type simulation struct {
+	list      List
+	r         *rand.Rand
+	groups    int
+	now       time.Time
+	instances int
+	// refused counts the harmless requests that were refused, crashed the instances that the
+	// crashing request crashed.
 	refused, crashed int
 }
 
-// A request that ends the group which runs it comes back again and again and shares each
-// group with others, while one group in a thousand ends by itself in the time that a
-// request takes. Those who were on a group that ended are sent elsewhere: at random while
-// one crash is held against them, each to a group of its own while two are. None but the
-// one that does it is ever refused, and that one after few groups.
-func TestInnocentsAreServed(t *testing.T) {
+// A request that crashes every group it runs on is retried again and again and shares each group
+// with other requests. In addition, one group in a thousand crashes by itself in the time of a
+// request. Requests of a crashed group are sent again: to a random group after one crash, each to a
+// group of its own after two. No harmless request must be refused, and the crashing request must be
+// found after a few groups.
+func TestHarmlessRequestsAreServed(t *testing.T) {
 	const (
-		sites      = 1000
-		innocents  = 20
-		ownCrashes = 0.001
-		rounds     = 12
+		simulations = 1000
+		harmless    = 20
+		crashRate   = 0.001
+		rounds      = 12
 	)
 	for _, groups := range []int{3, 5, 12} {
 		refused, most, sum := 0, 0, 0
-		for seed := range uint64(sites) {
-			s := &site{r: rand.New(rand.NewPCG(seed, 39)), groups: groups, now: epoch}
-			s.play(innocents, rounds, ownCrashes)
+		for seed := range uint64(simulations) {
+			s := &simulation{r: rand.New(rand.NewPCG(seed, 39)), groups: groups, now: scriptStart}
+			s.run(harmless, rounds, crashRate)
 			refused += s.refused
 			most = max(most, s.crashed)
 			sum += s.crashed
 		}
-		t.Logf("%d groups, %d sites, %d innocent requests a round: %d refused; the request ended %.2f groups on average, %d at most",
-			groups, sites, innocents, refused, float64(sum)/sites, most)
+		t.Logf("%d groups, %d simulations, %d harmless requests a round: %d refused; the crashing request crashed %.2f groups on average, %d at most",
+			groups, simulations, harmless, refused, float64(sum)/simulations, most)
 		c := qt.New(t)
 		c.Check(refused, qt.Equals, 0)
-		c.Check(most <= 2*Limit, qt.IsTrue, qt.Commentf("%d", most))
+		c.Check(most <= 2*CrashLimit, qt.IsTrue, qt.Commentf("%d", most))
 	}
 }
 
-// play has the request come back each round, beside the innocents of the round, each of
-// which is sent until it ends well.
-func (s *site) play(innocents, rounds int, ownCrashes float64) {
+// run sends the crashing request in each round with the round's harmless requests, each of which is
+// sent until it succeeds.
+func (s *simulation) run(harmless, rounds int, crashRate float64) {
 	var waiting []string
 	for round := range rounds {
 		waiting = append(waiting, "guilty")
-		for n := range innocents {
+		for n := range harmless {
 			waiting = append(waiting, fmt.Sprint("innocent", round, "-", n))
 		}
-		waiting = s.step(waiting, ownCrashes)
+		waiting = s.step(waiting, crashRate)
 	}
 	for len(waiting) > 0 {
 		waiting = s.step(waiting, 0)
 	}
 }
 
-// step sends what waits, and returns the innocents that were cut off.
-func (s *site) step(waiting []string, ownCrashes float64) []string {
+// step sends the waiting requests, and returns the harmless requests that failed.
+func (s *simulation) step(waiting []string, crashRate float64) []string {
 	s.now = s.now.Add(300 * time.Millisecond)
-	on := make([][]string, s.groups)
+	assigned := make([][]string, s.groups)
 	for _, name := range waiting {
-		standing := s.list.Standing(named(name))
+		standing := s.list.Standing(digestOf(name))
 		if standing.Quarantined {
 			if name != "guilty" {
 				s.refused++
@@ -235,31 +235,31 @@
 		}
 		at := s.r.IntN(s.groups)
 		if standing.OnTrial() {
-			at = s.list.Place(named(name), s.groups)
+			at = s.list.Place(digestOf(name), s.groups)
 		}
-		on[at] = append(on[at], name)
+		assigned[at] = append(assigned[at], name)
 	}
-	var cut []string
-	for _, names := range on {
-		crashes := s.r.Float64() < ownCrashes
+	var failed []string
+	for _, names := range assigned {
+		crashes := s.r.Float64() < crashRate
 		for _, name := range names {
 			if name == "guilty" {
 				s.crashed++
 				crashes = true
 			}
 		}
-		s.lives++
+		s.instances++
 		if crashes {
-			s.list.Add(crashOf(fmt.Sprint("life", s.lives), s.now, names...), "", s.now)
+			s.list.Add(crashOf(fmt.Sprint("life", s.instances), s.now, names...), "", s.now)
 		}
 		for _, name := range names {
 			switch {
 			case !crashes:
-				s.list.Clear(named(name), s.now)
+				s.list.Clear(digestOf(name), s.now)
 			case name != "guilty":
-				cut = append(cut, name)
+				failed = append(failed, name)
 			}
 		}
 	}
-	return cut
+	return failed
 }
