--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -18,31 +18,31 @@
 var (
 	ErrResting = errors.New("the instance asked for rest")
 	// ErrTried: as many requests as may try the instance after its rest are on their way.
-	ErrTried   = errors.New("the instance is being tried after its rest")
+	ErrProbing = errors.New("the instance is being tried after its rest")
 	ErrLeaving = errors.New("the instance is about to leave")
 )
 
 const (
 	// spreadPart is the part of a rest over which daemons spread their return, so that they
 	// do not all come in the same moment.
-	spreadPart = 0.25
+	jitterFraction = 0.25
 	// closedAfter is how many requests must be answered until the breaker closes. One more
 	// may be on its way for each of them.
-	closedAfter = 8
+	probesToClose = 8
 	// retryPause is the pause after a request that tried the instance was turned away. It
 	// doubles each time, up to mostRetryPause.
-	retryPause     = 250 * time.Millisecond
-	mostRetryPause = 4 * time.Second
+	initialRejectBackoff = 250 * time.Millisecond
+	maxRejectBackoff     = 4 * time.Second
 	// triedPause is when to look again at an instance that is being tried.
-	triedPause = 50 * time.Millisecond
+	probePollInterval = 50 * time.Millisecond
 	// tellPart is the part of a rest by which it must outlast what other daemons were told,
 	// so that they are told again.
-	tellPart = 0.5
+	broadcastFraction = 0.5
 	// kept is for how long a rest is remembered after its end, leavingKept how long it is
 	// that an instance leaves which is not listed any more: longer than any copy of the
 	// store is old.
-	kept        = time.Minute
-	leavingKept = 10 * time.Minute
+	backoffRetention = time.Minute
+	leavingRetention = 10 * time.Minute
 )
 
 // Signal is what the head of one answer said of its instance.
@@ -68,43 +68,43 @@
 // Breakers holds what is known of instances that asked for something. It is not safe for use
 // by several goroutines.
 type Breakers struct {
-	random *rand.Rand
-	known  map[models.InstanceID]*breaker
+	random   *rand.Rand
+	breakers map[models.InstanceID]*breaker
 	// changes numbers what is learned, so that others can be told what is new.
-	changes uint64
+	lastChange uint64
 }
 
 // breaker is what one life of an instance asked for.
 type breaker struct {
-	life models.UpstreamInstance
+	instance models.UpstreamInstance
 	// began and until are the times of this daemon's rest, zero if there was none; reopens is
 	// when the instance may be tried.
 	began, until, reopens time.Time
 	// trying counts the requests on their way that try the instance, answered those that
 	// were answered since the rest, refused those turned away one after the other.
-	trying, answered, refused int
+	probesInFlight, probesTaken, rejections int
 	// rests tells that the end of the rest was not told yet, reported that the instance was
 	// asked for a report during the rest.
-	rests, reported bool
+	endUnreported, reportRequested bool
 	// elsewhere is the last end of a rest that other daemons know of, told how long the rest
 	// was.
-	elsewhere time.Time
-	told      time.Duration
+	broadcastUntil   time.Time
+	broadcastBackoff time.Duration
 	// leaving is when the instance first said that it leaves, zero if it did not.
 	leaving time.Time
 	// restNews and leavingNews are the last changes of what others are to be told.
-	restNews, leavingNews news
+	backoffChange, leavingChange sourcedChange
 }
 
 // news is a change that others are to be told of, and who told it.
-type news struct {
-	change uint64
-	from   Source
+type sourcedChange struct {
+	number uint64
+	source Source
 }
 
 // New returns breakers that are all closed.
 func New(random *rand.Rand) *Breakers {
-	return &Breakers{random: random, known: map[models.InstanceID]*breaker{}}
+	return &Breakers{random: random, breakers: map[models.InstanceID]*breaker{}}
 }
 
 // Change is what a signal changed.
@@ -121,62 +121,62 @@
 // the daemon that was asked for it; others take it for a sign that the instance is busy. The
 // later end of two rests holds, whichever is heard of first.
 func (b *Breakers) Note(s Signal, from Source) Change {
-	k := b.known[s.Instance]
-	if s.IsEmpty() || (k != nil && k.life.LifeOf(s.Born) == models.EarlierLife) {
+	k := b.breakers[s.Instance]
+	if s.IsEmpty() || (k != nil && k.instance.LifeOf(s.Born) == models.EarlierLife) {
 		return Change{}
 	}
-	if k == nil || k.life.LifeOf(s.Born) == models.LaterLife {
-		k = &breaker{life: models.UpstreamInstance{ID: s.Instance, Born: s.Born}}
-		b.known[s.Instance] = k
+	if k == nil || k.instance.LifeOf(s.Born) == models.LaterLife {
+		k = &breaker{instance: models.UpstreamInstance{ID: s.Instance, Born: s.Born}}
+		b.breakers[s.Instance] = k
 	}
 	var change Change
 	end := s.Heard.Add(s.Rest)
 	if from == "" && s.Rest > 0 && end.After(k.until) {
 		change.Began, change.Lengthened = !s.Heard.Before(k.until), s.Heard.Before(k.until)
-		k.open(s, end, b.spread(s.Rest))
+		k.open(s, end, b.jitter(s.Rest))
 	}
-	if s.Rest > 0 && end.Sub(k.elsewhere) > time.Duration(tellPart*float64(s.Rest)) {
-		k.elsewhere, k.told, change.Tell = end, s.Rest, true
-		k.restNews = b.newsFrom(from)
+	if s.Rest > 0 && end.Sub(k.broadcastUntil) > time.Duration(broadcastFraction*float64(s.Rest)) {
+		k.broadcastUntil, k.broadcastBackoff, change.Tell = end, s.Rest, true
+		k.backoffChange = b.nextChange(from)
 	}
 	if s.Leaving && k.leaving.IsZero() {
 		k.leaving, change.Leaving, change.Tell = s.Heard, true, true
-		k.leavingNews = b.newsFrom(from)
+		k.leavingChange = b.nextChange(from)
 	}
 	return change
 }
 
 // newsFrom numbers one more change.
-func (b *Breakers) newsFrom(from Source) news {
-	b.changes++
-	return news{b.changes, from}
+func (b *Breakers) nextChange(from Source) sourcedChange {
+	b.lastChange++
+	return sourcedChange{b.lastChange, from}
 }
 
 // spread is a random part of a rest by which its end is put off.
-func (b *Breakers) spread(rest time.Duration) time.Duration {
-	return time.Duration(spreadPart * float64(rest) * b.random.Float64())
+func (b *Breakers) jitter(backoff time.Duration) time.Duration {
+	return time.Duration(jitterFraction * float64(backoff) * b.random.Float64())
 }
 
 // open begins a rest, or lengthens one.
-func (k *breaker) open(s Signal, end time.Time, spread time.Duration) {
+func (k *breaker) open(s Signal, end time.Time, jitter time.Duration) {
 	if !s.Heard.Before(k.until) {
-		k.began, k.reported = s.Heard, false
+		k.began, k.reportRequested = s.Heard, false
 	}
-	k.rests = true
-	k.until, k.reopens, k.answered, k.refused = end, end.Add(spread), 0, 0
+	k.endUnreported = true
+	k.until, k.reopens, k.probesTaken, k.rejections = end, end.Add(jitter), 0, 0
 }
 
 // find returns what this life of an instance asked for, nil if nothing.
 func (b *Breakers) find(i models.UpstreamInstance) *breaker {
-	k := b.known[i.ID]
-	if k == nil || i.LifeOf(k.life.Born) == models.EarlierLife {
+	k := b.breakers[i.ID]
+	if k == nil || i.LifeOf(k.instance.Born) == models.EarlierLife {
 		return nil
 	}
 	return k
 }
 
 // isClosed reports whether the instance gets requests as any other.
-func (k *breaker) isClosed() bool { return k.until.IsZero() || k.answered >= closedAfter }
+func (k *breaker) isClosed() bool { return k.until.IsZero() || k.probesTaken >= probesToClose }
 
 // Blocks returns why nothing may be sent to an instance at all, nil if something may.
 func (b *Breakers) Blocks(i models.UpstreamInstance, now time.Time) error {
@@ -198,8 +198,8 @@
 	if err := b.Blocks(i, now); err != nil {
 		return err
 	}
-	if k := b.find(i); k != nil && !k.isClosed() && k.trying > k.answered {
-		return ErrTried
+	if k := b.find(i); k != nil && !k.isClosed() && k.probesInFlight > k.probesTaken {
+		return ErrProbing
 	}
 	return nil
 }
@@ -218,7 +218,7 @@
 	if k == nil || k.isClosed() {
 		return Admission{}, nil
 	}
-	k.trying++
+	k.probesInFlight++
 	return Admission{k}, nil
 }
 
@@ -234,21 +234,21 @@
 )
 
 // Settle takes in what came of a request that was admitted.
-func (b *Breakers) Settle(p Admission, end End, now time.Time) {
-	k := p.k
+func (b *Breakers) Settle(admission Admission, end End, now time.Time) {
+	k := admission.k
 	if k == nil {
 		return
 	}
-	k.trying--
+	k.probesInFlight--
 	switch {
 	case now.Before(k.reopens):
 		// It was sent before the rest that has begun since.
 	case end == Taken:
-		k.answered, k.refused = k.answered+1, 0
+		k.probesTaken, k.rejections = k.probesTaken+1, 0
 	case end == TurnedAway:
-		pause := min(mostRetryPause, retryPause<<min(k.refused, 10))
-		k.answered, k.refused = 0, k.refused+1
-		k.reopens = now.Add(pause + b.spread(pause))
+		pause := min(maxRejectBackoff, initialRejectBackoff<<min(k.rejections, 10))
+		k.probesTaken, k.rejections = 0, k.rejections+1
+		k.reopens = now.Add(pause + b.jitter(pause))
 	}
 }
 
@@ -259,8 +259,8 @@
 	if k == nil || !now.Before(k.until) {
 		return true
 	}
-	first := !k.reported
-	k.reported = true
+	first := !k.reportRequested
+	k.reportRequested = true
 	return first
 }
 
@@ -271,8 +271,8 @@
 	case ErrResting:
 		k := b.find(i)
 		return k.reopens, k.began, true
-	case ErrTried:
-		return now.Add(triedPause), b.find(i).began, true
+	case ErrProbing:
+		return now.Add(probePollInterval), b.find(i).began, true
 	case ErrLeaving:
 		return time.Time{}, time.Time{}, false
 	default:
@@ -284,15 +284,15 @@
 // requests since.
 func (b *Breakers) IsBusy(i models.UpstreamInstance, now time.Time) bool {
 	k := b.find(i)
-	return k != nil && (now.Before(k.elsewhere) || !k.isClosed())
+	return k != nil && (now.Before(k.broadcastUntil) || !k.isClosed())
 }
 
 // Leaving lists the instances that said that they leave, with when they did.
 func (b *Breakers) Leaving() []Signal {
 	var out []Signal
-	for id, k := range b.known {
+	for id, k := range b.breakers {
 		if !k.leaving.IsZero() {
-			out = append(out, Signal{Instance: id, Born: k.life.Born, Heard: k.leaving, Leaving: true})
+			out = append(out, Signal{Instance: id, Born: k.instance.Born, Heard: k.leaving, Leaving: true})
 		}
 	}
 	return out
@@ -300,24 +300,24 @@
 
 // Since returns what was learned after a change from those sources that are to be told of,
 // and the newest change.
-func (b *Breakers) Since(seen uint64, tells func(Source) bool, now time.Time) ([]Signal, uint64) {
+func (b *Breakers) Since(seen uint64, include func(Source) bool, now time.Time) ([]Signal, uint64) {
 	var out []Signal
-	isNew := func(n news) bool { return n.change > seen && tells(n.from) }
-	for id, k := range b.known {
-		if isNew(k.leavingNews) {
-			out = append(out, Signal{Instance: id, Born: k.life.Born, Heard: k.leaving, Leaving: true})
+	isNew := func(n sourcedChange) bool { return n.number > seen && include(n.source) }
+	for id, k := range b.breakers {
+		if isNew(k.leavingChange) {
+			out = append(out, Signal{Instance: id, Born: k.instance.Born, Heard: k.leaving, Leaving: true})
 		}
-		if isNew(k.restNews) && now.Before(k.elsewhere) {
-			out = append(out, Signal{Instance: id, Born: k.life.Born, Heard: k.elsewhere.Add(-k.told), Rest: k.told})
+		if isNew(k.backoffChange) && now.Before(k.broadcastUntil) {
+			out = append(out, Signal{Instance: id, Born: k.instance.Born, Heard: k.broadcastUntil.Add(-k.broadcastBackoff), Rest: k.broadcastBackoff})
 		}
 	}
-	return out, b.changes
+	return out, b.lastChange
 }
 
 // Resting is how many instances want nothing from this daemon.
 func (b *Breakers) Resting(now time.Time) int {
 	n := 0
-	for _, k := range b.known {
+	for _, k := range b.breakers {
 		if now.Before(k.until) {
 			n++
 		}
@@ -329,18 +329,18 @@
 // more. It returns those whose rest ended since it was last called.
 func (b *Breakers) Prune(listed func(models.InstanceID) bool, now time.Time) []models.InstanceID {
 	var ended []models.InstanceID
-	for id, k := range b.known {
-		if k.rests && !now.Before(k.until) {
-			k.rests = false
+	for id, k := range b.breakers {
+		if k.endUnreported && !now.Before(k.until) {
+			k.endUnreported = false
 			ended = append(ended, id)
 		}
-		left := k.leaving.IsZero() || (!listed(id) && now.Sub(k.leaving) > leavingKept)
-		if left && now.Sub(k.reopens) > kept && now.Sub(k.elsewhere) > kept && k.trying == 0 {
-			delete(b.known, id)
+		left := k.leaving.IsZero() || (!listed(id) && now.Sub(k.leaving) > leavingRetention)
+		if left && now.Sub(k.reopens) > backoffRetention && now.Sub(k.broadcastUntil) > backoffRetention && k.probesInFlight == 0 {
+			delete(b.breakers, id)
 		}
 	}
 	return ended
 }
 
 // Empty reports whether nothing is known of any instance.
-func (b *Breakers) Empty() bool { return len(b.known) == 0 }
+func (b *Breakers) Empty() bool { return len(b.breakers) == 0 }
--- a/breaker/property_test.go
+++ b/breaker/property_test.go
@@ -64,7 +64,7 @@
 			return
 		}
 		now = now.Add(10 * time.Second)
-		for range closedAfter {
+		for range probesToClose {
 			p, err := b.Admit(i, now)
 			if err != nil {
 				t.Fatalf("long after its rest: %v", err)
@@ -96,7 +96,7 @@
 			for _, w := range order {
 				b.Note(w, "")
 			}
-			k := b.known["i"]
+			k := b.breakers["i"]
 			if k == nil {
 				return time.Time{}, false
 			}
--- a/breaker/script_test.go
+++ b/breaker/script_test.go
@@ -56,7 +56,7 @@
 
 var (
 	epoch    = time.Unix(1_000_000, 0)
-	verdicts = map[error]string{nil: "ok", ErrResting: "resting", ErrTried: "tried", ErrLeaving: "leaving"}
+	verdicts = map[error]string{nil: "ok", ErrResting: "resting", ErrProbing: "tried", ErrLeaving: "leaving"}
 	ends     = map[string]End{"taken": Taken, "turned-away": TurnedAway, "unanswered": Unanswered}
 )
 
@@ -163,7 +163,7 @@
 	}
 	last := first
 	if k := s.b.find(i); errors.Is(s.b.Check(i, s.now), ErrResting) {
-		spread := time.Duration(spreadPart * float64(k.until.Sub(k.began)))
+		spread := time.Duration(jitterFraction * float64(k.until.Sub(k.began)))
 		s.c.Assert(!first.Before(k.until) && first.Before(k.until.Add(spread)), qt.IsTrue)
 		first, last = k.until, k.until.Add(spread)
 	}
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -13,10 +13,10 @@
 
 // bodyDefault is the longest body, in bytes, where the configuration names no
 // limit.
-const bodyDefault = 4 << 20
+const defaultMaxBodyBytes = 4 << 20
 
 // noDeadline bounds a request whose caller and route name no time.
-const noDeadline = time.Minute
+const defaultTimeout = time.Minute
 
 // admit finds the route and the workspace and reads the body.
 func (e *exchange) admit() error {
@@ -27,20 +27,20 @@
 	known := false
 	e.route, known = v.Routing.Match(e.r.Host, e.r.URL.EscapedPath())
 	if !known {
-		if !e.g.current(v, e.g.cfg.ConfigBound) {
-			return errStaleKeys
+		if !e.g.isCurrent(v, e.g.cfg.ConfigBound) {
+			return errStaleConfig
 		}
 		return errNoRoute
 	}
 	if err := e.authorize(v); err != nil {
 		return err
 	}
-	e.until = e.began.Add(noDeadline)
+	e.deadline = e.started.Add(defaultTimeout)
 	if e.route.Timeout > 0 {
-		e.until = e.began.Add(e.route.Timeout)
+		e.deadline = e.started.Add(e.route.Timeout)
 	}
-	if d := e.head.Deadline; d > 0 && e.began.Add(d).Before(e.until) {
-		e.until = e.began.Add(d)
+	if d := e.head.Deadline; d > 0 && e.started.Add(d).Before(e.deadline) {
+		e.deadline = e.started.Add(d)
 	}
 	h := fnv.New64a()
 	h.Write([]byte(e.head.ID))
@@ -54,33 +54,33 @@
 	if !v.Routing.Keyed || e.route.Open {
 		return nil
 	}
-	if !e.g.current(v, e.g.cfg.KeysBound) {
-		return errStaleKeys
+	if !e.g.isCurrent(v, e.g.cfg.KeysBound) {
+		return errStaleConfig
 	}
 	holder, known := v.Routing.Keys[e.head.Key]
 	switch {
 	case known:
 		e.holder = holder
 		return nil
-	case e.g.current(v, e.g.cfg.ConfigBound):
-		return errBadKey
+	case e.g.isCurrent(v, e.g.cfg.ConfigBound):
+		return errUnknownKey
 	default:
-		return errStaleKeys
+		return errStaleConfig
 	}
 }
 
 // readBody reads the body whole, since it may have to be sent again.
 func (e *exchange) readBody(limit int64) error {
 	if limit <= 0 {
-		limit = bodyDefault
+		limit = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(e.w, e.r.Body, limit))
 	var tooLong *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLong):
-		return errTooLarge
+		return errBodyTooLong
 	case err != nil:
-		return errors.Join(errBody, err)
+		return errors.Join(errBodyIncomplete, err)
 	}
 	e.body = body
 	return nil
@@ -88,7 +88,7 @@
 
 // pickService picks one of a route's services by weight, the same one for
 // every try of a request.
-func pickService(route models.Route, point uint64) models.ServiceName {
+func pickService(route models.Route, hash uint64) models.ServiceName {
 	total := 0
 	for _, t := range route.Targets {
 		total += max(0, t.Weight)
@@ -96,9 +96,9 @@
 	if total == 0 {
 		return route.Targets[0].Service
 	}
-	at := int(point % uint64(total))
+	offset := int(hash % uint64(total))
 	for _, t := range route.Targets {
-		if at -= max(0, t.Weight); at < 0 {
+		if offset -= max(0, t.Weight); offset < 0 {
 			return t.Service
 		}
 	}
--- a/gateway/opening.go
+++ b/gateway/availability.go
@@ -8,48 +8,48 @@
 )
 
 // bar has an instance that names a limit be left alone until then.
-func (b *balance) bar(id models.InstanceID, until time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.barred[id] = until
+func (s *scheduler) exclude(id models.InstanceID, until time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.excludedUntil[id] = until
 }
 
 // isBarred reports whether an instance is to be left alone: it asked for rest, leaves, or names
 // a limit and gave no permit. The balance must be locked.
-func (b *balance) isBarred(node Beliefs, i models.UpstreamInstance, now time.Time) bool {
-	return node.Breakers().Check(i) != nil || b.lacksPermit(node, i, now)
+func (s *scheduler) isExcluded(node Node, i models.UpstreamInstance, now time.Time) bool {
+	return node.Breakers().Check(i) != nil || s.isPermitDenied(node, i, now)
 }
 
 // lacksPermit reports whether an instance is left alone that names a limit. The balance must
 // be locked.
-func (b *balance) lacksPermit(node Beliefs, i models.UpstreamInstance, now time.Time) bool {
-	return now.Before(b.barred[i.ID]) && node.Limits().Rate(i, now) != models.NoLimit
+func (s *scheduler) isPermitDenied(node Node, i models.UpstreamInstance, now time.Time) bool {
+	return now.Before(s.excludedUntil[i.ID]) && node.Limits().Rate(i, now) != models.NoLimit
 }
 
 // opening is when a request may be sent that may not be now.
-type opening struct {
+type availability struct {
 	at time.Time
 	// since is when the instance that may be sent it first began to get none.
 	since time.Time
 	// reason is why it may not be sent now, errLimited or errResting.
-	reason error
+	err error
 }
 
 // nextOpening is when the first of some instances may be sent a request again that gets none
 // now. It returns false if there is none: all get requests, were tried, or leave.
-func (b *balance) nextOpening(node Beliefs, instances []models.UpstreamInstance, tried []models.InstanceID) (opening, bool) {
+func (s *scheduler) nextAvailability(node Node, instances []models.UpstreamInstance, tried []models.InstanceID) (availability, bool) {
 	now := time.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var first opening
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var first availability
 	for _, i := range instances {
 		at, since, stays := node.Breakers().Next(i, now)
 		if !stays || slices.Contains(tried, i.ID) {
 			continue
 		}
-		o := opening{at, since, errResting}
-		if until := b.barred[i.ID]; b.lacksPermit(node, i, now) && !until.Before(at) {
-			o = opening{until, now, errLimited}
+		o := availability{at, since, errAllBackingOff}
+		if until := s.excludedUntil[i.ID]; s.isPermitDenied(node, i, now) && !until.Before(at) {
+			o = availability{until, now, errAllLimited}
 		}
 		if o.at.After(now) && (first.at.IsZero() || o.at.Before(first.at)) {
 			first = o
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -46,43 +46,43 @@
 			if !test.listens {
 				l.Close()
 			}
-			beliefs := &fixedBeliefs{quarantine: noQuarantine(), view: &cluster.View{All: map[models.InstanceID]models.UpstreamInstance{}}}
+			node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{All: map[models.InstanceID]models.UpstreamInstance{}}}
 			if !test.unlisted {
-				beliefs.view.All[i.ID] = i
+				node.view.All[i.ID] = i
 			}
-			w := newCrashWatch(beliefs, metrics.NewSet(), zerolog.Nop())
-			asked := w.cut(context.Background(), i, quarantine.Request{Target: "/x"}.Digest())
-			<-asked
+			cd := newCrashDetector(node, metrics.NewSet(), zerolog.Nop())
+			probed := cd.noteDisconnect(context.Background(), i, quarantine.Request{Target: "/x"}.Digest())
+			<-probed
 			if test.draining || test.unlisted {
-				c.Assert(w.cuts, qt.HasLen, 0)
+				c.Assert(cd.disconnects, qt.HasLen, 0)
 				return
 			}
 			if test.bornAnewLater {
 				later := i
 				later.Born = i.Born.Add(time.Second)
-				beliefs.view.All[i.ID] = later
+				node.view.All[i.ID] = later
 			}
-			w.sweep(time.Now())
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			c.Assert(w.cuts[i.ID].evidence, qt.Equals, test.want)
+			cd.sweep(time.Now())
+			cd.mu.Lock()
+			defer cd.mu.Unlock()
+			c.Assert(cd.disconnects[i.ID].evidence, qt.Equals, test.want)
 		})
 	}
 }
 
 // Only an end of the connection before the answer was whole may be a crash: neither a
 // silence, nor a request that was not sent, nor an answer that makes no sense.
-func TestCutsAreEndsOfConnections(t *testing.T) {
+func TestDisconnectErrors(t *testing.T) {
 	c := qt.New(t)
-	mayHaveRun := func(err error) error { return errors.Join(errMayHaveRun, fmt.Errorf("%w: %w", h1.ErrNoAnswer, err)) }
-	for _, cut := range []error{mayHaveRun(io.ErrUnexpectedEOF), mayHaveRun(syscall.ECONNRESET), errors.Join(errMayHaveRun, sse.ErrCut), errors.Join(errMayHaveRun, errCutHead)} {
-		c.Check(isCut(cut), qt.IsTrue, qt.Commentf("%v", cut))
+	maybeExecuted := func(err error) error { return errors.Join(errMaybeExecuted, fmt.Errorf("%w: %w", h1.ErrNoAnswer, err)) }
+	for _, cut := range []error{maybeExecuted(io.ErrUnexpectedEOF), maybeExecuted(syscall.ECONNRESET), errors.Join(errMaybeExecuted, sse.ErrCut), errors.Join(errMaybeExecuted, errEmptyStream)} {
+		c.Check(isDisconnect(cut), qt.IsTrue, qt.Commentf("%v", cut))
 	}
 	for _, other := range []error{
-		nil, io.EOF, errFailure, mayHaveRun(h1.ErrStalled), mayHaveRun(net.ErrClosed), mayHaveRun(h1.ErrOtherRequest),
-		errors.Join(errNotRun, fmt.Errorf("%w: %w", h1.ErrNotSent, syscall.ECONNRESET)), errors.Join(errMayHaveRun, errGap),
+		nil, io.EOF, errFailureResponse, maybeExecuted(h1.ErrStalled), maybeExecuted(net.ErrClosed), maybeExecuted(h1.ErrOtherRequest),
+		errors.Join(errNotExecuted, fmt.Errorf("%w: %w", h1.ErrNotSent, syscall.ECONNRESET)), errors.Join(errMaybeExecuted, errEventGap),
 	} {
-		c.Check(isCut(other), qt.IsFalse, qt.Commentf("%v", other))
+		c.Check(isDisconnect(other), qt.IsFalse, qt.Commentf("%v", other))
 	}
 }
 
@@ -94,19 +94,19 @@
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	i := models.UpstreamInstance{ID: "i", Addr: netip.MustParseAddrPort(l.Addr().String())}
-	beliefs := &fixedBeliefs{quarantine: noQuarantine(), view: &cluster.View{All: map[models.InstanceID]models.UpstreamInstance{i.ID: i}}}
-	w := newCrashWatch(beliefs, metrics.NewSet(), zerolog.Nop())
+	node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{All: map[models.InstanceID]models.UpstreamInstance{i.ID: i}}}
+	cd := newCrashDetector(node, metrics.NewSet(), zerolog.Nop())
 	reset, guilty := quarantine.Request{Target: "/reset"}.Digest(), quarantine.Request{Target: "/guilty"}.Digest()
-	w.cut(context.Background(), i, reset)
-	asking := time.Duration(0)
-	for _, pause := range askPauses {
-		asking += pause
+	cd.noteDisconnect(context.Background(), i, reset)
+	probing := time.Duration(0)
+	for _, pause := range probeDelays {
+		probing += pause
 	}
-	time.Sleep(asking + 100*time.Millisecond)
+	time.Sleep(probing + 100*time.Millisecond)
 	c.Assert(l.Close(), qt.IsNil)
-	<-w.cut(context.Background(), i, guilty)
-	c.Assert(beliefs.quarantine.Standing(guilty).Crashes, qt.Equals, 1)
-	c.Assert(beliefs.quarantine.Standing(reset).Crashes, qt.Equals, 0)
+	<-cd.noteDisconnect(context.Background(), i, guilty)
+	c.Assert(node.quarantine.Standing(guilty).Crashes, qt.Equals, 1)
+	c.Assert(node.quarantine.Standing(reset).Crashes, qt.Equals, 0)
 }
 
 // An instance that reset a connection and starts again much later did not crash under that
@@ -114,14 +114,14 @@
 func TestRestartLongAfterReset(t *testing.T) {
 	c := qt.New(t)
 	i := models.UpstreamInstance{ID: "i", Born: time.Unix(1, 0), Addr: netip.MustParseAddrPort("127.0.0.1:1")}
-	beliefs := &fixedBeliefs{quarantine: noQuarantine(), view: &cluster.View{All: map[models.InstanceID]models.UpstreamInstance{}}}
-	w := newCrashWatch(beliefs, metrics.NewSet(), zerolog.Nop())
+	node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{All: map[models.InstanceID]models.UpstreamInstance{}}}
+	cd := newCrashDetector(node, metrics.NewSet(), zerolog.Nop())
 	d := quarantine.Request{Target: "/reset"}.Digest()
 	now := time.Now()
-	w.cuts[i.ID] = &cutOff{instance: i, at: now, requests: map[quarantine.Digest]struct{}{d: {}}}
-	w.sweep(now.Add(restartSeen + time.Second))
+	cd.disconnects[i.ID] = &disconnect{instance: i, at: now, requests: map[quarantine.Digest]struct{}{d: {}}}
+	cd.sweep(now.Add(restartWindow + time.Second))
 	i.Born = i.Born.Add(time.Minute)
-	beliefs.view.All[i.ID] = i
-	w.sweep(now.Add(restartSeen + 2*time.Second))
-	c.Assert(beliefs.quarantine.Standing(d).Crashes, qt.Equals, 0)
+	node.view.All[i.ID] = i
+	cd.sweep(now.Add(restartWindow + 2*time.Second))
+	c.Assert(node.quarantine.Standing(d).Crashes, qt.Equals, 0)
 }
--- a/gateway/work.go
+++ b/gateway/demand.go
@@ -3,7 +3,7 @@
 import "github.com/lupinkeel/lupinkeel/models"
 
 // addWork counts what the request asks of its model.
-func (e *exchange) addWork() {
+func (e *exchange) addDemand() {
 	service, known := e.g.node.View().Routing.Services[e.service]
 	if !known || service.Engine == nil {
 		return
@@ -12,7 +12,7 @@
 	if !known {
 		return
 	}
-	e.g.balance.addWork(e.head.Model, groupSeconds(service.Engine, profile, e.head))
+	e.g.scheduler.addDemand(e.head.Model, groupSeconds(service.Engine, profile, e.head))
 }
 
 // groupSeconds is how long a request occupies a whole group that is half
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -15,72 +15,72 @@
 
 // exchange is one request on its way.
 type exchange struct {
-	g       *Gateway
-	w       http.ResponseWriter
-	r       *http.Request
-	head    models.RequestHead
-	route   models.Route
-	service models.ServiceName
-	holder  models.KeyHolder
-	body    []byte
-	began   time.Time
-	until   time.Time
+	g        *Gateway
+	w        http.ResponseWriter
+	r        *http.Request
+	head     models.RequestHead
+	route    models.Route
+	service  models.ServiceName
+	holder   models.KeyHolder
+	body     []byte
+	started  time.Time
+	deadline time.Time
 	// tried are the instances that the request was sent to.
 	tried []models.InstanceID
 	// ran tells that an instance may have run the request, so that it must not
 	// be refused any more.
-	ran bool
+	maybeExecuted bool
 	// answering tells that the head of the answer has gone out.
-	answering bool
+	headSent bool
 	// at is where the request was sent last.
-	at    models.UpstreamInstance
-	group models.GroupKey
+	instance models.UpstreamInstance
+	group    models.GroupKey
 	// first is when the first byte of the answer went out.
-	first time.Time
+	firstByte time.Time
 	// gap is the longest pause between two events, load what the group had
 	// when it was chosen.
-	gap  time.Duration
-	load int
+	maxPause   time.Duration
+	pickedLoad int
 	// turnedAway is how many sends instances did not run.
-	turnedAway atomic.Int32
+	rejections atomic.Int32
 	// opening is when the request may be sent, if that did not come in time.
-	opening opening
+	available availability
 	// digest stands for what the caller asks. It may be called by several goroutines.
 	digest func() quarantine.Digest
 	// digested tells that the digest was asked for.
-	digested atomic.Bool
+	digestUsed atomic.Bool
 	// cut is closed once it is known whether the instance that cut the request off last
 	// has crashed; nil if none did.
-	cut atomic.Pointer[<-chan struct{}]
+	probed atomic.Pointer[<-chan struct{}]
 }
 
 // serve handles one request.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
 	g.stats.inFlight.Add(1)
 	defer g.stats.inFlight.Add(-1)
-	e := &exchange{g: g, w: w, r: r, began: time.Now(), head: platform.DecodeRequest(r.Header)}
-	e.digest = sync.OnceValue(e.newDigest)
+	e := &exchange{g: g, w: w, r: r, started: time.Now(), head: platform.DecodeRequest(r.Header)}
+	e.digest = sync.OnceValue(e.computeDigest)
 	err := e.admit()
 	if err == nil {
-		err = e.mayBeSent()
+		err = e.checkQuarantine()
 	}
 	if err != nil {
 		e.refuse(err)
 		return
 	}
-	ctx, cancel := context.WithDeadline(r.Context(), e.until)
+	ctx, cancel := context.WithDeadline(r.Context(), e.deadline)
 	defer cancel()
 	if e.route.Kind == models.RouteStream {
-		err = e.stream(ctx)
+		err = e.serveStream(ctx)
 	} else {
-		err = e.unary(ctx)
+		err = e.serveUnary(ctx)
 	}
 	e.finish(ctx, err)
 }
 
 // newDigest is the digest of what the caller asks.
-func (e *exchange) newDigest() quarantine.Digest {
-	e.digested.Store(true)
+func (e *exchange) computeDigest() quarantine.Digest {
+	e.digestUsed.Store(true)
 	asked := quarantine.Request{
 		Workspace: e.holder.Workspace, Method: e.r.Method, Host: e.r.Host, Target: e.r.RequestURI, Body: e.body,
 	}
@@ -88,15 +88,15 @@
 }
 
 // try notes that the request is about to be sent to an instance.
-func (e *exchange) try(i models.UpstreamInstance) {
-	e.at = i
+func (e *exchange) markTried(i models.UpstreamInstance) {
+	e.instance = i
 	if !slices.Contains(e.tried, i.ID) {
 		e.tried = append(e.tried, i.ID)
 	}
 }
 
 // untry notes that the request was not sent to an instance after all.
-func (e *exchange) untry(i models.UpstreamInstance) {
+func (e *exchange) unmarkTried(i models.UpstreamInstance) {
 	e.tried = slices.DeleteFunc(e.tried, func(id models.InstanceID) bool { return id == i.ID })
 }
 
@@ -109,8 +109,8 @@
 	// freshRepeatable and freshOnce are how long a connection may have rested
 	// to carry a request that may be sent again, and one that may not: an
 	// upstream may close a resting connection at any time.
-	freshRepeatable = 4 * time.Second
-	freshOnce       = 300 * time.Millisecond
+	maxIdleRepeatable = 4 * time.Second
+	maxIdleOnce       = 300 * time.Millisecond
 )
 
 // rank is how urgent a request is at an instance, 0 first: the workspace's
@@ -132,6 +132,6 @@
 			out[name] = nil
 		}
 	}
-	e.answering, e.first = true, time.Now()
+	e.headSent, e.firstByte = true, time.Now()
 	e.w.WriteHeader(status)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -49,7 +49,7 @@
 const dialTimeout = 250 * time.Millisecond
 
 // Beliefs are what the gateway is told of the world, as a cluster.Node does.
-type Beliefs interface {
+type Node interface {
 	View() *cluster.View
 	// PeersLoad is what other daemons have at an instance.
 	PeersLoad(id models.InstanceID) cluster.Load
@@ -69,62 +69,62 @@
 
 // Gateway serves one daemon's callers.
 type Gateway struct {
-	cfg     Settings
-	log     zerolog.Logger
-	node    Beliefs
-	balance *balance
-	budget  *budget
-	crashes *crashWatch
+	cfg       Settings
+	log       zerolog.Logger
+	node      Node
+	scheduler *scheduler
+	budget    *retryBudget
+	crashes   *crashDetector
 	// settled is when what it sees of groups may be relied on.
-	settled  time.Time
-	conns    *h1.Pool
-	stats    *stats
-	set      *metrics.Set
-	stopping atomic.Bool
+	stallReportsFrom time.Time
+	conns            *h1.Pool
+	stats            *stats
+	set              *metrics.Set
+	stopping         atomic.Bool
 }
 
 type stats struct {
-	ends    map[outcome]*metrics.Counter
-	repeats *metrics.Counter
+	byOutcome map[outcome]*metrics.Counter
+	retries   *metrics.Counter
 	// quarantined counts the requests that were refused since they crash instances.
-	quarantined *metrics.Counter
+	quarantineRefusals *metrics.Counter
 	// limited counts those that were refused since all instances had named limits.
-	limited *metrics.Counter
+	limitRefusals *metrics.Counter
 	// rested counts those that were refused since all instances had asked for rest.
-	rested *metrics.Counter
+	backoffRefusals *metrics.Counter
 	// turnedAway counts the sends that instances did not run.
-	turnedAway *metrics.Counter
-	resumes    *metrics.Counter
-	opened     *metrics.Counter
-	firstByte  *metrics.Histogram
-	inFlight   atomic.Int64
+	rejections  *metrics.Counter
+	resumes     *metrics.Counter
+	connsOpened *metrics.Counter
+	firstByte   *metrics.Histogram
+	inFlight    atomic.Int64
 	// ownZone and otherZone count the bytes of connections to upstreams.
-	ownZone   meter
-	otherZone meter
+	ownZone   byteMeter
+	otherZone byteMeter
 }
 
 func newStats(set *metrics.Set) *stats {
 	s := &stats{
-		ends: map[outcome]*metrics.Counter{}, repeats: set.NewCounter("lupinkeel_request_repeats_total"),
-		quarantined: set.NewCounter("lupinkeel_quarantine_refusals_total"),
-		limited:     set.NewCounter("lupinkeel_limit_refusals_total"),
-		rested:      set.NewCounter("lupinkeel_rest_refusals_total"),
-		turnedAway:  set.NewCounter("lupinkeel_turned_away_total"),
-		resumes:     set.NewCounter("lupinkeel_stream_resumes_total"), opened: set.NewCounter("lupinkeel_upstream_connections_total"),
+		byOutcome: map[outcome]*metrics.Counter{}, retries: set.NewCounter("lupinkeel_request_repeats_total"),
+		quarantineRefusals: set.NewCounter("lupinkeel_quarantine_refusals_total"),
+		limitRefusals:      set.NewCounter("lupinkeel_limit_refusals_total"),
+		backoffRefusals:    set.NewCounter("lupinkeel_rest_refusals_total"),
+		rejections:         set.NewCounter("lupinkeel_turned_away_total"),
+		resumes:            set.NewCounter("lupinkeel_stream_resumes_total"), connsOpened: set.NewCounter("lupinkeel_upstream_connections_total"),
 		firstByte: set.NewHistogram("lupinkeel_first_byte_seconds"),
-		ownZone:   newMeter(set, "own"), otherZone: newMeter(set, "other"),
+		ownZone:   newByteMeter(set, "own"), otherZone: newByteMeter(set, "other"),
 	}
 	set.NewGauge("lupinkeel_requests_in_flight", func() float64 { return float64(s.inFlight.Load()) })
 	for _, o := range outcomes {
-		s.ends[o] = set.NewCounter(fmt.Sprintf("lupinkeel_requests_total{outcome=%q}", string(o)))
+		s.byOutcome[o] = set.NewCounter(fmt.Sprintf("lupinkeel_requests_total{outcome=%q}", string(o)))
 	}
 	return s
 }
 
 // opened counts a new connection to an upstream, and its bytes by whether they
 // stay in the daemon's availability zone.
-func (g *Gateway) opened(addr netip.AddrPort) h1.Meter {
-	g.stats.opened.Inc()
+func (g *Gateway) connOpened(addr netip.AddrPort) h1.Meter {
+	g.stats.connsOpened.Inc()
 	for _, i := range g.node.View().All {
 		if i.Addr == addr && i.Zone == g.cfg.Zone {
 			return g.stats.ownZone
@@ -134,32 +134,32 @@
 }
 
 // meter counts the bytes of connections to upstreams.
-type meter struct{ sent, received *metrics.Counter }
+type byteMeter struct{ sent, received *metrics.Counter }
 
-func newMeter(set *metrics.Set, zone string) meter {
-	counter := func(way string) *metrics.Counter {
-		return set.NewCounter(fmt.Sprintf("lupinkeel_upstream_bytes_total{zone=%q,way=%q}", zone, way))
+func newByteMeter(set *metrics.Set, zone string) byteMeter {
+	counter := func(direction string) *metrics.Counter {
+		return set.NewCounter(fmt.Sprintf("lupinkeel_upstream_bytes_total{zone=%q,way=%q}", zone, direction))
 	}
-	return meter{counter("sent"), counter("received")}
+	return byteMeter{counter("sent"), counter("received")}
 }
 
 // Sent counts bytes of requests.
-func (m meter) Sent(n int) { m.sent.Add(n) }
+func (m byteMeter) Sent(n int) { m.sent.Add(n) }
 
 // Received counts bytes of answers.
-func (m meter) Received(n int) { m.received.Add(n) }
+func (m byteMeter) Received(n int) { m.received.Add(n) }
 
 // Traffic is what a node reads of a gateway that is yet to be made.
-func Traffic() cluster.Traffic { return newBalance() }
+func Traffic() cluster.Traffic { return newScheduler() }
 
 // New returns a gateway. The traffic must come from Traffic.
-func New(cfg Settings, node Beliefs, traffic cluster.Traffic, set *metrics.Set, log zerolog.Logger) *Gateway {
+func New(cfg Settings, node Node, traffic cluster.Traffic, set *metrics.Set, log zerolog.Logger) *Gateway {
 	g := &Gateway{
-		cfg: cfg, log: log, node: node, balance: traffic.(*balance), stats: newStats(set), set: set,
-		budget: newBudget(cfg.RetryRatio, cfg.RetrySlack, cfg.RetryWindow), crashes: newCrashWatch(node, set, log),
+		cfg: cfg, log: log, node: node, scheduler: traffic.(*scheduler), stats: newStats(set), set: set,
+		budget: newRetryBudget(cfg.RetryRatio, cfg.RetrySlack, cfg.RetryWindow), crashes: newCrashDetector(node, set, log),
 	}
-	g.balance.zone = cfg.Zone
-	g.settled = time.Now().Add(cfg.Settle)
-	g.conns = h1.NewPool(dialTimeout, g.opened)
+	g.scheduler.zone = cfg.Zone
+	g.stallReportsFrom = time.Now().Add(cfg.Settle)
+	g.conns = h1.NewPool(dialTimeout, g.connOpened)
 	return g
 }
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -9,78 +9,78 @@
 
 const (
 	// hedgeStep is how often a run that has a hedge looks at it.
-	hedgeStep = 8 * time.Millisecond
+	hedgePollInterval = 8 * time.Millisecond
 	// firstPart is the part of its aim within which the first event of a
 	// request is waited for at a head of which nothing else is known.
-	firstPart = 0.75
+	firstEventFraction = 0.75
 	// fullPart is the part of a group's slots from which on a request may be
 	// waiting there for a place: what is known of other daemons' requests is
 	// up to a second old. An estimate: requests waited so at 0.95 of the slots and
 	// more.
-	fullPart = 0.9
+	fullFraction = 0.9
 	// watchers is how many requests a group must have for those that it is
 	// answering to tell that it stands still, sooner than one that waits for its
 	// first event could. An estimate: groups had 8 to 14 when their streams told
 	// within 0.25 s.
-	watchers = 4
+	minWatchers = 4
 	// longWait is how often its aim a request waits for its first event at a
 	// group that is watched. It is late by then, and may still be answered.
 	// An estimate.
-	longWait = 1.5
+	watchedWaitFactor = 1.5
 	// firstStep is how often a run that waits is looked at, givenUpStep how
 	// often one for which nothing more can be done.
-	firstStep   = 40 * time.Millisecond
-	givenUpStep = 250 * time.Millisecond
+	stallPollInterval = 40 * time.Millisecond
+	idlePollInterval  = 250 * time.Millisecond
 )
 
 // hedge is a second run that was begun because nothing came from the first.
 // Whichever has the next event first goes on.
 type hedge struct {
-	*run
+	*streamAttempt
 	// ended yields nil once the run has its first event, or its error.
-	ended chan error
+	firstEvent chan error
 	// result holds what ended yielded, if over.
-	result error
-	over   bool
+	result   error
+	finished bool
 }
 
 // newHedge begins a second run in the background.
-func (s *stream) newHedge(to placed) *hedge {
-	h := &hedge{run: s.newRun(to), ended: make(chan error, 1)}
-	h.patience = func(time.Duration) time.Duration { return hedgeStep }
+func (s *stream) newHedge(dest target) *hedge {
+	h := &hedge{streamAttempt: s.newAttempt(dest), firstEvent: make(chan error, 1)}
+	h.readTimeout = func(time.Duration) time.Duration { return hedgePollInterval }
 	go func() {
 		event, err := h.next()
 		if err == nil {
-			h.ahead = &event
+			h.buffered = &event
 		}
-		h.ended <- err
+		h.firstEvent <- err
 	}()
 	return h
 }
 
 // done reports whether the run has its first event or failed.
 func (h *hedge) done() bool {
-	if h.over {
+	if h.finished {
 		return true
 	}
 	select {
-	case h.result = <-h.ended:
-		h.over = true
+	case h.result = <-h.firstEvent:
+		h.finished = true
 	default:
 	}
-	return h.over
+	return h.finished
 }
 
 // wait waits for the run's first event.
 func (h *hedge) wait() error {
-	if !h.over {
-		h.result, h.over = <-h.ended, true
+	if !h.finished {
+		h.result, h.finished = <-h.firstEvent, true
 	}
 	return h.result
 }
 
 // abandon ends the run and waits until nothing of it is left.
-func (h *hedge) abandon() {
+func (h *hedge) cancelAndClose() {
 	h.cancel()
 	// The run is over either way; its error tells nothing new.
 	_ = h.wait()
@@ -92,78 +92,78 @@
 	if s.hedge == nil {
 		return
 	}
-	s.hedge.abandon()
+	s.hedge.cancelAndClose()
 	s.hedge = nil
 }
 
 // besideHedge is patience for a run that has a hedge.
-func (s *stream) besideHedge() time.Duration {
+func (s *stream) hedgedReadTimeout() time.Duration {
 	if !s.hedge.done() {
-		return hedgeStep
+		return hedgePollInterval
 	}
 	if s.hedge.result == nil {
 		// Ends this run; goOn changes over.
 		return 0
 	}
-	s.noteEnd(s.hedge.result)
+	s.noteFailure(s.hedge.result)
 	s.hedge.close()
 	s.hedge = nil
-	return hedgeStep
+	return hedgePollInterval
 }
 
 // patience decides how much longer to wait for a run from which nothing came.
 // A hedge is begun if the whole group seems to stand still.
-func (s *stream) patience(silence time.Duration) time.Duration {
-	r := s.current
+func (s *stream) readTimeout(silence time.Duration) time.Duration {
+	a := s.current
 	if s.hedge != nil {
-		return s.besideHedge()
+		return s.hedgedReadTimeout()
 	}
-	if s.g.restarted(r.group.Head) {
+	if s.g.hasRestarted(a.group.Head) {
 		// Nothing comes from an earlier life; goOn looks for another group.
 		return 0
 	}
-	if r.moved.IsZero() && silence == 0 {
-		return firstStep
+	if a.lastEvent.IsZero() && silence == 0 {
+		return stallPollInterval
 	}
-	longest := r.longest()
-	if silence < longest {
-		return longest - silence
+	stallTimeout := a.stallTimeout()
+	if silence < stallTimeout {
+		return stallTimeout - silence
 	}
-	suspect := s.g.node.View().Suspects[r.group.Head.ID]
-	if !suspect && !s.standsStill(r, longest) {
-		return firstStep
+	suspect := s.g.node.View().Suspects[a.group.Head.ID]
+	if !suspect && !s.isStalled(a, stallTimeout) {
+		return stallPollInterval
 	}
-	if !s.mayRepeat() || s.standing().OnTrial() {
+	if !s.mayRetry() || s.standing().OnTrial() {
 		// A request that is about to be found out to crash instances is not sent to two
 		// at once.
-		return givenUpStep
+		return idlePollInterval
 	}
-	to, free := s.lookUnlimited()
+	dest, free := s.findUnlimitedGroup()
 	if !free {
 		// Permits are scarce, and the first run may still go on: they come second.
-		to, _, free = s.look()
+		dest, _, free = s.findGroup()
 	}
-	if !free || !s.spend(false) {
-		return firstStep
+	if !free || !s.allowRetry(false) {
+		return stallPollInterval
 	}
-	s.runs++
-	s.hedge = s.newHedge(to)
-	s.logHedge(to.group, silence, longest, suspect)
-	return hedgeStep
+	s.attempts++
+	s.hedge = s.newHedge(dest)
+	s.logHedge(dest.group, silence, stallTimeout, suspect)
+	return hedgePollInterval
 }
 
 // restarted reports whether an instance is known to have started again since it was
 // picked.
-func (g *Gateway) restarted(i models.UpstreamInstance) bool {
+func (g *Gateway) hasRestarted(i models.UpstreamInstance) bool {
 	now, there := g.node.View().All[i.ID]
 	return there && i.LifeOf(now.Born) == models.LaterLife
 }
 
 // logHedge tells why a second run was begun.
-func (s *stream) logHedge(to cluster.Group, silence, longest time.Duration, suspect bool) {
-	s.g.log.Info().Str("request", string(s.head.ID)).Str("from", string(s.current.group.Key.Name)).Str("to", string(to.Key.Name)).
-		Dur("silence", silence).Dur("longest", longest).Bool("suspect", suspect).
-		Int("load", s.g.balance.loadNow(s.g.node, to.Head.ID).Requests).Msg("stream-hedged")
+func (s *stream) logHedge(dest cluster.Group, silence, stallTimeout time.Duration, suspect bool) {
+	s.g.log.Info().Str("request", string(s.head.ID)).Str("from", string(s.current.group.Key.Name)).Str("to", string(dest.Key.Name)).
+		Dur("silence", silence).Dur("longest", stallTimeout).Bool("suspect", suspect).
+		Int("load", s.g.scheduler.totalLoad(s.g.node, dest.Head.ID).Requests).Msg("stream-hedged")
 }
 
 // isWatched reports whether a request that waits for its first event leaves it
@@ -174,31 +174,31 @@
 	if engine == nil {
 		return false
 	}
-	load := s.g.balance.loadNow(s.g.node, group.Head.ID)
-	full := float64(load.Requests) >= fullPart*float64(engine.Slots)
-	return full || (load.Requests >= watchers && waited < time.Duration(longWait*float64(s.route.Aim)))
+	load := s.g.scheduler.totalLoad(s.g.node, group.Head.ID)
+	full := float64(load.Requests) >= fullFraction*float64(engine.Slots)
+	return full || (load.Requests >= minWatchers && waited < time.Duration(watchedWaitFactor*float64(s.route.Aim)))
 }
 
 // standsStill reports whether so little has come from the run's group that a
 // hedge is due. It tells the other daemons of a group that surely stands still.
-func (s *stream) standsStill(r *run, longest time.Duration) bool {
-	now, head, unbegun := time.Now(), r.group.Head.ID, r.moved.IsZero()
-	waited := now.Sub(r.sent)
+func (s *stream) isStalled(a *streamAttempt, stallTimeout time.Duration) bool {
+	now, head, awaitsFirst := time.Now(), a.group.Head.ID, a.lastEvent.IsZero()
+	waited := now.Sub(a.sentAt)
 	switch {
-	case s.g.balance.still(head, now) < longest:
+	case s.g.scheduler.silence(head, now) < stallTimeout:
 		// The group moves; only this request waits.
 		return false
-	case unbegun && waited < time.Duration(firstPart*float64(s.route.Aim)):
+	case awaitsFirst && waited < time.Duration(firstEventFraction*float64(s.route.Aim)):
 		// Nothing has come yet, and may still be on its way.
 		return false
-	case unbegun && s.isWatched(r.group, waited):
+	case awaitsFirst && s.isWatched(a.group, waited):
 		// A second run would only be one prompt more to read elsewhere.
 		return false
-	case now.Before(s.g.settled), unbegun && waited < s.route.Aim:
+	case now.Before(s.g.stallReportsFrom), awaitsFirst && waited < s.route.Aim:
 		// Too little is known to suspect the group; a hedge does no harm.
 		return true
 	default:
-		s.g.node.ReportStalled(r.group.Key, head)
+		s.g.node.ReportStalled(a.group.Key, head)
 		return true
 	}
 }
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -18,7 +18,7 @@
 // TestProofOfKeys checks that a daemon that can't show that its keys are
 // current refuses, truly and with a time to come back, and that it calls no
 // route or key unknown that a newer configuration may hold.
-func TestProofOfKeys(t *testing.T) {
+func TestStaleConfigRefuses(t *testing.T) {
 	c := qt.New(t)
 	routing := &models.Routing{
 		Version: 1, Keyed: true, Keys: map[string]models.KeyHolder{"k1": {Workspace: "ws"}},
@@ -45,7 +45,7 @@
 	} {
 		view := &cluster.View{Routing: test.routing, Proven: time.Now().Add(-test.age), Daemons: 1}
 		g := New(Settings{KeysBound: 4 * time.Second, ConfigBound: 2 * time.Second, RetryWindow: time.Second},
-			&fixedBeliefs{view: view, clock: timer.New(time.Now())}, newBalance(), metrics.NewSet(), zerolog.Nop())
+			&fakeNode{view: view, clock: timer.New(time.Now())}, newScheduler(), metrics.NewSet(), zerolog.Nop())
 		r := httptest.NewRequest(http.MethodPost, test.path, nil)
 		r.Host = "api.example"
 		r.Header.Set("Authorization", "Token "+test.key)
@@ -62,7 +62,7 @@
 func TestReady(t *testing.T) {
 	c := qt.New(t)
 	view := &cluster.View{Routing: &models.Routing{}, Proven: time.Now()}
-	g := New(Settings{KeysBound: 4 * time.Second, RetryWindow: time.Second}, &fixedBeliefs{view: view, clock: timer.New(time.Now())}, newBalance(), metrics.NewSet(), zerolog.Nop())
+	g := New(Settings{KeysBound: 4 * time.Second, RetryWindow: time.Second}, &fakeNode{view: view, clock: timer.New(time.Now())}, newScheduler(), metrics.NewSet(), zerolog.Nop())
 	ready := func() int {
 		w := httptest.NewRecorder()
 		g.serveReady(w, httptest.NewRequest(http.MethodGet, "/-/ready", nil))
@@ -79,15 +79,15 @@
 // A machine is suspended for longer than a key that was taken away may be used. The steady
 // clock does not count that time: the proof that the keys are current seems to be as young as
 // before. No request runs by it, and the balancer is told to send none.
-func TestKeysAfterSuspension(t *testing.T) {
+func TestStaleConfigAfterSuspension(t *testing.T) {
 	c := qt.New(t)
 	start := time.Now()
 	var suspended time.Duration
 	clock := timer.New(start)
 	c.Assert(clock.CountSuspensions(func() (time.Duration, error) { return time.Since(start) + suspended, nil }), qt.IsNil)
 	view := &cluster.View{Routing: &models.Routing{}, Proven: time.Now()}
-	g := New(Settings{KeysBound: 4 * time.Second, RetryWindow: time.Second}, &fixedBeliefs{view: view, clock: clock}, newBalance(), metrics.NewSet(), zerolog.Nop())
-	c.Assert(g.current(view, g.cfg.KeysBound), qt.IsTrue)
+	g := New(Settings{KeysBound: 4 * time.Second, RetryWindow: time.Second}, &fakeNode{view: view, clock: clock}, newScheduler(), metrics.NewSet(), zerolog.Nop())
+	c.Assert(g.isCurrent(view, g.cfg.KeysBound), qt.IsTrue)
 	suspended = 5 * time.Second
-	c.Assert(g.current(view, g.cfg.KeysBound), qt.IsFalse)
+	c.Assert(g.isCurrent(view, g.cfg.KeysBound), qt.IsFalse)
 }
--- a/gateway/pauses_test.go
+++ b/gateway/pauses_test.go
@@ -24,64 +24,64 @@
 
 // TestPatienceIsLearned checks that the patience follows the pauses that are
 // seen, keeps clear of stalls, and stays within its bounds.
-func TestPatienceIsLearned(t *testing.T) {
+func TestStallTimeoutFollowsPauses(t *testing.T) {
 	c := qt.New(t)
 	const pass = 50 * time.Millisecond
-	var unknown *pauses
-	c.Assert(unknown.patience(pass), qt.Equals, 90*time.Millisecond)
-	p := &pauses{}
-	for range 2 * pausesKept {
+	var unknown *pauseHistogram
+	c.Assert(unknown.stallTimeout(pass), qt.Equals, 90*time.Millisecond)
+	p := &pauseHistogram{}
+	for range 2 * maxPauseCount {
 		p.add(pass, pass)
 		p.add(time.Second, pass)
 	}
-	steady := p.patience(pass)
+	steady := p.stallTimeout(pass)
 	c.Assert(steady > pass && steady < 70*time.Millisecond, qt.IsTrue, qt.Commentf("%s", steady))
-	for range 2 * pausesKept {
+	for range 2 * maxPauseCount {
 		p.add(2*pass, pass)
 	}
-	c.Assert(p.patience(pass) > 2*pass, qt.IsTrue)
-	c.Assert(p.patience(time.Millisecond), qt.Equals, leastPatience)
-	c.Assert(p.patience(time.Second), qt.Equals, mostPatience)
+	c.Assert(p.stallTimeout(pass) > 2*pass, qt.IsTrue)
+	c.Assert(p.stallTimeout(time.Millisecond), qt.Equals, minStallTimeout)
+	c.Assert(p.stallTimeout(time.Second), qt.Equals, maxStallTimeout)
 }
 
 // TestBudget checks that repeats stay within a part of the requests and the
 // daemon's part of the fixed number, over any window.
 func TestBudget(t *testing.T) {
 	c := qt.New(t)
-	b := newBudget(0.2, 100, 10*time.Second)
+	b := newRetryBudget(0.2, 100, 10*time.Second)
 	now := time.Unix(1000, 0)
 	allowed := 0
 	for range 1000 {
-		b.request(now)
-		if b.repeat(now, 10, false) {
+		b.addRequest(now)
+		if b.allowRetry(now, 10, false) {
 			allowed++
 		}
 		now = now.Add(5 * time.Millisecond)
 	}
 	c.Assert(allowed > 100 && allowed <= 210, qt.IsTrue, qt.Commentf("%d", allowed))
 	now = now.Add(time.Minute)
-	c.Assert(b.repeat(now, 10, false), qt.IsTrue)
+	c.Assert(b.allowRetry(now, 10, false), qt.IsTrue)
 }
 
 // TestSparePause checks that a stream waits for its group as long as it may go
 // on elsewhere in time, and that this is the shorter the longer its prompt is.
 // Daemons that did not know of each other's prompts took seventeen sound groups
 // for stalled within two seconds, at 56 ms where the caller allows 200.
-func TestSparePause(t *testing.T) {
+func TestFailoverSlack(t *testing.T) {
 	c := qt.New(t)
 	engine := &models.EngineProfile{Slots: 20, Step: 8 * time.Millisecond, PerRequest: 100 * time.Microsecond, ReadPerSecond: 46000, Stride: 6}
 	model := models.ModelProfile{Pace: 0.5}
-	c.Assert(sparePause(engine, model, 460, 200*time.Millisecond), qt.Equals, 138*time.Millisecond)
-	c.Assert(sparePause(engine, model, 1840, 200*time.Millisecond), qt.Equals, 93*time.Millisecond)
-	c.Assert(sparePause(engine, model, 460, 0) < 0, qt.IsTrue, qt.Commentf("no pause is named"))
+	c.Assert(failoverSlack(engine, model, 460, 200*time.Millisecond), qt.Equals, 138*time.Millisecond)
+	c.Assert(failoverSlack(engine, model, 1840, 200*time.Millisecond), qt.Equals, 93*time.Millisecond)
+	c.Assert(failoverSlack(engine, model, 460, 0) < 0, qt.IsTrue, qt.Commentf("no pause is named"))
 }
 
 // TestPromptsToldLate replays a group that reads long prompts, of which its
 // daemons are told with a delay: few of its pauses may seem to be too long.
-func TestPromptsToldLate(t *testing.T) {
+func TestDelayedPromptReports(t *testing.T) {
 	c := qt.New(t)
-	early := falseAlarms(func(expected, _ time.Duration) time.Duration { return begunPass(expected, 0, 0) })
-	late := falseAlarms(func(expected, now time.Duration) time.Duration { return begunPass(expected, now, toldAfter) })
+	early := falseAlarmRate(func(expected, _ time.Duration) time.Duration { return currentPassTime(expected, 0, 0) })
+	late := falseAlarmRate(func(expected, now time.Duration) time.Duration { return currentPassTime(expected, now, loadDelay) })
 	t.Logf("in a million pauses: %.0f by what was known at their begin, %.0f by what is known later", early*1e6, late*1e6)
 	c.Assert(early > 0.005, qt.IsTrue, qt.Commentf("the load no longer shows the fault: %v", early))
 	c.Assert(late < 0.001, qt.IsTrue, qt.Commentf("%v", late))
@@ -89,18 +89,18 @@
 
 const (
 	// toldAfter is how late the loads of other daemons are told.
-	toldAfter = 50 * time.Millisecond
+	loadDelay = 50 * time.Millisecond
 	// promptEvery is how often a prompt comes to the group, promptTokens how long
 	// they are on average.
-	promptEvery  = 180 * time.Millisecond
-	promptTokens = 1700
+	promptInterval = 180 * time.Millisecond
+	promptTokens   = 1700
 	// running is how many requests the group is answering.
-	running = 6
+	runningRequests = 6
 )
 
 // falseAlarms is the part of a group's pauses that seem too long, where the pass
 // that it is at is judged by what was known when it began and what is known now.
-func falseAlarms(judge func(expected, now time.Duration) time.Duration) float64 {
+func falseAlarmRate(judge func(expected, now time.Duration) time.Duration) float64 {
 	engine := &models.EngineProfile{Slots: 14, Step: 7800 * time.Microsecond, PerRequest: 95 * time.Microsecond, Stride: 8, ReadPerSecond: 45900}
 	model := models.ModelProfile{Pace: 1}
 	random := rand.New(rand.NewPCG(1, 2))
@@ -123,19 +123,19 @@
 	}
 	for range passes {
 		pass := func(tokens int) time.Duration {
-			return passTime(engine, model, cluster.Load{Requests: running, Unread: tokens})
+			return passTime(engine, model, cluster.Load{Requests: runningRequests, Unread: tokens})
 		}
-		expected, takes := pass(unread(now-toldAfter)), pass(unread(now))
+		expected, takes := pass(unread(now-loadDelay)), pass(unread(now))
 		read := len(waiting)
 		for next <= now+takes {
 			waiting = append(waiting, prompt{next, int(random.ExpFloat64() * promptTokens)})
-			next += time.Duration(random.ExpFloat64() * float64(promptEvery))
+			next += time.Duration(random.ExpFloat64() * float64(promptInterval))
 		}
-		var p *pauses
-		longest := p.patience(expected)
+		var p *pauseHistogram
+		longest := p.stallTimeout(expected)
 		if takes > longest {
-			later := pass(unread(now + longest - toldAfter))
-			if takes > p.patience(judge(expected, later)) {
+			later := pass(unread(now + longest - loadDelay))
+			if takes > p.stallTimeout(judge(expected, later)) {
 				alarms++
 			}
 		}
--- a/gateway/permit.go
+++ b/gateway/permit.go
@@ -13,13 +13,13 @@
 const (
 	// mostAsks is how often a request asks for a permit until it counts as refused, each
 	// time for other instances.
-	mostAsks = 8
+	maxPermitAsks = 8
 	// mostWanted bounds how many instances one ask names.
-	mostWanted = 32
+	maxPermitCandidates = 32
 	// permitValid is for how long a permit may be used.
-	permitValid = 300 * time.Millisecond
+	permitLifetime = 300 * time.Millisecond
 	// unansweredBar is for how long instances are left alone whose granter did not answer.
-	unansweredBar = 300 * time.Millisecond
+	unansweredExclusion = 300 * time.Millisecond
 )
 
 // permit allows one request to be sent to an instance that bounds how many it gets from all
@@ -30,7 +30,7 @@
 }
 
 // isLimited reports whether requests to an instance need permits.
-func (g *Gateway) isLimited(i models.UpstreamInstance) bool {
+func (g *Gateway) needsPermit(i models.UpstreamInstance) bool {
 	return g.node.Limits().Rate(i, time.Now()) != models.NoLimit
 }
 
@@ -38,16 +38,16 @@
 // itself: the instance may have named a limit since it was picked, or the process may have
 // stood still.
 func (p permit) allows(g *Gateway, i models.UpstreamInstance) bool {
-	if !g.isLimited(i) {
+	if !g.needsPermit(i) {
 		return true
 	}
-	return p.instance == i.ID && g.node.Clock().Since(p.granted) < permitValid
+	return p.instance == i.ID && g.node.Clock().Since(p.granted) < permitLifetime
 }
 
 // askPermit asks for a permit for one of some instances of a zone, the best first, and
 // returns which one it is for. Instances that can't be sent a request now are left alone for
 // as long.
-func (e *exchange) askPermit(ctx context.Context, instances []models.UpstreamInstance) (int, permit, bool) {
+func (e *exchange) requestPermit(ctx context.Context, instances []models.UpstreamInstance) (int, permit, bool) {
 	now := time.Now()
 	ask := ratelimit.Ask{Rank: e.permitRank(now)}
 	for _, i := range instances {
@@ -57,13 +57,13 @@
 	if err != nil {
 		e.g.log.Debug().Str("request", string(e.head.ID)).Str("instance", string(instances[0].ID)).Err(err).Msg("permit-unanswered")
 		for _, i := range instances {
-			e.g.balance.bar(i.ID, now.Add(unansweredBar))
+			e.g.scheduler.exclude(i.ID, now.Add(unansweredExclusion))
 		}
 		return 0, permit{}, false
 	}
 	for n, wait := range grant.Waits[:min(len(grant.Waits), len(instances))] {
 		if wait > 0 {
-			e.g.balance.bar(instances[n].ID, now.Add(wait))
+			e.g.scheduler.exclude(instances[n].ID, now.Add(wait))
 		}
 	}
 	if !grant.Granted || grant.At >= len(instances) {
@@ -76,47 +76,47 @@
 // can still be in time.
 func (e *exchange) permitRank(now time.Time) int {
 	r := rank(e.holder.Priority, e.route.Priority)
-	if aim := e.route.Aim; aim > 0 && !e.answering && now.Sub(e.began) > aim {
+	if aim := e.route.Aim; aim > 0 && !e.headSent && now.Sub(e.started) > aim {
 		return min(maxPriority, r+routeRanks)
 	}
 	return r
 }
 
 // placed is a group that a request goes to, with the permit for its head.
-type placed struct {
+type target struct {
 	group  cluster.Group
 	permit permit
 }
 
 // permitted returns the group that was picked, or another one whose head its zone's granter
 // gives a permit for.
-func (s *stream) permitted(engine *models.EngineProfile, picked cluster.Group) (placed, bool) {
+func (s *stream) pickPermittedGroup(engine *models.EngineProfile, picked cluster.Group) (target, bool) {
 	groups := []cluster.Group{picked}
-	if w := s.wants(); w.place == nil {
-		groups = append(groups, s.g.balance.limitedBeside(s.g.node, engine, picked, w)...)
+	if criteria := s.criteria(); criteria.trialPlace == nil {
+		groups = append(groups, s.g.scheduler.limitedGroups(s.g.node, engine, picked, criteria)...)
 	}
 	heads := make([]models.UpstreamInstance, len(groups))
 	for n, g := range groups {
 		heads[n] = g.Head
 	}
-	at, p, granted := s.askPermit(s.ctx, heads)
+	at, p, granted := s.requestPermit(s.ctx, heads)
 	if !granted {
-		return placed{}, false
+		return target{}, false
 	}
-	return placed{groups[at], p}, true
+	return target{groups[at], p}, true
 }
 
 // limitedBeside are other groups of the same zone that have a place and whose heads name a
 // limit.
-func (b *balance) limitedBeside(node Beliefs, engine *models.EngineProfile, picked cluster.Group, w wanted) []cluster.Group {
+func (s *scheduler) limitedGroups(node Node, engine *models.EngineProfile, picked cluster.Group, criteria groupCriteria) []cluster.Group {
 	now := time.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var out []cluster.Group
-	for _, g := range b.eligible(node, node.View().Groups[w.head.Model], w, now) {
+	for _, g := range s.eligible(node, node.View().Groups[criteria.head.Model], criteria, now) {
 		limited := node.Limits().Rate(g.Head, now) != models.NoLimit
-		if len(out) < mostWanted-1 && limited && g.Head.ID != picked.Head.ID && g.Head.Zone == picked.Head.Zone &&
-			b.policy.Takes(engine, b.loadAt(node, g.Head.ID).Requests) {
+		if len(out) < maxPermitCandidates-1 && limited && g.Head.ID != picked.Head.ID && g.Head.Zone == picked.Head.Zone &&
+			s.policy.HasCapacity(engine, s.totalLoadLocked(node, g.Head.ID).Requests) {
 			out = append(out, g)
 		}
 	}
@@ -125,38 +125,38 @@
 
 // pickPermitted returns the instance of a plain service that the request is sent to next.
 // Where all of them name limits or rest it waits as long as others wait for a place.
-func (e *exchange) pickPermitted(ctx context.Context) (models.UpstreamInstance, permit, error) {
-	until := e.began.Add(time.Duration(queuePart * float64(e.route.Aim)))
+func (e *exchange) awaitInstance(ctx context.Context) (models.UpstreamInstance, permit, error) {
+	until := e.started.Add(time.Duration(queueFraction * float64(e.route.Aim)))
 	for {
-		i, p, found := e.askInstances(ctx)
+		i, p, found := e.pickPermittedInstance(ctx)
 		if found {
 			return i, p, nil
 		}
-		next, opens := e.g.balance.nextOpening(e.g.node, e.g.node.View().Services[e.service], e.tried)
+		next, opens := e.g.scheduler.nextAvailability(e.g.node, e.g.node.View().Services[e.service], e.tried)
 		if !opens {
-			return i, p, errNoUpstream
+			return i, p, errNoInstance
 		}
 		if next.at.After(until) {
-			e.opening = next
-			return i, p, next.reason
+			e.available = next
+			return i, p, next.err
 		}
 		select {
 		case <-ctx.Done():
-			return i, p, errNoUpstream
+			return i, p, errNoInstance
 		case <-time.After(time.Until(next.at)):
 		}
 	}
 }
 
 // askInstances returns an instance that needs no permit, or one with a permit.
-func (e *exchange) askInstances(ctx context.Context) (models.UpstreamInstance, permit, bool) {
-	for range mostAsks {
+func (e *exchange) pickPermittedInstance(ctx context.Context) (models.UpstreamInstance, permit, bool) {
+	for range maxPermitAsks {
 		i, found := e.pickInstance()
-		if !found || !e.g.isLimited(i) {
+		if !found || !e.g.needsPermit(i) {
 			return i, permit{}, found
 		}
-		instances := append([]models.UpstreamInstance{i}, e.g.balance.instancesBeside(e.g.node, e.service, i, e.tried)...)
-		if at, p, granted := e.askPermit(ctx, instances); granted {
+		instances := append([]models.UpstreamInstance{i}, e.g.scheduler.limitedInstances(e.g.node, e.service, i, e.tried)...)
+		if at, p, granted := e.requestPermit(ctx, instances); granted {
 			return instances[at], p, true
 		}
 	}
@@ -164,14 +164,14 @@
 }
 
 // instancesBeside are other instances of the same service and zone that name a limit.
-func (b *balance) instancesBeside(node Beliefs, service models.ServiceName, picked models.UpstreamInstance, tried []models.InstanceID) []models.UpstreamInstance {
+func (s *scheduler) limitedInstances(node Node, service models.ServiceName, picked models.UpstreamInstance, tried []models.InstanceID) []models.UpstreamInstance {
 	now := time.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var out []models.UpstreamInstance
 	for _, i := range node.View().Services[service] {
-		skip := i.ID == picked.ID || i.Zone != picked.Zone || slices.Contains(tried, i.ID) || b.isBarred(node, i, now)
-		if len(out) < mostWanted-1 && !skip && node.Limits().Rate(i, now) != models.NoLimit {
+		skip := i.ID == picked.ID || i.Zone != picked.Zone || slices.Contains(tried, i.ID) || s.isExcluded(node, i, now)
+		if len(out) < maxPermitCandidates-1 && !skip && node.Limits().Rate(i, now) != models.NoLimit {
 			out = append(out, i)
 		}
 	}
--- a/gateway/permit_test.go
+++ b/gateway/permit_test.go
@@ -18,30 +18,30 @@
 )
 
 // limitedSite is a gateway with two plain instances of which the test says which name limits.
-type limitedSite struct {
+type limitFixture struct {
 	c       *qt.C
-	beliefs *fixedBeliefs
-	front   *httptest.Server
+	node    *fakeNode
+	gateway *httptest.Server
 	// ran holds the instances that got requests, limit what p1 names, status what it
 	// answers with unless that is 0, told what else it says in heads.
-	ran    []string
-	limit  string
-	status int
-	told   map[string]string
+	received []string
+	limit    string
+	status   int
+	headers  map[string]string
 }
 
-func newLimitedSite(t *testing.T) *limitedSite {
-	s := &limitedSite{c: qt.New(t)}
-	var instances []*instance
+func newLimitFixture(t *testing.T) *limitFixture {
+	s := &limitFixture{c: qt.New(t)}
+	var instances []*fakeInstance
 	for _, name := range []string{"p1", "p2"} {
 		upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			s.ran = append(s.ran, name)
+			s.received = append(s.received, name)
 			w.Header().Set("X-Lupinkeel-Request-Id", r.Header.Get("X-Lupinkeel-Request-Id"))
 			w.Header().Set("X-Lupinkeel-Response-Stamp", "s")
 			if name == "p1" && s.limit != "" {
 				w.Header().Set("Server-Limit", s.limit)
 			}
-			for header, value := range s.told {
+			for header, value := range s.headers {
 				if name == "p1" {
 					w.Header().Set(header, value)
 				}
@@ -51,19 +51,19 @@
 			}
 		}))
 		t.Cleanup(upstream.Close)
-		instances = append(instances, &instance{name: name, l: upstream.Listener.(*net.TCPListener)})
+		instances = append(instances, &fakeInstance{name: name, l: upstream.Listener.(*net.TCPListener)})
 	}
-	s.beliefs = beliefsFor(s.c, quarantineConfig, instances)
-	s.beliefs.limits = noLimits()
-	g := New(Settings{KeysBound: time.Minute, ConfigBound: time.Minute, RetryWindow: time.Second}, s.beliefs, newBalance(), metrics.NewSet(), zerolog.Nop())
-	s.front = httptest.NewServer(http.HandlerFunc(g.serve))
-	t.Cleanup(s.front.Close)
+	s.node = newFakeNode(s.c, quarantineConfig, instances)
+	s.node.limits = emptyLimits()
+	g := New(Settings{KeysBound: time.Minute, ConfigBound: time.Minute, RetryWindow: time.Second}, s.node, newScheduler(), metrics.NewSet(), zerolog.Nop())
+	s.gateway = httptest.NewServer(http.HandlerFunc(g.serve))
+	t.Cleanup(s.gateway.Close)
 	return s
 }
 
 // ask sends one request and returns the answer, and how long it took.
-func (s *limitedSite) ask(id string) (*http.Response, time.Duration) {
-	r, err := http.NewRequest(http.MethodPost, s.front.URL+"/again/x", strings.NewReader("body"))
+func (s *limitFixture) send(id string) (*http.Response, time.Duration) {
+	r, err := http.NewRequest(http.MethodPost, s.gateway.URL+"/again/x", strings.NewReader("body"))
 	s.c.Assert(err, qt.IsNil)
 	r.Host = "api.example"
 	r.Header.Set("Authorization", "Token k1")
@@ -76,109 +76,109 @@
 }
 
 // name has an instance known to name a limit.
-func (s *limitedSite) name(id models.InstanceID) {
-	i := s.beliefs.view.All[id]
-	s.beliefs.limits.Heard(ratelimit.Sighting{Instance: id, Born: i.Born, Rate: 2, Asked: time.Now(), Heard: time.Now()})
+func (s *limitFixture) setLimit(id models.InstanceID) {
+	i := s.node.view.All[id]
+	s.node.limits.Heard(ratelimit.Sighting{Instance: id, Born: i.Born, Rate: 2, Asked: time.Now(), Heard: time.Now()})
 }
 
 // The limit that an answer names holds from the next request on: without a permit nothing is
 // sent, other instances take the requests, and with one it goes there.
 func TestLimitedInstanceNeedsPermit(t *testing.T) {
-	s := newLimitedSite(t)
+	s := newLimitFixture(t)
 	s.limit = "2"
-	for n := 0; len(s.ran) == 0 || s.ran[len(s.ran)-1] != "p1"; n++ {
+	for n := 0; len(s.received) == 0 || s.received[len(s.received)-1] != "p1"; n++ {
 		s.c.Assert(n < 100, qt.IsTrue)
-		s.ask("a")
+		s.send("a")
 	}
-	s.ran = nil
+	s.received = nil
 	for range 5 {
-		resp, _ := s.ask("b")
+		resp, _ := s.send("b")
 		s.c.Assert(resp.StatusCode, qt.Equals, http.StatusOK)
 	}
-	s.c.Assert(s.ran, qt.DeepEquals, []string{"p2", "p2", "p2", "p2", "p2"})
+	s.c.Assert(s.received, qt.DeepEquals, []string{"p2", "p2", "p2", "p2", "p2"})
 
 	asked := 0
-	s.beliefs.permit = func(ask ratelimit.Ask) (ratelimit.Grant, error) {
+	s.node.permit = func(ask ratelimit.Ask) (ratelimit.Grant, error) {
 		asked++
 		s.c.Check(ask.Wanted, qt.DeepEquals, []ratelimit.Wanted{{Instance: "p1", Rate: 2}})
 		return ratelimit.Grant{Granted: true, Waits: []time.Duration{0}}, nil
 	}
-	time.Sleep(unansweredBar)
-	s.ran = nil
+	time.Sleep(unansweredExclusion)
+	s.received = nil
 	for n := 0; asked == 0; n++ {
 		s.c.Assert(n < 100, qt.IsTrue)
-		s.ask("c")
+		s.send("c")
 	}
-	s.c.Assert(s.ran[len(s.ran)-1], qt.Equals, "p1")
+	s.c.Assert(s.received[len(s.received)-1], qt.Equals, "p1")
 }
 
 // Where all instances name limits and no permit can come in time, a request is refused at
 // once, without a send, and told to come back by the wait, each caller at another time.
-func TestAllLimitedIsRefusedAtOnce(t *testing.T) {
-	s := newLimitedSite(t)
-	s.name("p1")
-	s.name("p2")
+func TestAllLimitedRefusesImmediately(t *testing.T) {
+	s := newLimitFixture(t)
+	s.setLimit("p1")
+	s.setLimit("p2")
 	const wait = 1500 * time.Millisecond
-	s.beliefs.permit = func(ask ratelimit.Ask) (ratelimit.Grant, error) {
+	s.node.permit = func(ask ratelimit.Ask) (ratelimit.Grant, error) {
 		waits := make([]time.Duration, len(ask.Wanted))
 		for n := range waits {
 			waits[n] = wait
 		}
 		return ratelimit.Grant{Waits: waits}, nil
 	}
-	told := map[string]bool{}
+	retryAfters := map[string]bool{}
 	for range 4 {
-		resp, took := s.ask("a")
+		resp, took := s.send("a")
 		s.c.Assert(resp.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 		s.c.Assert(took < 100*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
 		after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		s.c.Assert(err, qt.IsNil)
 		s.c.Assert(after >= wait.Seconds()-0.5 && after <= 2*wait.Seconds(), qt.IsTrue, qt.Commentf("%v s", after))
-		told[resp.Header.Get("Retry-After")] = true
+		retryAfters[resp.Header.Get("Retry-After")] = true
 	}
-	s.c.Assert(len(told) > 1, qt.IsTrue)
-	s.c.Assert(s.ran, qt.HasLen, 0)
+	s.c.Assert(len(retryAfters) > 1, qt.IsTrue)
+	s.c.Assert(s.received, qt.HasLen, 0)
 }
 
 // Another instance has taken over the address of one with a limit: what it says is not that
 // one's word.
-func TestLimitOfFormerAddress(t *testing.T) {
-	s := newLimitedSite(t)
+func TestLimitFromReusedAddressIgnored(t *testing.T) {
+	s := newLimitFixture(t)
 	s.limit, s.status = "2", http.StatusMisdirectedRequest
-	for n := 0; len(s.ran) == 0 || s.ran[len(s.ran)-1] != "p1"; n++ {
+	for n := 0; len(s.received) == 0 || s.received[len(s.received)-1] != "p1"; n++ {
 		s.c.Assert(n < 100, qt.IsTrue)
-		s.ask("a")
+		s.send("a")
 	}
-	s.c.Assert(s.beliefs.limits.Any(), qt.IsFalse)
+	s.c.Assert(s.node.limits.Any(), qt.IsFalse)
 }
 
 // A permit that comes within the time that requests wait for a place is waited for.
-func TestPermitIsAwaited(t *testing.T) {
-	s := newLimitedSite(t)
-	s.name("p1")
-	s.name("p2")
+func TestWaitsForPermit(t *testing.T) {
+	s := newLimitFixture(t)
+	s.setLimit("p1")
+	s.setLimit("p2")
 	asked := 0
-	s.beliefs.permit = func(ask ratelimit.Ask) (ratelimit.Grant, error) {
+	s.node.permit = func(ask ratelimit.Ask) (ratelimit.Grant, error) {
 		if asked++; asked > 1 {
 			return ratelimit.Grant{Granted: true, At: len(ask.Wanted) - 1, Waits: make([]time.Duration, len(ask.Wanted))}, nil
 		}
 		return ratelimit.Grant{Waits: []time.Duration{10 * time.Millisecond, 15 * time.Millisecond}}, nil
 	}
-	resp, _ := s.ask("a")
+	resp, _ := s.send("a")
 	s.c.Assert(resp.StatusCode, qt.Equals, http.StatusOK)
-	s.c.Assert(s.ran, qt.HasLen, 1)
+	s.c.Assert(s.received, qt.HasLen, 1)
 }
 
 // The instance names a limit after it was picked, or the process stands still with a permit
 // in its hand: nothing is sent without one that is valid.
-func TestPermitIsCheckedAtTheSend(t *testing.T) {
-	s := newLimitedSite(t)
-	g := New(Settings{RetryWindow: time.Second}, s.beliefs, newBalance(), metrics.NewSet(), zerolog.Nop())
-	i := s.beliefs.view.All["p1"]
+func TestPermitCheckedBeforeSend(t *testing.T) {
+	s := newLimitFixture(t)
+	g := New(Settings{RetryWindow: time.Second}, s.node, newScheduler(), metrics.NewSet(), zerolog.Nop())
+	i := s.node.view.All["p1"]
 	s.c.Assert(permit{}.allows(g, i), qt.IsTrue)
-	s.name("p1")
+	s.setLimit("p1")
 	s.c.Assert(permit{}.allows(g, i), qt.IsFalse)
 	s.c.Assert(permit{instance: "p2", granted: time.Now()}.allows(g, i), qt.IsFalse)
 	s.c.Assert(permit{instance: "p1", granted: time.Now()}.allows(g, i), qt.IsTrue)
-	s.c.Assert(permit{instance: "p1", granted: time.Now().Add(-permitValid)}.allows(g, i), qt.IsFalse)
+	s.c.Assert(permit{instance: "p1", granted: time.Now().Add(-permitLifetime)}.allows(g, i), qt.IsFalse)
 }
--- a/gateway/pick_test.go
+++ b/gateway/pick_test.go
@@ -13,38 +13,38 @@
 )
 
 // idlePeers are beliefs in which other daemons have no requests.
-type idlePeers struct{ *fixedBeliefs }
+type idlePeersNode struct{ *fakeNode }
 
-func (idlePeers) PeersLoad(models.InstanceID) cluster.Load { return cluster.Load{} }
+func (idlePeersNode) PeersLoad(models.InstanceID) cluster.Load { return cluster.Load{} }
 
 // pickBeliefs are beliefs with three groups of one model, one of them in the
 // daemon's zone, and as many instances of a plain service.
-func pickBeliefs() idlePeers {
+func newPickNode() idlePeersNode {
 	view := &cluster.View{Groups: map[models.ModelName][]cluster.Group{}, Services: map[models.ServiceName][]models.UpstreamInstance{}}
 	for _, zone := range []models.Zone{"a", "b", "c"} {
 		i := models.UpstreamInstance{ID: models.InstanceID(zone), Zone: zone}
 		view.Groups["m"] = append(view.Groups["m"], cluster.Group{Head: i})
 		view.Services["s"] = append(view.Services["s"], i)
 	}
-	return idlePeers{&fixedBeliefs{view: view, clock: timer.New(time.Now())}}
+	return idlePeersNode{&fakeNode{view: view, clock: timer.New(time.Now())}}
 }
 
 // TestNearestOfEquals checks that of equal groups and instances one in the
 // daemon's own zone is picked, a less busy instance elsewhere before that, and a
 // group elsewhere if it answers sooner by a fifth of the aim.
-func TestNearestOfEquals(t *testing.T) {
+func TestPrefersOwnZone(t *testing.T) {
 	c := qt.New(t)
-	b := newBalance()
+	b := newScheduler()
 	b.zone = "b"
-	beliefs := pickBeliefs()
+	node := newPickNode()
 	engine := &models.EngineProfile{Slots: 17, ReadPerSecond: 45900}
 	group := func(aim time.Duration) models.InstanceID {
-		g, _, found := b.pickGroup(beliefs, engine, wanted{head: models.RequestHead{Model: "m"}, aim: aim, routeAim: 300 * time.Millisecond})
+		g, _, found := b.pickGroup(node, engine, groupCriteria{head: models.RequestHead{Model: "m"}, latencyTarget: aim, routeTarget: 300 * time.Millisecond})
 		c.Assert(found, qt.IsTrue)
 		return g.Head.ID
 	}
 	instance := func() models.InstanceID {
-		i, found := b.pickInstance(beliefs, "s", nil)
+		i, found := b.pickInstance(node, "s", nil)
 		c.Assert(found, qt.IsTrue)
 		return i.ID
 	}
@@ -53,7 +53,7 @@
 		c.Assert(instance(), qt.Equals, models.InstanceID("b"))
 	}
 	// 52 ms later than the others.
-	b.add("b", 4, 2000)
+	b.addLoad("b", 4, 2000)
 	for range 20 {
 		c.Assert(group(200*time.Millisecond), qt.Not(qt.Equals), models.InstanceID("b"))
 		c.Assert(group(0), qt.Not(qt.Equals), models.InstanceID("b"))
@@ -65,18 +65,18 @@
 // TestMovedStreamsScatter checks that streams which are moved at the same
 // moment do not all go to the group that was the least busy one: six
 // prompts met there and were read one after the other.
-func TestMovedStreamsScatter(t *testing.T) {
+func TestFailoverSpreadsStreams(t *testing.T) {
 	c := qt.New(t)
-	b := newBalance()
-	b.add("b", 1, 0)
-	b.add("c", 2, 0)
-	b.add("lost", 9, 0)
+	b := newScheduler()
+	b.addLoad("b", 1, 0)
+	b.addLoad("c", 2, 0)
+	b.addLoad("lost", 9, 0)
 	engine := &models.EngineProfile{Slots: 17, ReadPerSecond: 45900}
 	head := models.RequestHead{Model: "m", PromptTokens: 1400}
 	pick := func(tried ...models.InstanceID) map[models.InstanceID]int {
 		picked := map[models.InstanceID]int{}
 		for range 300 {
-			g, _, _ := b.pickGroup(pickBeliefs(), engine, wanted{head: head, tried: tried})
+			g, _, _ := b.pickGroup(newPickNode(), engine, groupCriteria{head: head, tried: tried})
 			picked[g.Head.ID]++
 		}
 		return picked
@@ -89,52 +89,52 @@
 
 	// Nine prompts of 30 ms: two groups have one to read already. In a play
 	// half of the streams met at the third.
-	b.add("b", 0, 1400)
-	b.add("c", 0, 1400)
+	b.addLoad("b", 0, 1400)
+	b.addLoad("c", 0, 1400)
 	picked = pick("lost")
 	c.Check(picked["a"] > 90 && picked["a"] < 160, qt.IsTrue, qt.Commentf("%v", picked))
 	c.Check(picked["b"] > 50 && picked["c"] > 50, qt.IsTrue, qt.Commentf("%v", picked))
 
 	// Among many daemons a request that comes at the same moment elsewhere is
 	// reckoned with: in a play 12,000 tokens met at one of eight groups.
-	many := pickBeliefs()
+	many := newPickNode()
 	many.view.Arranged = &membership.Arrangement{Zone: 59}
-	b.add("b", 0, -1400)
+	b.addLoad("b", 0, -1400)
 	picked = map[models.InstanceID]int{}
 	for range 300 {
-		g, _, _ := b.pickGroup(many, engine, wanted{head: head})
+		g, _, _ := b.pickGroup(many, engine, groupCriteria{head: head})
 		picked[g.Head.ID]++
 	}
 	c.Check(picked["a"] > 100 && picked["b"] > 100, qt.IsTrue, qt.Commentf("%v", picked))
-	b.add("b", 0, 1400)
+	b.addLoad("b", 0, 1400)
 
 	// A group that is later than all others will be takes none, and a request
 	// that is moved alone goes where it is answered first.
-	b.add("c", 0, 40000)
+	b.addLoad("c", 0, 40000)
 	c.Check(pick("lost")["c"], qt.Equals, 0)
-	b.add("lost", -8, 0)
+	b.addLoad("lost", -8, 0)
 	c.Check(pick("lost"), qt.DeepEquals, map[models.InstanceID]int{"a": 300})
 }
 
 // TestFailingIsPassedOver checks that an instance which fails requests at once, and
 // so has none, is not taken for the least busy one; that it is tried again after a
 // while, or once it answers; and that it is used if there is no other.
-func TestFailingIsPassedOver(t *testing.T) {
+func TestAvoidsFailingInstance(t *testing.T) {
 	c := qt.New(t)
-	b := newBalance()
+	b := newScheduler()
 	b.zone = "b"
-	beliefs := pickBeliefs()
+	node := newPickNode()
 	engine := &models.EngineProfile{Slots: 17, ReadPerSecond: 45900}
 	picks := func(tried ...models.InstanceID) (group, instance models.InstanceID) {
-		w := wanted{head: models.RequestHead{Model: "m"}, aim: 300 * time.Millisecond, routeAim: 300 * time.Millisecond, tried: tried}
-		g, _, _ := b.pickGroup(beliefs, engine, w)
-		i, _ := b.pickInstance(beliefs, "s", tried)
+		criteria := groupCriteria{head: models.RequestHead{Model: "m"}, latencyTarget: 300 * time.Millisecond, routeTarget: 300 * time.Millisecond, tried: tried}
+		g, _, _ := b.pickGroup(node, engine, criteria)
+		i, _ := b.pickInstance(node, "s", tried)
 		return g.Head.ID, i.ID
 	}
-	b.add("a", 3, 0)
-	b.add("c", 3, 0)
+	b.addLoad("a", 3, 0)
+	b.addLoad("c", 3, 0)
 	for range 2 {
-		b.fail(models.UpstreamInstance{ID: "b"})
+		b.addFailure(models.UpstreamInstance{ID: "b"})
 	}
 	group, instance := picks()
 	c.Assert(group, qt.Not(qt.Equals), models.InstanceID("b"))
@@ -144,16 +144,16 @@
 	c.Assert(instance, qt.Equals, models.InstanceID("b"))
 
 	for range 20 {
-		b.fail(models.UpstreamInstance{ID: "b"})
+		b.addFailure(models.UpstreamInstance{ID: "b"})
 	}
-	b.failed["b"] = failures{time.Time{}, b.failed["b"].count, time.Now().Add(-6 * time.Second)}
+	b.failures["b"] = failureCount{time.Time{}, b.failures["b"].count, time.Now().Add(-6 * time.Second)}
 	group, instance = picks()
 	c.Assert(group, qt.Equals, models.InstanceID("b"))
 	c.Assert(instance, qt.Equals, models.InstanceID("b"))
 
-	b.fail(models.UpstreamInstance{ID: "b"})
+	b.addFailure(models.UpstreamInstance{ID: "b"})
 	for range 3 {
-		b.answer("b")
+		b.addSuccess("b")
 	}
 	group, _ = picks()
 	c.Assert(group, qt.Equals, models.InstanceID("b"))
@@ -161,12 +161,12 @@
 
 // TestFailuresAreOfOneLife checks that what an instance failed before it started again
 // is not held against it.
-func TestFailuresAreOfOneLife(t *testing.T) {
+func TestRestartForgetsFailures(t *testing.T) {
 	c := qt.New(t)
-	b := newBalance()
+	b := newScheduler()
 	before := models.UpstreamInstance{ID: "i-1", Born: time.Unix(1, 0)}
 	after := models.UpstreamInstance{ID: "i-1", Born: time.Unix(2, 0)}
-	b.fail(before)
-	c.Assert(b.failing(before) > 0.9, qt.IsTrue)
-	c.Assert(b.failing(after), qt.Equals, 0.0)
+	b.addFailure(before)
+	c.Assert(b.recentFailures(before) > 0.9, qt.IsTrue)
+	c.Assert(b.recentFailures(after), qt.Equals, 0.0)
 }
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -23,10 +23,10 @@
 const (
 	// verdictWait is how long a repeat waits to learn whether the instance that cut the
 	// request off has crashed: the way there and back within a region.
-	verdictWait = 20 * time.Millisecond
+	probeWait = 20 * time.Millisecond
 	// lastSpared is for how long after a crash requests that were on the instance are kept
 	// from the last one left: others are back by then.
-	lastSpared = 10 * time.Second
+	lastInstanceHold = 10 * time.Second
 )
 
 // mayBeSent returns an error if the request is known to crash the instances that run it. It
@@ -34,15 +34,15 @@
 // ended nineteen instances, and the requests of all others on them. A request that may have
 // crashed an instance just now is not sent to the last one either, which all others need;
 // a stream that its caller has seen the beginning of is, unless it is on trial.
-func (e *exchange) mayBeSent() error {
-	e.awaitVerdict()
+func (e *exchange) checkQuarantine() error {
+	e.awaitProbe()
 	s := e.standing()
-	suspect := s.Crashes > 0 && (!e.answering || s.OnTrial())
+	suspect := s.Crashes > 0 && (!e.headSent || s.OnTrial())
 	switch {
 	case s.Quarantined:
 		return errQuarantined
-	case suspect && time.Since(s.Last) < lastSpared && e.choices() < 2:
-		return errLastSpared
+	case suspect && time.Since(s.Last) < lastInstanceHold && e.countAvailable() < 2:
+		return errLastInstance
 	default:
 		return nil
 	}
@@ -50,21 +50,21 @@
 
 // awaitVerdict waits until it is known whether the instance that cut the request off last
 // has crashed.
-func (e *exchange) awaitVerdict() {
-	asked := e.cut.Load()
-	if asked == nil {
+func (e *exchange) awaitProbe() {
+	probed := e.probed.Load()
+	if probed == nil {
 		return
 	}
 	select {
-	case <-*asked:
-	case <-time.After(verdictWait):
+	case <-*probed:
+	case <-time.After(probeWait):
 	case <-e.r.Context().Done():
 	}
 }
 
 // choices is how many instances or groups could take the request that are not known to
 // have crashed, to rest, or to leave.
-func (e *exchange) choices() int {
+func (e *exchange) countAvailable() int {
 	v, held := e.g.node.View(), e.g.node.Quarantine()
 	n := 0
 	count := func(i models.UpstreamInstance) {
@@ -82,7 +82,7 @@
 }
 
 // place tells where a request goes that is on trial, nil for others.
-func (e *exchange) place() func(int) int {
+func (e *exchange) trialPlace() func(int) int {
 	if !e.standing().OnTrial() {
 		return nil
 	}
@@ -90,7 +90,7 @@
 }
 
 // clear takes back what is held against a request that has ended well.
-func (e *exchange) clear() {
+func (e *exchange) clearCrashes() {
 	if e.standing().Crashes > 0 {
 		e.g.node.Quarantine().EndedWell(e.digest())
 	}
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -26,7 +26,7 @@
 // and without a word of when to come back, whatever key of its workspace it comes with.
 // Others with the same body, and its workspace with another one, are served. An operator
 // finds it by the digest in the log, and has it sent again.
-func TestQuarantinedIsRefused(t *testing.T) {
+func TestQuarantinedRequestRefused(t *testing.T) {
 	c := qt.New(t)
 	runs := 0
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -36,8 +36,8 @@
 	}))
 	defer upstream.Close()
 	l := upstream.Listener.(*net.TCPListener)
-	beliefs := beliefsFor(c, quarantineConfig, []*instance{{name: "p1", l: l}})
-	g := New(Settings{KeysBound: time.Minute, ConfigBound: time.Minute, RetryWindow: time.Second}, beliefs, newBalance(), metrics.NewSet(), zerolog.Nop())
+	node := newFakeNode(c, quarantineConfig, []*fakeInstance{{name: "p1", l: l}})
+	g := New(Settings{KeysBound: time.Minute, ConfigBound: time.Minute, RetryWindow: time.Second}, node, newScheduler(), metrics.NewSet(), zerolog.Nop())
 	front, admin := httptest.NewServer(http.HandlerFunc(g.serve)), httptest.NewServer(g.adminRoutes())
 	defer front.Close()
 	defer admin.Close()
@@ -54,7 +54,7 @@
 	}
 	d := quarantine.Request{Workspace: "ws", Method: http.MethodPost, Host: "api.example", Target: "/again/x?page=1", Body: []byte("crashes")}.Digest()
 	for _, id := range []models.InstanceID{"i1", "i2", "i3"} {
-		beliefs.quarantine.Crashed(quarantine.Crash{Instance: id, At: time.Now(), Requests: map[quarantine.Digest]bool{d: false}})
+		node.quarantine.Crashed(quarantine.Crash{Instance: id, At: time.Now(), Requests: map[quarantine.Digest]bool{d: false}})
 	}
 	for _, key := range []string{"k1", "k2"} {
 		refused := ask(key, "crashes")
--- a/gateway/budget_test.go
+++ b/gateway/retry_budget_test.go
@@ -9,15 +9,15 @@
 
 // TestRepeatsOfDaemonsThatStart checks that daemons which do not know yet how many there are
 // do not each spend what all may repeat together.
-func TestRepeatsOfDaemonsThatStart(t *testing.T) {
+func TestRetryBudgetWithUnknownDaemonCount(t *testing.T) {
 	c := qt.New(t)
 	repeats := func(daemons int) int {
 		const turnedAway = false
-		b, n := newBudget(0.2, 100, 10*time.Second), 0
+		b, n := newRetryBudget(0.2, 100, 10*time.Second), 0
 		for range 100 {
-			b.request(time.Now())
+			b.addRequest(time.Now())
 		}
-		for b.repeat(time.Now(), daemons, turnedAway) {
+		for b.allowRetry(time.Now(), daemons, turnedAway) {
 			n++
 		}
 		return n
@@ -29,14 +29,14 @@
 
 // TestTurnedAwayLeaveRepeats checks that requests which instances turn away do not use up the
 // repeats of those that fail.
-func TestTurnedAwayLeaveRepeats(t *testing.T) {
+func TestRejectionsLeaveRetryBudget(t *testing.T) {
 	c := qt.New(t)
-	b := newBudget(0.2, 100, 10*time.Second)
+	b := newRetryBudget(0.2, 100, 10*time.Second)
 	for range 100 {
-		b.request(time.Now())
+		b.addRequest(time.Now())
 	}
 	count := func(turnedAway bool) (n int) {
-		for b.repeat(time.Now(), 1, turnedAway) {
+		for b.allowRetry(time.Now(), 1, turnedAway) {
 			n++
 		}
 		return n
--- a/gateway/script_test.go
+++ b/gateway/script_test.go
@@ -62,12 +62,12 @@
 }
 
 // fixedBeliefs are beliefs that do not change while a script runs.
-type fixedBeliefs struct {
+type fakeNode struct {
 	view  *cluster.View
 	clock *timer.Service
 	// busy holds how many requests other daemons have at instances.
-	busy       map[models.InstanceID]int
-	quarantine *cluster.Quarantine
+	peerRequests map[models.InstanceID]int
+	quarantine   *cluster.Quarantine
 	// limits are none if nil; permit answers asks for permits.
 	limits *cluster.Limits
 	// breakers are none if nil.
@@ -78,45 +78,45 @@
 	stalled []models.InstanceID
 }
 
-func (f *fixedBeliefs) View() *cluster.View   { return f.view }
-func (f *fixedBeliefs) Clock() *timer.Service { return f.clock }
+func (f *fakeNode) View() *cluster.View   { return f.view }
+func (f *fakeNode) Clock() *timer.Service { return f.clock }
 
 // Quarantine is one in which nothing is held, unless the test has another.
-func (f *fixedBeliefs) Quarantine() *cluster.Quarantine {
+func (f *fakeNode) Quarantine() *cluster.Quarantine {
 	if f.quarantine == nil {
-		return noQuarantine()
+		return emptyQuarantine()
 	}
 	return f.quarantine
 }
 
 // Limits are such that no instance names one, unless the test has others.
-func (f *fixedBeliefs) Limits() *cluster.Limits {
+func (f *fakeNode) Limits() *cluster.Limits {
 	if f.limits == nil {
-		return noLimits()
+		return emptyLimits()
 	}
 	return f.limits
 }
 
 // noLimits are none yet.
-func noLimits() *cluster.Limits {
+func emptyLimits() *cluster.Limits {
 	return cluster.NewLimits("d1", func() {}, metrics.NewSet(), zerolog.Nop())
 }
 
 // Breakers are such that no instance asked for anything, unless the test has others.
-func (f *fixedBeliefs) Breakers() *cluster.Breakers {
+func (f *fakeNode) Breakers() *cluster.Breakers {
 	if f.breakers == nil {
-		return noBreakers()
+		return closedBreakers()
 	}
 	return f.breakers
 }
 
 // noBreakers are none yet.
-func noBreakers() *cluster.Breakers {
+func closedBreakers() *cluster.Breakers {
 	return cluster.NewBreakers(func() {}, metrics.NewSet(), zerolog.Nop())
 }
 
 // AskPermit has nobody who grants permits, unless the test has.
-func (f *fixedBeliefs) AskPermit(_ context.Context, _ models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
+func (f *fakeNode) AskPermit(_ context.Context, _ models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
 	if f.permit == nil {
 		return ratelimit.Grant{}, cluster.ErrNoGranter
 	}
@@ -124,33 +124,33 @@
 }
 
 // noQuarantine is one in which nothing is held yet.
-func noQuarantine() *cluster.Quarantine {
+func emptyQuarantine() *cluster.Quarantine {
 	return cluster.NewQuarantine(func() {}, metrics.NewSet(), zerolog.Nop())
 }
 
 // PeersLoad makes instances the busier the later their names are, by far more
 // than choices are scattered, so that the order in which they are tried is
 // known.
-func (f *fixedBeliefs) PeersLoad(id models.InstanceID) cluster.Load {
+func (f *fakeNode) PeersLoad(id models.InstanceID) cluster.Load {
 	const tokens = 1_000_000
 	nth := int(id[len(id)-1] - '1')
-	return cluster.Load{Requests: nth + f.busy[id], Unread: nth * tokens}
+	return cluster.Load{Requests: nth + f.peerRequests[id], Unread: nth * tokens}
 }
 
-func (f *fixedBeliefs) ReportStalled(_ models.GroupKey, h models.InstanceID) {
+func (f *fakeNode) ReportStalled(_ models.GroupKey, h models.InstanceID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stalled = append(f.stalled, h)
 }
 
 // instance is an upstream that follows steps.
-type instance struct {
-	name  string
-	l     net.Listener
-	steps []string
-	mu    sync.Mutex
-	saw   []string
-	done  chan error
+type fakeInstance struct {
+	name     string
+	l        net.Listener
+	steps    []string
+	mu       sync.Mutex
+	requests []string
+	done     chan error
 }
 
 func runScript(t *testing.T, file string) {
@@ -158,7 +158,7 @@
 	archive, err := txtar.ParseFile(file)
 	c.Assert(err, qt.IsNil)
 	parts := map[string]string{}
-	var instances []*instance
+	var instances []*fakeInstance
 	for _, f := range archive.Files {
 		parts[f.Name] = string(f.Data)
 		if f.Name == "config" || f.Name == "settle" || f.Name == "busy" || f.Name == "restarted" || f.Name == "ask" || f.Name == "want" {
@@ -166,50 +166,50 @@
 		}
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
-		i := &instance{name: f.Name, l: l, steps: lines(string(f.Data)), done: make(chan error, 1)}
+		i := &fakeInstance{name: f.Name, l: l, steps: lines(string(f.Data)), done: make(chan error, 1)}
 		go func() { i.done <- i.serve() }()
 		instances = append(instances, i)
 	}
-	beliefs := beliefsFor(c, parts["config"], instances)
-	beliefs.busy = map[models.InstanceID]int{}
+	node := newFakeNode(c, parts["config"], instances)
+	node.peerRequests = map[models.InstanceID]int{}
 	for _, line := range lines(parts["busy"]) {
 		var id models.InstanceID
 		var requests int
 		_, err := fmt.Sscan(line, &id, &requests)
 		c.Assert(err, qt.IsNil)
-		beliefs.busy[id] = requests
+		node.peerRequests[id] = requests
 	}
 	for _, line := range lines(parts["restarted"]) {
-		u := beliefs.view.All[models.InstanceID(line)]
+		u := node.view.All[models.InstanceID(line)]
 		u.Born = u.Born.Add(time.Second)
-		beliefs.view.All[u.ID] = u
+		node.view.All[u.ID] = u
 	}
 	cfg := Settings{KeysBound: time.Minute, ConfigBound: time.Minute, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second}
 	if settle, given := parts["settle"]; given {
 		cfg.Settle, err = time.ParseDuration(lines(settle)[0])
 		c.Assert(err, qt.IsNil)
 	}
-	g := New(cfg, beliefs, newBalance(), metrics.NewSet(), zerolog.Nop())
+	g := New(cfg, node, newScheduler(), metrics.NewSet(), zerolog.Nop())
 	front := httptest.NewServer(http.HandlerFunc(g.serve))
 	defer front.Close()
 	var got []string
 	for _, line := range lines(parts["ask"]) {
-		got = append(got, askFront(front.URL, line))
+		got = append(got, sendRequest(front.URL, line))
 	}
 	for _, i := range instances {
 		i.l.Close()
 		c.Assert(<-i.done, qt.IsNil)
-		for _, saw := range i.saw {
-			got = append(got, i.name+" "+saw)
+		for _, request := range i.requests {
+			got = append(got, i.name+" "+request)
 		}
 	}
-	for _, h := range beliefs.stalled {
+	for _, h := range node.stalled {
 		got = append(got, "stalled "+string(h))
 	}
 	c.Assert(got, qt.DeepEquals, lines(parts["want"]))
 }
 
-func beliefsFor(c *qt.C, config string, instances []*instance) *fixedBeliefs {
+func newFakeNode(c *qt.C, config string, instances []*fakeInstance) *fakeNode {
 	routing, err := platform.DecodeRouting([]byte(config))
 	c.Assert(err, qt.IsNil)
 	v := &cluster.View{
@@ -229,7 +229,7 @@
 		u.Service = "engines"
 		v.Groups["big"] = append(v.Groups["big"], cluster.Group{Key: models.GroupKey{Name: models.GroupID(i.name), Epoch: 1}, Model: "big", Service: "engines", Head: u})
 	}
-	return &fixedBeliefs{view: v, clock: timer.New(time.Now()), quarantine: noQuarantine(), breakers: noBreakers()}
+	return &fakeNode{view: v, clock: timer.New(time.Now()), quarantine: emptyQuarantine(), breakers: closedBreakers()}
 }
 
 func lines(text string) []string {
@@ -243,7 +243,7 @@
 }
 
 // askFront sends one request and tells what came of it.
-func askFront(url, line string) string {
+func sendRequest(url, line string) string {
 	words := strings.Fields(line)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -288,13 +288,13 @@
 	return strings.TrimSpace(text)
 }
 
-func (i *instance) note(line string) {
+func (i *fakeInstance) note(line string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.saw = append(i.saw, line)
+	i.requests = append(i.requests, line)
 }
 
-func (i *instance) serve() error {
+func (i *fakeInstance) serve() error {
 	var conn *net.TCPConn
 	var r *bufio.Reader
 	id := ""
@@ -351,7 +351,7 @@
 }
 
 // readRequest reads a request and notes what an instance is told.
-func (i *instance) readRequest(r *bufio.Reader) (string, error) {
+func (i *fakeInstance) readRequest(r *bufio.Reader) (string, error) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		i.note("hears no request")
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -22,21 +22,21 @@
 
 const (
 	// maxHeader bounds a request's head where the configuration does not.
-	maxHeader         = 64 << 10
+	maxHeaderBytes    = 64 << 10
 	readHeaderTimeout = 10 * time.Second
-	sweepEvery        = time.Second
+	sweepInterval     = time.Second
 	// stopNotice is how long a stopping daemon goes on taking connections,
 	// until the balancer has asked twice and left it out.
-	stopNotice = 2500 * time.Millisecond
+	readinessDrain = 2500 * time.Millisecond
 	// stopMargin is kept for the process to end within StopGrace.
-	stopMargin = 400 * time.Millisecond
+	exitMargin = 400 * time.Millisecond
 )
 
 // Run serves until the context ends and then stops as planned: the balancer
 // is told first, requests in flight end, and then the connections close.
 func (g *Gateway) Run(ctx context.Context) error {
 	callers := g.newServer(http.HandlerFunc(g.serve))
-	callers.ReadHeaderTimeout, callers.MaxHeaderBytes = readHeaderTimeout, maxHeader
+	callers.ReadHeaderTimeout, callers.MaxHeaderBytes = readHeaderTimeout, maxHeaderBytes
 	servers := map[netip.AddrPort]*http.Server{g.cfg.Listen: callers, g.cfg.Ready: g.newServer(g.readyRoutes())}
 	if g.cfg.Admin.IsValid() {
 		servers[g.cfg.Admin] = g.newServer(g.adminRoutes())
@@ -53,7 +53,7 @@
 	}
 	err := task.WaitAny(ctx, tasks...)
 	if err == nil {
-		g.stop(background, callers)
+		g.shutdown(background, callers)
 	}
 	for _, server := range servers {
 		server.Close()
@@ -64,14 +64,14 @@
 
 // newServer returns a server that tells in the log what goes wrong in it.
 func (g *Gateway) newServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ErrorLog: log.New(serverErrors{g.log}, "", 0)}
+	return &http.Server{Handler: h, ErrorLog: log.New(serverErrorLog{g.log}, "", 0)}
 }
 
 // serverErrors writes what a server has to say into the log, panics of handlers
 // among it.
-type serverErrors struct{ log zerolog.Logger }
+type serverErrorLog struct{ log zerolog.Logger }
 
-func (s serverErrors) Write(text []byte) (int, error) {
+func (s serverErrorLog) Write(text []byte) (int, error) {
 	s.log.Error().Str("text", string(bytes.TrimSpace(text))).Msg("server-error")
 	return len(text), nil
 }
@@ -85,12 +85,12 @@
 
 // stop ends as planned: the balancer is told first, so that requests no longer
 // come when the listener closes.
-func (g *Gateway) stop(ctx context.Context, callers *http.Server) {
+func (g *Gateway) shutdown(ctx context.Context, callers *http.Server) {
 	began := time.Now()
 	g.stopping.Store(true)
 	g.log.Info().Int64("in-flight", g.stats.inFlight.Load()).Msg("stop-begun")
-	time.Sleep(min(stopNotice, g.cfg.StopGrace/2))
-	ctx, cancel := context.WithDeadline(ctx, began.Add(g.cfg.StopGrace-stopMargin))
+	time.Sleep(min(readinessDrain, g.cfg.StopGrace/2))
+	ctx, cancel := context.WithDeadline(ctx, began.Add(g.cfg.StopGrace-exitMargin))
 	defer cancel()
 	err := callers.Shutdown(ctx)
 	g.log.Info().Int64("cut-off", g.stats.inFlight.Load()).Err(err).Msg("stop-ended")
@@ -98,16 +98,16 @@
 
 // sweep drops, once a second, what is kept of instances that are gone.
 func (g *Gateway) sweep(ctx context.Context) error {
-	ticks := g.node.Clock().Subscribe(sweepEvery)
+	ticks := g.node.Clock().Subscribe(sweepInterval)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case tick := <-ticks:
 			v := g.node.View()
-			g.conns.Allow(restingConns(v, g.cfg.Listen))
+			g.conns.Allow(idleConnLimits(v, g.cfg.Listen))
 			g.conns.Sweep(tick.At)
-			g.balance.forget(v.All)
+			g.scheduler.prune(v.All)
 			g.crashes.sweep(tick.At)
 			g.node.Quarantine().Prune()
 			g.node.Limits().Prune(v.All)
@@ -119,33 +119,33 @@
 // restingPart is the part of the connections that an instance takes which may
 // rest, those of all daemons together, so that there is room for those in use. An
 // estimate.
-const restingPart = 0.5
+const idleConnFraction = 0.5
 
 // restingConns is how many connections to each instance may rest: this daemon's
 // share of what the instance takes. Of a share below one some daemons keep one
 // connection, others to other instances, so that all together keep to their part.
-func restingConns(v *cluster.View, self netip.AddrPort) map[netip.AddrPort]int {
-	most := make(map[netip.AddrPort]int, len(v.All))
+func idleConnLimits(v *cluster.View, self netip.AddrPort) map[netip.AddrPort]int {
+	limits := make(map[netip.AddrPort]int, len(v.All))
 	for _, i := range v.All {
-		most[i.Addr] = h1.MaxIdle
+		limits[i.Addr] = h1.MaxIdle
 		if v.Routing == nil {
 			continue
 		}
-		if takes := v.Routing.Services[i.Service].MaxConnections; takes > 0 {
-			share := restingPart * float64(takes) / float64(max(1, v.Daemons))
-			if share < 1 && lot(self, i.Addr) < share {
+		if maxConns := v.Routing.Services[i.Service].MaxConnections; maxConns > 0 {
+			share := idleConnFraction * float64(maxConns) / float64(max(1, v.Daemons))
+			if share < 1 && hashFraction(self, i.Addr) < share {
 				share = 1
 			}
-			most[i.Addr] = min(h1.MaxIdle, int(share))
+			limits[i.Addr] = min(h1.MaxIdle, int(share))
 		}
 	}
-	return most
+	return limits
 }
 
 // lot is a number from 0 to 1 that is a daemon's own for each instance.
-func lot(self, instance netip.AddrPort) float64 {
+func hashFraction(daemon, instance netip.AddrPort) float64 {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%s %s", self, instance)
+	fmt.Fprintf(h, "%s %s", daemon, instance)
 	const bits = 53
 	return float64(h.Sum64()%(1<<bits)) / (1 << bits)
 }
@@ -167,12 +167,12 @@
 
 // serveReady tells the balancer whether to send callers here.
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if g.stopping.Load() || !g.current(g.node.View(), g.cfg.KeysBound) {
+	if g.stopping.Load() || !g.isCurrent(g.node.View(), g.cfg.KeysBound) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
 // current reports whether the configuration was the newest within the bound.
-func (g *Gateway) current(v *cluster.View, bound time.Duration) bool {
+func (g *Gateway) isCurrent(v *cluster.View, bound time.Duration) bool {
 	return v.Routing != nil && g.node.Clock().Since(v.Proven) < bound
 }
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -15,27 +15,27 @@
 // instance leave room below the number that it takes. With 90 daemons and 120
 // connections instances reset 259 that were beyond it; with 300 daemons and 110 those
 // that rested alone were more than twice as many.
-func TestRestingConns(t *testing.T) {
+func TestIdleConnLimits(t *testing.T) {
 	c := qt.New(t)
 	addr := netip.MustParseAddrPort("10.0.0.1:80")
-	rests := func(takes, daemons, self int) int {
+	limit := func(takes, daemons, self int) int {
 		v := &cluster.View{
 			Daemons: daemons, Routing: &models.Routing{Services: map[models.ServiceName]models.UpstreamService{"s": {MaxConnections: takes}}},
 			All: map[models.InstanceID]models.UpstreamInstance{"i": {Addr: addr, Service: "s"}},
 		}
 		listen := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(self % 9), byte(self / 200), byte(self)}), 8080)
-		return restingConns(v, listen)[addr]
+		return idleConnLimits(v, listen)[addr]
 	}
-	c.Assert(rests(378, 9, 1), qt.Equals, 21)
-	c.Assert(rests(10_000, 2, 1), qt.Equals, h1.MaxIdle)
-	c.Assert(rests(0, 9, 1), qt.Equals, h1.MaxIdle)
+	c.Assert(limit(378, 9, 1), qt.Equals, 21)
+	c.Assert(limit(10_000, 2, 1), qt.Equals, h1.MaxIdle)
+	c.Assert(limit(0, 9, 1), qt.Equals, h1.MaxIdle)
 	for _, test := range []struct{ takes, daemons int }{{120, 90}, {110, 300}, {378, 300}, {48, 1000}} {
 		sum := 0
 		for self := range test.daemons {
-			sum += rests(test.takes, test.daemons, self)
+			sum += limit(test.takes, test.daemons, self)
 		}
 		// A fifth more than their part: who keeps one is by chance.
-		c.Assert(float64(sum) <= 1.2*restingPart*float64(test.takes), qt.IsTrue, qt.Commentf("%d of %v", sum, test))
+		c.Assert(float64(sum) <= 1.2*idleConnFraction*float64(test.takes), qt.IsTrue, qt.Commentf("%d of %v", sum, test))
 		c.Assert(sum > 0, qt.IsTrue)
 	}
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -16,9 +16,9 @@
 
 // spareSends is how often a request may be sent beyond its attempts to
 // instances that turn out not to run it.
-const spareSends = 3
+const extraSends = 3
 
-var errGap = errors.New("an event is missing")
+var errEventGap = errors.New("an event is missing")
 
 // stream passes the events of a stream on as they come, and goes on at
 // another group when one fails or stands still and the stream may be resumed.
@@ -26,45 +26,45 @@
 	*exchange
 	ctx context.Context
 	// last is the newest event that the caller has, if begun.
-	last  int64
-	begun bool
+	lastID  int64
+	hasLast bool
 	// moved is when the last event went out.
-	moved time.Time
+	lastEvent time.Time
 	// runs counts the runs that were begun and not refused unrun.
-	runs    int
-	current *run
-	hedge   *hedge
-	flush   func() error
+	attempts int
+	current  *streamAttempt
+	hedge    *hedge
+	flush    func() error
 }
 
 // stream sends a request to a group and passes its events on.
-func (e *exchange) stream(ctx context.Context) error {
-	e.g.budget.request(e.began)
-	e.addWork()
+func (e *exchange) serveStream(ctx context.Context) error {
+	e.g.budget.addRequest(e.started)
+	e.addDemand()
 	s := &stream{exchange: e, ctx: ctx, flush: http.NewResponseController(e.w).Flush}
 	if e.head.Resumed {
-		s.last, s.begun = e.head.After, true
+		s.lastID, s.hasLast = e.head.After, true
 	}
 	defer s.close()
-	to, err := s.pick()
+	to, err := s.awaitGroup()
 	if err != nil {
 		return err
 	}
-	s.begin(to)
-	return s.run()
+	s.startAttempt(to)
+	return s.relay()
 }
 
 // begin begins a run that takes the place of the former one.
-func (s *stream) begin(to placed) {
-	s.runs++
-	s.current = s.newRun(to)
-	s.current.patience = s.patience
-	s.group = to.group.Key
+func (s *stream) startAttempt(dest target) {
+	s.attempts++
+	s.current = s.newAttempt(dest)
+	s.current.readTimeout = s.readTimeout
+	s.group = dest.group.Key
 }
 
 func (s *stream) close() {
 	if s.hedge != nil {
-		s.hedge.abandon()
+		s.hedge.cancelAndClose()
 	}
 	if s.current != nil {
 		s.current.close()
@@ -72,16 +72,16 @@
 }
 
 // run passes events on until the stream ends.
-func (s *stream) run() error {
+func (s *stream) relay() error {
 	for {
 		event, err := s.current.next()
 		if err == nil {
-			err = s.check(event)
+			err = s.checkSequence(event)
 		}
 		switch {
 		case err == nil:
 			s.dropHedge()
-			if err := s.pass(event); err != nil {
+			if err := s.forward(event); err != nil {
 				return err
 			}
 		case errors.Is(err, io.EOF):
@@ -89,11 +89,11 @@
 		case s.ctx.Err() != nil:
 			return err
 		default:
-			err = s.goOn(err)
-			if errors.Is(err, errFailure) {
+			err = s.failOver(err)
+			if errors.Is(err, errFailureResponse) {
 				// No other group takes the stream: the caller gets what the
 				// instance said.
-				return s.passFailure(s.current.answer)
+				return s.forwardFailure(s.current.response)
 			}
 			if err != nil {
 				return err
@@ -104,79 +104,79 @@
 
 // goOn has the stream go on elsewhere after its run failed with the error,
 // which is returned if it can't.
-func (s *stream) goOn(cause error) error {
-	if s.answering {
+func (s *stream) failOver(cause error) error {
+	if s.headSent {
 		// Events that were not flushed because others were to follow.
 		if err := s.flush(); err != nil {
 			return err
 		}
 	}
-	s.noteEnd(cause)
-	if errors.Is(cause, errHeld) {
-		s.untry(s.current.group.Head)
+	s.noteFailure(cause)
+	if errors.Is(cause, errNotAdmitted) {
+		s.unmarkTried(s.current.group.Head)
 	}
-	if s.hedge != nil && s.takeHedge(cause) {
+	if s.hedge != nil && s.adoptHedge(cause) {
 		return nil
 	}
 	// What no instance has run may be sent again, whatever the route.
-	unrun := errors.Is(cause, errNotRun) && s.runs == 0 && s.maySend()
-	if !s.mayRepeat() && !unrun {
+	notExecuted := errors.Is(cause, errNotExecuted) && s.attempts == 0 && s.maySend()
+	if !s.mayRetry() && !notExecuted {
 		return cause
 	}
-	if err := s.mayBeSent(); err != nil {
+	if err := s.checkQuarantine(); err != nil {
 		return errors.Join(cause, err)
 	}
-	to, err := s.pick()
+	dest, err := s.awaitGroup()
 	if err != nil {
 		return errors.Join(cause, err)
 	}
-	if !errors.Is(cause, errHeld) && !s.spend(isTurnedAway(cause)) {
-		return errors.Join(cause, errBudget)
+	if !errors.Is(cause, errNotAdmitted) && !s.allowRetry(isRejected(cause)) {
+		return errors.Join(cause, errRetryBudget)
 	}
-	s.logMove(to.group, cause)
+	s.logFailover(dest.group, cause)
 	s.current.close()
-	s.begin(to)
+	s.startAttempt(dest)
 	return nil
 }
 
 // takeHedge has the hedge, once it has its first event, take the place of a run
 // that failed with the error. It returns false if the hedge failed too.
-func (s *stream) takeHedge(cause error) bool {
+func (s *stream) adoptHedge(cause error) bool {
 	h := s.hedge
 	s.hedge = nil
 	if err := h.wait(); err != nil {
-		s.noteEnd(err)
+		s.noteFailure(err)
 		h.close()
 		return false
 	}
-	s.switchTo(h.run, cause)
+	s.switchTo(h.streamAttempt, cause)
 	return true
 }
 
 // noteEnd notes that a run ended with an error: one that the instance did not
 // run does not count against the route's attempts.
-func (s *stream) noteEnd(err error) {
-	if errors.Is(err, errNotRun) {
-		s.runs--
+func (s *stream) noteFailure(err error) {
+	if errors.Is(err, errNotExecuted) {
+		s.attempts--
 		return
 	}
-	s.ran = true
+	s.maybeExecuted = true
 }
 
 // switchTo has a hedge's run take the place of the former one.
-func (s *stream) switchTo(r *run, cause error) {
-	s.logMove(r.group, cause)
+func (s *stream) switchTo(a *streamAttempt, cause error) {
+	s.logFailover(a.group, cause)
 	s.current.close()
-	s.current, s.group = r, r.group.Key
-	r.patience = s.patience
-	r.answer.Body.SetPatience(s.patience)
+	s.current, s.group = a, a.group.Key
+	a.readTimeout = s.readTimeout
+	a.response.Body.SetPatience(s.readTimeout)
 }
 
 // logMove tells that the stream goes on at another group.
-func (s *stream) logMove(to cluster.Group, cause error) {
+func (s *stream) logFailover(dest cluster.Group, cause error) {
 	s.g.stats.resumes.Inc()
-	s.g.log.Info().Str("request", string(s.head.ID)).Str("from", string(s.current.group.Key.Name)).Str("to", string(to.Key.Name)).
-		Int64("after", s.last).Bool("begun", s.answering).Dur("pass", s.current.pass()).Dur("patience", s.current.longest()).
+	s.g.log.Info().Str("request", string(s.head.ID)).Str("from", string(s.current.group.Key.Name)).Str("to", string(dest.Key.Name)).
+		Int64("after", s.lastID).Bool("begun", s.headSent).Dur("pass", s.current.passTime()).Dur("patience", s.current.stallTimeout()).
 		Err(cause).Msg("stream-moved")
 }
 
@@ -186,28 +186,28 @@
 }
 
 // mayRepeat reports whether the request may be run once more.
-func (s *stream) mayRepeat() bool {
-	return s.route.Repeatable() && s.runs < s.route.Attempts && s.maySend()
+func (s *stream) mayRetry() bool {
+	return s.route.Repeatable() && s.attempts < s.route.Attempts && s.maySend()
 }
 
 // maySend reports whether one more instance may be sent the request.
-func (s *stream) maySend() bool { return len(s.tried) < s.route.Attempts+spareSends }
+func (s *stream) maySend() bool { return len(s.tried) < s.route.Attempts+extraSends }
 
 // spend takes a repeat from the budget, of a send that was turned away if so.
-func (s *stream) spend(turnedAway bool) bool {
-	return s.g.budget.repeat(time.Now(), s.g.node.View().Daemons, turnedAway)
+func (s *stream) allowRetry(rejected bool) bool {
+	return s.g.budget.allowRetry(time.Now(), s.g.node.View().Daemons, rejected)
 }
 
 // pass passes an event on.
-func (s *stream) pass(event sse.Event) error {
-	if !s.answering {
-		s.writeHead(s.current.answer.Status, s.current.answer.Header)
+func (s *stream) forward(event sse.Event) error {
+	if !s.headSent {
+		s.writeHead(s.current.response.Status, s.current.response.Header)
 	}
 	now := time.Now()
-	if !s.moved.IsZero() {
-		s.gap = max(s.gap, now.Sub(s.moved))
+	if !s.lastEvent.IsZero() {
+		s.maxPause = max(s.maxPause, now.Sub(s.lastEvent))
 	}
-	s.moved = now
+	s.lastEvent = now
 	if _, err := s.w.Write(event.Raw); err != nil {
 		return err
 	}
@@ -218,13 +218,13 @@
 }
 
 // passFailure passes on an answer that is no stream.
-func (s *stream) passFailure(answer *h1.Response) error {
-	body, err := readWhole(answer)
+func (s *stream) forwardFailure(answer *h1.Response) error {
+	body, err := readResponse(answer)
 	if err != nil {
-		return errors.Join(errMayHaveRun, err)
+		return errors.Join(errMaybeExecuted, err)
 	}
-	if s.answering {
-		return fmt.Errorf("%w: status %d", errMayHaveRun, answer.Status)
+	if s.headSent {
+		return fmt.Errorf("%w: status %d", errMaybeExecuted, answer.Status)
 	}
 	s.writeHead(answer.Status, answer.Header)
 	_, err = s.w.Write(body)
@@ -233,20 +233,20 @@
 
 // finishStream ends the answer as whole.
 func (s *stream) finishStream() error {
-	if !s.answering {
-		s.writeHead(s.current.answer.Status, s.current.answer.Header)
+	if !s.headSent {
+		s.writeHead(s.current.response.Status, s.current.response.Header)
 	}
 	return nil
 }
 
 // check refuses an event that does not follow the last one.
-func (s *stream) check(event sse.Event) error {
+func (s *stream) checkSequence(event sse.Event) error {
 	if !event.HasID {
 		return nil
 	}
-	if s.begun && event.ID != s.last+1 {
-		return fmt.Errorf("%w: %w: %d follows %d", errMayHaveRun, errGap, event.ID, s.last)
+	if s.hasLast && event.ID != s.lastID+1 {
+		return fmt.Errorf("%w: %w: %d follows %d", errMaybeExecuted, errEventGap, event.ID, s.lastID)
 	}
-	s.last, s.begun = event.ID, true
+	s.lastID, s.hasLast = event.ID, true
 	return nil
 }
--- a/gateway/unary.go
+++ b/gateway/unary.go
@@ -17,73 +17,73 @@
 
 const (
 	// maxAnswer bounds an answer that is passed on whole, in bytes.
-	maxAnswer = 16 << 20
+	maxResponseBytes = 16 << 20
 	// slowFactor is after how many times its aim a repeatable request is
 	// sent to another instance.
-	slowFactor = 1.5
+	slowTimeoutFactor = 1.5
 	// slowLeast is the least time after which it is.
-	slowLeast = 150 * time.Millisecond
+	minSlowTimeout = 150 * time.Millisecond
 )
 
 var (
-	errAnswerTooLong = errors.New("the answer is too long")
-	errUnsigned      = errors.New("the answer is not signed")
-	errSlow          = errors.New("the instance is slow")
+	errResponseTooLong = errors.New("the answer is too long")
+	errUnsigned        = errors.New("the answer is not signed")
+	errSlow            = errors.New("the instance is slow")
 )
 
 // unary sends a request to an instance of a plain service and passes the
 // answer on once it is whole.
-func (e *exchange) unary(ctx context.Context) error {
-	e.g.budget.request(e.began)
+func (e *exchange) serveUnary(ctx context.Context) error {
+	e.g.budget.addRequest(e.started)
 	var err error
 	for {
-		i, p, none := e.pickPermitted(ctx)
+		i, p, none := e.awaitInstance(ctx)
 		if none != nil {
 			return errors.Join(err, none)
 		}
 		last := len(e.tried)+1 >= e.route.Attempts
-		err = e.tryUnary(ctx, i, p, last)
-		e.noteCut(ctx, i, err)
-		if errors.Is(err, errHeld) {
+		err = e.attemptUnary(ctx, i, p, last)
+		e.noteDisconnect(ctx, i, err)
+		if errors.Is(err, errNotAdmitted) {
 			// Nothing was sent; it is picked for anew.
-			e.untry(i)
+			e.unmarkTried(i)
 			continue
 		}
-		e.ran = e.ran || (err != nil && !errors.Is(err, errNotRun))
-		if err == nil || last || ctx.Err() != nil || !(e.route.Repeatable() || errors.Is(err, errNotRun)) {
+		e.maybeExecuted = e.maybeExecuted || (err != nil && !errors.Is(err, errNotExecuted))
+		if err == nil || last || ctx.Err() != nil || !(e.route.Repeatable() || errors.Is(err, errNotExecuted)) {
 			return err
 		}
-		if quarantined := e.mayBeSent(); quarantined != nil {
+		if quarantined := e.checkQuarantine(); quarantined != nil {
 			return errors.Join(err, quarantined)
 		}
-		if !e.g.budget.repeat(time.Now(), e.g.node.View().Daemons, isTurnedAway(err)) {
-			return errors.Join(err, errBudget)
+		if !e.g.budget.allowRetry(time.Now(), e.g.node.View().Daemons, isRejected(err)) {
+			return errors.Join(err, errRetryBudget)
 		}
-		e.g.stats.repeats.Inc()
+		e.g.stats.retries.Inc()
 	}
 }
 
 // pickInstance returns the instance that the request is sent to next, if it gets a permit.
 func (e *exchange) pickInstance() (models.UpstreamInstance, bool) {
 	all := e.g.node.View().Services[e.service]
-	if place := e.place(); place != nil && len(all) > 0 {
+	if place := e.trialPlace(); place != nil && len(all) > 0 {
 		sorted := slices.SortedFunc(slices.Values(all), func(a, b models.UpstreamInstance) int { return cmp.Compare(a.ID, b.ID) })
 		own := sorted[place(len(sorted))]
 		if !slices.Contains(e.tried, own.ID) && e.g.node.Breakers().Check(own) == nil {
 			return own, true
 		}
 	}
-	return e.g.balance.pickInstance(e.g.node, e.service, e.tried)
+	return e.g.scheduler.pickInstance(e.g.node, e.service, e.tried)
 }
 
 // tryUnary makes one try. A failure that the instance gave is passed on only
 // in the last one.
-func (e *exchange) tryUnary(ctx context.Context, i models.UpstreamInstance, p permit, last bool) error {
-	e.try(i)
-	e.g.balance.add(i.ID, 1, 0)
-	defer e.g.balance.add(i.ID, -1, 0)
+func (e *exchange) attemptUnary(ctx context.Context, i models.UpstreamInstance, p permit, last bool) error {
+	e.markTried(i)
+	e.g.scheduler.addLoad(i.ID, 1, 0)
+	defer e.g.scheduler.addLoad(i.ID, -1, 0)
 	if e.route.Repeatable() && !last {
-		limited, cancel := context.WithTimeoutCause(ctx, max(slowLeast, time.Duration(slowFactor*float64(e.route.Aim))), errSlow)
+		limited, cancel := context.WithTimeoutCause(ctx, max(minSlowTimeout, time.Duration(slowTimeoutFactor*float64(e.route.Aim))), errSlow)
 		defer cancel()
 		ctx = limited
 	}
@@ -91,17 +91,17 @@
 	if err != nil {
 		return err
 	}
-	body, err := readWhole(resp)
+	body, err := readResponse(resp)
 	if err != nil {
-		return errors.Join(errMayHaveRun, err)
+		return errors.Join(errMaybeExecuted, err)
 	}
 	if resp.Status >= http.StatusInternalServerError && e.route.Repeatable() && !last {
-		return errMayHaveRun
+		return errMaybeExecuted
 	}
 	if resp.Status < http.StatusMultipleChoices && !platform.DecodeAnswer(resp.Status, resp.Header).Signed {
-		return errors.Join(errMayHaveRun, errUnsigned)
+		return errors.Join(errMaybeExecuted, errUnsigned)
 	}
-	e.setLength(resp, body)
+	e.setContentLength(resp, body)
 	e.writeHead(resp.Status, resp.Header)
 	_, err = e.w.Write(body)
 	return err
@@ -110,7 +110,7 @@
 // setLength tells the caller the length of the body. The instance's own length
 // concerns its connection, but in an answer to HEAD it is that of the body which
 // is left out.
-func (e *exchange) setLength(resp *h1.Response, body []byte) {
+func (e *exchange) setContentLength(resp *h1.Response, body []byte) {
 	length := strconv.Itoa(len(body))
 	if e.r.Method == http.MethodHead {
 		length = resp.Header.Get("Content-Length")
@@ -121,14 +121,14 @@
 }
 
 // readWhole reads an answer's body to its end.
-func readWhole(resp *h1.Response) ([]byte, error) {
+func readResponse(resp *h1.Response) ([]byte, error) {
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxAnswer {
-		return nil, errAnswerTooLong
+	if len(body) > maxResponseBytes {
+		return nil, errResponseTooLong
 	}
 	return body, nil
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -17,24 +17,24 @@
 type Policy struct {
 	// RequestCost is how much a request that is being answered weighs against
 	// prompts that are to be read.
-	RequestCost time.Duration
+	RunningRequestCost time.Duration
 	// FullCost is how long a request waits at a full group for each one that is
 	// ahead of it.
-	FullCost time.Duration
+	QueuedRequestCost time.Duration
 	// ZonePart is the part of the route's aim that a group in another zone must save
 	// to be chosen.
-	ZonePart float64
+	CrossZoneFraction float64
 	// FailurePart is the part of the route's aim that a group is set back by for each
 	// request that it failed of late.
-	FailurePart float64
+	FailureFraction float64
 	// LeastAtOnce is for how many requests at once, at least, a group is chosen by
 	// loads that are not told at once.
-	LeastAtOnce int
+	MinConcurrent int
 	// Spread is by how much more requests are reckoned with than were sent, on
 	// average, since loads were told.
-	Spread float64
+	UnreportedFactor float64
 	// OverSlots is how many requests beyond its slots a group is sent.
-	OverSlots int
+	ExtraSlots int
 }
 
 // DefaultPolicy returns the limits in use.
@@ -42,28 +42,28 @@
 	return Policy{
 		// Each request slows a pass a little, by 0.1 ms of 8 steps on the users'
 		// engines, and takes a slot.
-		RequestCost: 2 * time.Millisecond,
+		RunningRequestCost: 2 * time.Millisecond,
 		// About the time between two ends at a group of 14 to 20 slots.
-		FullCost: 100 * time.Millisecond,
+		QueuedRequestCost: 100 * time.Millisecond,
 		// Within it the request is answered in time all the same, and the bytes stay
 		// in the zone. 60 ms, a fifth of the shortest aim on the users' smallest site,
 		// kept half of all bytes between zones within them, and as many answers were in
 		// time as with 5 ms (fifteen runs each).
-		ZonePart: 0.2,
+		CrossZoneFraction: 0.2,
 		// An instance that resets connections at once has no requests, and so would
 		// draw all: 761 requests of a day were answered with 502.
-		FailurePart: 0.25,
+		FailureFraction: 0.25,
 		// Another request may be on its way from a daemon that was not heard of. An
 		// estimate.
-		LeastAtOnce: 2,
+		MinConcurrent: 2,
 		// Requests come unevenly, and those sent a little later are placed by nearly the
 		// same word. Late in a hundred with 2 rather than 1: 2.8 and 3.6 in a burst, 3.2
 		// and 3.7 of long prompts, 0.6 and 2.4 by news that are a second old; with 3:
 		// 2.7, 2.0 and 1.0 (TestReplays).
-		Spread: 2,
+		UnreportedFactor: 2,
 		// The engine queues some itself; what waits there gets the first free place. An
 		// estimate.
-		OverSlots: 2,
+		ExtraSlots: 2,
 	}
 }
 
@@ -71,9 +71,9 @@
 type Candidate struct {
 	// Requests is how many requests it has, Unread how many prompt tokens of these
 	// it has yet to read.
-	Requests, Unread int
+	Requests, PrefillTokens int
 	// Near tells that it is in the daemon's own zone.
-	Near bool
+	SameZone bool
 	// Failures is how many requests it failed of late.
 	Failures float64
 }
@@ -83,77 +83,77 @@
 	PromptTokens int
 	// Aim is the time in which its first event should come, 0 if every ms counts;
 	// RouteAim is that of its route, whatever became of the request.
-	Aim, RouteAim time.Duration
+	LatencyTarget, RouteTarget time.Duration
 	// Moved is how many requests are sent elsewhere at the same moment, as their
 	// group stands still, this one among them.
-	Moved int
+	Displaced int
 }
 
 // News tells how much may have changed since loads were told.
-type News struct {
+type Staleness struct {
 	// Age is how old the loads of other daemons are, 0 if they are told at once.
 	Age time.Duration
 	// Sharers is how many daemons choose by the same word, Rate how many requests
 	// of the model a second come to this one.
-	Sharers int
-	Rate    float64
+	Daemons     int
+	RequestRate float64
 }
 
 // Pick returns the index of the group that a request goes to. There must be one.
-func (p Policy) Pick(engine *models.EngineProfile, groups []Candidate, r Request, n News, random *rand.Rand) int {
+func (p Policy) Pick(engine *models.EngineProfile, groups []Candidate, req Request, staleness Staleness, random *rand.Rand) int {
 	choices := make([]choice, len(groups))
 	for i, g := range groups {
-		choices[i] = choice{i, p.cost(engine, g, r)}
+		choices[i] = choice{i, p.cost(engine, g, req)}
 	}
 	// Of equals each daemon is to pick another one.
 	random.Shuffle(len(choices), func(i, j int) { choices[i], choices[j] = choices[j], choices[i] })
-	atOnce := p.atOnce(r, n)
-	if atOnce <= 1 {
-		return slices.MinFunc(choices, byCost).at
+	concurrent := p.concurrentRequests(req, staleness)
+	if concurrent <= 1 {
+		return slices.MinFunc(choices, byCost).index
 	}
-	each := p.Delay(engine, Candidate{Requests: 1, Unread: r.PromptTokens})
-	return scatter(choices, atOnce, each, random).at
+	delayPerRequest := p.Delay(engine, Candidate{Requests: 1, PrefillTokens: req.PromptTokens})
+	return pickSpread(choices, concurrent, delayPerRequest, random).index
 }
 
 // Takes reports whether a group is sent one more request.
-func (p Policy) Takes(engine *models.EngineProfile, requests int) bool {
-	return requests < engine.Slots+p.OverSlots
+func (p Policy) HasCapacity(engine *models.EngineProfile, requests int) bool {
+	return requests < engine.Slots+p.ExtraSlots
 }
 
 // Delay is how much later than at an idle group a request is answered at one with
 // this load.
 func (p Policy) Delay(engine *models.EngineProfile, c Candidate) time.Duration {
-	delay := time.Duration(c.Requests)*p.RequestCost + engine.ReadTime(c.Unread)
+	delay := time.Duration(c.Requests)*p.RunningRequestCost + engine.ReadTime(c.PrefillTokens)
 	if c.Requests >= engine.Slots {
-		delay += p.FullCost * time.Duration(c.Requests-engine.Slots+1)
+		delay += p.QueuedRequestCost * time.Duration(c.Requests-engine.Slots+1)
 	}
 	return delay
 }
 
 // cost is the delay at a group, and what speaks against it besides.
-func (p Policy) cost(engine *models.EngineProfile, c Candidate, r Request) time.Duration {
+func (p Policy) cost(engine *models.EngineProfile, c Candidate, req Request) time.Duration {
 	cost := p.Delay(engine, c)
-	if !c.Near {
-		cost += time.Duration(p.ZonePart * float64(r.Aim))
+	if !c.SameZone {
+		cost += time.Duration(p.CrossZoneFraction * float64(req.LatencyTarget))
 	}
-	return cost + time.Duration(c.Failures*p.FailurePart*float64(r.RouteAim))
+	return cost + time.Duration(c.Failures*p.FailureFraction*float64(req.RouteTarget))
 }
 
 // atOnce is how many requests may be sent at the same moment as one: those that
 // were sent since the loads that are known were told, and those that move with it.
-func (p Policy) atOnce(r Request, n News) int {
-	atOnce := max(1, r.Moved)
-	if n.Age <= 0 {
-		return atOnce
+func (p Policy) concurrentRequests(req Request, staleness Staleness) int {
+	concurrent := max(1, req.Displaced)
+	if staleness.Age <= 0 {
+		return concurrent
 	}
-	sent := p.Spread * n.Rate * float64(n.Sharers) * n.Age.Seconds()
-	return max(atOnce, p.LeastAtOnce, int(math.Ceil(sent)))
+	unreported := p.UnreportedFactor * staleness.RequestRate * float64(staleness.Daemons) * staleness.Age.Seconds()
+	return max(concurrent, p.MinConcurrent, int(math.Ceil(unreported)))
 }
 
 // choice is a group by its index, and what it would cost the request.
 type choice struct {
-	at   int
-	cost time.Duration
+	index int
+	cost  time.Duration
 }
 
 func byCost(a, b choice) int { return cmp.Compare(a.cost, b.cost) }
@@ -162,9 +162,9 @@
 // same moment, each of which costs a group as much as the others: daemons that know
 // the same would all pick the same group, before they hear of each other's choices.
 // Groups are picked as often as it takes to make all equally late.
-func scatter(choices []choice, atOnce int, each time.Duration, random *rand.Rand) choice {
+func pickSpread(choices []choice, concurrent int, delayPerRequest time.Duration, random *rand.Rand) choice {
 	slices.SortFunc(choices, byCost)
-	level, sum := time.Duration(0), time.Duration(atOnce)*each
+	level, sum := time.Duration(0), time.Duration(concurrent)*delayPerRequest
 	for i, c := range choices {
 		if i > 0 && c.cost >= level {
 			choices = choices[:i]
@@ -173,9 +173,9 @@
 		sum += c.cost
 		level = sum / time.Duration(i+1)
 	}
-	at := random.Int64N(max(1, int64(atOnce)*int64(each)))
+	offset := random.Int64N(max(1, int64(concurrent)*int64(delayPerRequest)))
 	for _, c := range choices {
-		if at -= int64(level - c.cost); at < 0 {
+		if offset -= int64(level - c.cost); offset < 0 {
 			return c
 		}
 	}
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -62,11 +62,11 @@
 			c := qt.New(t)
 			random := rand.New(rand.NewPCG(3, 4))
 			ours := p.replay(p.age, func(known []placement.Candidate, prompt int, rate float64) int {
-				news := placement.News{Age: p.age, Sharers: p.daemons, Rate: rate / float64(p.daemons)}
-				return policy.Pick(engine, known, placement.Request{PromptTokens: prompt, Aim: aim, RouteAim: aim}, news, random)
+				news := placement.Staleness{Age: p.age, Daemons: p.daemons, RequestRate: rate / float64(p.daemons)}
+				return policy.Pick(engine, known, placement.Request{PromptTokens: prompt, LatencyTarget: aim, RouteTarget: aim}, news, random)
 			})
 			allKnowing := p.replay(0, func(known []placement.Candidate, prompt int, _ float64) int {
-				return policy.Pick(engine, known, placement.Request{PromptTokens: prompt, Aim: aim, RouteAim: aim}, placement.News{}, random)
+				return policy.Pick(engine, known, placement.Request{PromptTokens: prompt, LatencyTarget: aim, RouteTarget: aim}, placement.Staleness{}, random)
 			})
 			naive := p.replay(p.age, func(known []placement.Candidate, _ int, _ float64) int { return fewest(known) })
 			t.Logf("late in a hundred: %.1f, knowing all %.1f, fewest requests %.1f", ours, allKnowing, naive)
@@ -101,9 +101,9 @@
 }
 
 func (g *group) load() placement.Candidate {
-	c := placement.Candidate{Requests: len(g.waiting) + len(g.running), Near: true}
+	c := placement.Candidate{Requests: len(g.waiting) + len(g.running), SameZone: true}
 	for _, j := range g.waiting {
-		c.Unread += j.tokens
+		c.PrefillTokens += j.tokens
 	}
 	return c
 }
