--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -11,14 +11,13 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// bodyDefault is the longest body, in bytes, where the configuration names no
-// limit.
+// defaultMaxBodyBytes is the longest body accepted if the configuration sets no limit.
 const defaultMaxBodyBytes = 4 << 20
 
-// noDeadline bounds a request whose caller and route name no time.
+// defaultTimeout bounds a request for which neither caller nor route sets a timeout.
 const defaultTimeout = time.Minute
 
-// admit finds the route and the workspace and reads the body.
+// admit finds the route and the workspace, sets the deadline and reads the body.
 func (e *exchange) admit() error {
 	v := e.g.node.View()
 	if v.Routing == nil {
@@ -48,8 +47,8 @@
 	return e.readBody(v.Routing.Limits.BodyBytes)
 }
 
-// authorize finds the workspace that the key belongs to. A key that is not
-// known is refused as such only by a configuration that is fresh.
+// authorize finds the workspace that the key belongs to. An unknown key is refused as such only if
+// the configuration is current, since a newer one may contain it.
 func (e *exchange) authorize(v *cluster.View) error {
 	if !v.Routing.Keyed || e.route.Open {
 		return nil
@@ -69,7 +68,7 @@
 	}
 }
 
-// readBody reads the body whole, since it may have to be sent again.
+// readBody reads the whole body, since it may have to be sent again.
 func (e *exchange) readBody(limit int64) error {
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
@@ -86,8 +85,8 @@
 	return nil
 }
 
-// pickService picks one of a route's services by weight, the same one for
-// every try of a request.
+// pickService picks one of a route's services by weight. The hash makes it the same service for
+// every attempt of a request.
 func pickService(route models.Route, hash uint64) models.ServiceName {
 	total := 0
 	for _, t := range route.Targets {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -15,39 +15,41 @@
 )
 
 var (
-	errEmptyStream = errors.New("the stream ended early")
-	// errFailure: the instance answered with a failure, which is in answer.
-	errFailureResponse = errors.New("the instance answered with a failure")
+	errEmptyStream = errors.New("the stream ended before its first event")
+	// errFailureResponse: the instance answered with a status other than 200; see
+	// streamAttempt.response.
+	errFailureResponse = errors.New("the instance answered with a failure status")
 )
 
-// run is one try of a stream on one group.
+// streamAttempt is one attempt to serve a stream from one group.
 type streamAttempt struct {
 	s      *stream
 	group  cluster.Group
 	permit permit
 	ctx    context.Context
 	cancel context.CancelFunc
-	// resume is the event after which the run goes on, if resumed.
+	// resume is the ID of the event after which the attempt continues, if resumed.
 	resume  int64
 	resumed bool
-	// patience is asked when nothing comes from the group.
+	// readTimeout is called when nothing is received from the group.
 	readTimeout h1.Patience
 
 	response *h1.Response
 	events   *sse.Reader
-	// unread are the prompt's tokens until the first event.
+	// prefillTokens are the prompt's tokens that wait for prefill: all until the first event, then
+	// 0.
 	prefillTokens int
 	sentAt        time.Time
-	// moved is when the last event came, expected how long the group's pass
-	// should take that began then: prompts that come later are read in the
-	// next one, and by the end of this one its prompts count as read.
+	// lastEvent is when the last event was received. expectedPass is the expected duration of the
+	// engine pass that began then: prompts that arrive later are prefilled in the next pass, and
+	// when this pass ends its prompts count as prefilled.
 	lastEvent    time.Time
 	expectedPass time.Duration
-	// ahead is an event that was read before it was asked for.
+	// buffered is an event that was read before next was called for it.
 	buffered *sse.Event
 }
 
-// newRun prepares a run and counts it at its group. It must be closed.
+// newAttempt prepares an attempt and counts it in the group's load. It must be closed.
 func (s *stream) newAttempt(dest target) *streamAttempt {
 	group := dest.group
 	a := &streamAttempt{
@@ -59,10 +61,10 @@
 	return a
 }
 
-// close ends the run if it has not ended.
+// close ends the attempt and removes it from the group's load.
 func (a *streamAttempt) close() {
 	if a.response != nil {
-		// Close keeps the connection only if the answer was read to its end.
+		// Close keeps the connection only if the response was read to its end.
 		if err := a.response.Body.Close(); err != nil {
 			a.s.g.log.Debug().Err(err).Msg("answer-not-closed")
 		}
@@ -72,7 +74,7 @@
 	a.prefillTokens = 0
 }
 
-// open sends the request and reads the head of the answer.
+// open sends the request and reads the head of the response.
 func (a *streamAttempt) open() error {
 	resp, err := a.s.send(a.ctx, a.group.Head, a.permit, models.Attempt{Resume: a.resumed, After: a.resume}, a.readTimeout)
 	if err != nil {
@@ -98,7 +100,7 @@
 	return event, err
 }
 
-// read is next without a look at what a failure tells of the instance.
+// read is next without the crash detection.
 func (a *streamAttempt) read() (sse.Event, error) {
 	if a.buffered != nil {
 		event := *a.buffered
@@ -123,7 +125,8 @@
 	return event, nil
 }
 
-// note notes that the group moves and that the prompt has been read.
+// noteEvent records that the group makes progress and, on the first event, that the prompt has been
+// prefilled.
 func (a *streamAttempt) noteEvent() {
 	balance, head := a.s.g.scheduler, a.group.Head.ID
 	balance.noteEvent(head)
@@ -137,7 +140,7 @@
 	a.lastEvent, a.expectedPass = now, a.passTime()
 }
 
-// profile describes the engine and the model, if they are known.
+// profile returns the profiles of the engine and the model, if they are known.
 func (a *streamAttempt) profile() (*models.EngineProfile, models.ModelProfile, bool) {
 	engine := a.s.engine()
 	if engine == nil {
@@ -147,7 +150,7 @@
 	return engine, model, known
 }
 
-// pass is how long the group's next pass should take.
+// passTime returns the expected duration of the group's next pass.
 func (a *streamAttempt) passTime() time.Duration {
 	engine, model, known := a.profile()
 	if !known {
@@ -157,8 +160,8 @@
 	return passTime(engine, model, load)
 }
 
-// longest is how long nothing may come from the group while it works. Once events
-// have come it is sparePause at least.
+// stallTimeout returns how long the group may send nothing before it is taken as stalled. After the
+// first event it is at least the failoverSlack.
 func (a *streamAttempt) stallTimeout() time.Duration {
 	if a.lastEvent.IsZero() {
 		return a.s.g.scheduler.stallTimeout(a.s.head.Model, a.passTime())
--- a/gateway/availability.go
+++ b/gateway/availability.go
@@ -7,36 +7,37 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// bar has an instance that names a limit be left alone until then.
+// exclude stops a rate-limited instance from being picked until a time.
 func (s *scheduler) exclude(id models.InstanceID, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.excludedUntil[id] = until
 }
 
-// isBarred reports whether an instance is to be left alone: it asked for rest, leaves, or names
-// a limit and gave no permit. The balance must be locked.
+// isExcluded reports whether an instance must not be picked: it backs off, is leaving, or has a
+// rate limit and no permit is available. The scheduler must be locked.
 func (s *scheduler) isExcluded(node Node, i models.UpstreamInstance, now time.Time) bool {
 	return node.Breakers().Check(i) != nil || s.isPermitDenied(node, i, now)
 }
 
-// lacksPermit reports whether an instance is left alone that names a limit. The balance must
-// be locked.
+// isPermitDenied reports whether a rate-limited instance is excluded because no permit is available
+// now. The scheduler must be locked.
 func (s *scheduler) isPermitDenied(node Node, i models.UpstreamInstance, now time.Time) bool {
 	return now.Before(s.excludedUntil[i.ID]) && node.Limits().Rate(i, now) != models.NoLimit
 }
 
-// opening is when a request may be sent that may not be now.
+// availability tells when a request that can't be sent now can be sent.
 type availability struct {
 	at time.Time
-	// since is when the instance that may be sent it first began to get none.
+	// since is when the first instance to become available stopped getting requests.
 	since time.Time
-	// reason is why it may not be sent now, errLimited or errResting.
+	// err is why the request can't be sent now, errAllLimited or errAllBackingOff.
 	err error
 }
 
-// nextOpening is when the first of some instances may be sent a request again that gets none
-// now. It returns false if there is none: all get requests, were tried, or leave.
+// nextAvailability returns when the first of the instances that get no requests now becomes
+// available. It returns false if there is none: each instance is available, was tried, or is
+// leaving.
 func (s *scheduler) nextAvailability(node Node, instances []models.UpstreamInstance, tried []models.InstanceID) (availability, bool) {
 	now := time.Now()
 	s.mu.Lock()
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -17,7 +17,7 @@
 	"github.com/lupinkeel/lupinkeel/quarantine"
 )
 
-// askUntil asks until an instance got the last request, and forgets who got those.
+// sendUntil sends requests until an instance has received the last one, and then clears the record.
 func (s *limitFixture) sendUntil(name string) {
 	for n := 0; len(s.received) == 0 || s.received[len(s.received)-1] != name; n++ {
 		s.c.Assert(n < 100, qt.IsTrue)
@@ -26,13 +26,13 @@
 	s.received = nil
 }
 
-// says has an instance known to ask for something.
+// signal records a backoff or leaving notice of an instance at the gateway.
 func (s *limitFixture) signal(id models.InstanceID, rest time.Duration, leaving bool) {
 	s.node.breakers.Heard(breaker.Signal{Instance: id, Born: s.node.view.All[id].Born, Heard: time.Now(), Rest: rest, Leaving: leaving})
 }
 
-// The rest that an answer asks for binds from the next request on, whatever came of that
-// answer's request; and so does its word that the instance leaves.
+// TestSignalAppliesToNextRequest checks that a backoff or a leaving notice in a response applies
+// from the next request on, whatever the status of the response.
 func TestSignalAppliesToNextRequest(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -60,7 +60,8 @@
 	}
 }
 
-// Another instance has taken over the address of one: what it says is not that one's word.
+// TestLeavingFromReusedAddressIgnored checks that a 421 response, from another instance that has
+// taken over the address, does not mark the former one as leaving.
 func TestLeavingFromReusedAddressIgnored(t *testing.T) {
 	s := newLimitFixture(t)
 	other := s.node.view.All["p1"]
@@ -71,8 +72,8 @@
 	s.c.Assert(s.node.breakers.Any(), qt.IsFalse)
 }
 
-// Where all instances rest a request is refused at once, without a send, and told to come
-// back after the first end, the more urgent ones first.
+// TestAllBackingOffRefusesImmediately checks that a request is refused without a send if all
+// instances back off. Retry-After is after the first backoff ends, earlier for urgent requests.
 func TestAllBackingOffRefusesImmediately(t *testing.T) {
 	s := newLimitFixture(t)
 	const rest = 1500 * time.Millisecond
@@ -99,7 +100,8 @@
 	}
 }
 
-// A rest that ends within the time that requests wait for a place is waited for.
+// TestWaitsForEndOfBackoff checks that a request waits for a backoff that ends within its queueing
+// time.
 func TestWaitsForEndOfBackoff(t *testing.T) {
 	s := newLimitFixture(t)
 	s.signal("p1", 15*time.Millisecond, false)
@@ -109,8 +111,8 @@
 	s.c.Assert(s.received, qt.DeepEquals, []string{"p1"})
 }
 
-// An instance asks for rest while a connection to it is made for a request that was admitted
-// before, which also has a permit: nothing is sent, and it counts as no failure.
+// TestBackoffCheckedBeforeSend checks that an admitted request with a permit is not sent, and
+// counts as no failure, if the instance asks for a backoff while the connection is made.
 func TestBackoffCheckedBeforeSend(t *testing.T) {
 	s := newLimitFixture(t)
 	g := New(Settings{RetryWindow: time.Second}, s.node, newScheduler(), metrics.NewSet(), zerolog.Nop())
@@ -131,7 +133,8 @@
 	s.c.Assert(s.received, qt.HasLen, 0)
 }
 
-// A request on trial has an instance of its own, and goes to the other one while that rests.
+// TestRequestOnTrialAvoidsBackingOffInstance checks that a request on trial, which has an instance
+// of its own, is sent to the other one while that instance backs off.
 func TestRequestOnTrialAvoidsBackingOffInstance(t *testing.T) {
 	s := newLimitFixture(t)
 	d := quarantine.Request{Workspace: "ws", Method: http.MethodPost, Host: "api.example", Target: "/again/x", Body: []byte("body")}.Digest()
@@ -146,8 +149,8 @@
 	s.c.Assert(s.received, qt.Not(qt.Contains), own)
 }
 
-// An instance that turns away what it gets, without a word of when to come back, has no
-// requests, and is not taken for the least busy one.
+// TestAvoidsRejectingInstance checks that an instance which rejects its requests without a
+// Retry-After, and so has none in flight, is not taken for the least loaded one.
 func TestAvoidsRejectingInstance(t *testing.T) {
 	s := newLimitFixture(t)
 	s.status, s.headers = http.StatusServiceUnavailable, map[string]string{"X-Lupinkeel-Not-Executed": "1"}
@@ -158,8 +161,8 @@
 	s.c.Assert(s.received, qt.Not(qt.Contains), "p1")
 }
 
-// An instance asked another daemon for rest: this one prefers others, and still uses it where
-// there is none.
+// TestPeerBackoffLowersPreference checks that an instance which asked another daemon for a backoff
+// is picked only if there is no other.
 func TestPeerBackoffLowersPreference(t *testing.T) {
 	c := qt.New(t)
 	b := newScheduler()
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -24,33 +24,32 @@
 )
 
 const (
-	// restartSeen is for how long after an instance cut off requests the word that it
-	// started again shows that it crashed then: it writes its entry at its start.
+	// restartWindow is for how long after a disconnect a restart of the instance shows that it
+	// crashed then: an instance writes its entry when it starts.
 	restartWindow = 3 * time.Second
-	// crashKept is for how long it is remembered that an instance crashed: requests that it
-	// had may end later.
+	// disconnectRetention is for how long a crash is remembered: other requests on the instance may
+	// end later.
 	disconnectRetention = 10 * time.Second
-	// digestsShown is how many digests a log line lists.
+	// maxLoggedDigests bounds the digests in a log line.
 	maxLoggedDigests = 8
 )
 
-// askPauses are the pauses before an instance that cut off a request is asked whether it
-// is still there. A process that ends may close its connections some ms before the
-// socket that takes new ones.
+// probeDelays are the delays before each probe of an instance that disconnected. A process that
+// ends may close its connections some ms before its listening socket.
 var probeDelays = []time.Duration{0, 40 * time.Millisecond, 200 * time.Millisecond}
 
-// evidence is what shows that an instance crashed rather than closed a connection.
+// evidence shows that an instance crashed rather than closed a connection.
 type evidence string
 
 const (
-	// evidenceRefused: its address takes no connections.
+	// evidenceRefused: its address refuses connections.
 	evidenceRefused evidence = "refused"
-	// evidenceRestarted: it started again since.
+	// evidenceRestarted: it has restarted since.
 	evidenceRestarted evidence = "restarted"
 )
 
-// crashWatch finds out which of the instances that cut off requests have crashed, and
-// what each of them was running. It is safe for use by several goroutines.
+// crashDetector finds out which of the instances that disconnected during requests have crashed,
+// and which requests each was executing. It is safe for concurrent use.
 type crashDetector struct {
 	node    Node
 	log     zerolog.Logger
@@ -60,15 +59,14 @@
 	disconnects map[models.InstanceID]*disconnect
 }
 
-// cutOff is one life of an instance that cut off requests.
+// disconnect is one incarnation of an instance that disconnected during requests.
 type disconnect struct {
 	instance models.UpstreamInstance
 	at       time.Time
 	requests map[quarantine.Digest]struct{}
 	// evidence is empty until there is some.
 	evidence evidence
-	// asked is closed once the instance was asked for the first time, over tells that it
-	// is not asked again.
+	// probed is closed after the first probe. probeEnded tells that no further probe follows.
 	probed     chan struct{}
 	probeEnded bool
 }
@@ -79,16 +77,16 @@
 	}
 }
 
-// closed is what there is nothing to wait for.
+// closedChannel is returned if there is nothing to wait for.
 var closedChannel = func() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// cut notes that an instance cut off a request that it may have been running, and has
-// it asked at once whether it is still there. The channel is closed when that is known.
-// An instance that was about to leave ends as planned: it is not asked.
+// noteDisconnect records that an instance disconnected during a request that it may have been
+// executing, and probes it at once. The channel is closed after the first probe. An instance that
+// was about to leave ends as planned and is not probed.
 func (cd *crashDetector) noteDisconnect(ctx context.Context, i models.UpstreamInstance, d quarantine.Digest) <-chan struct{} {
 	known, there := cd.node.View().All[i.ID]
 	cd.mu.Lock()
@@ -100,7 +98,7 @@
 		}
 		c = &disconnect{instance: i, at: time.Now(), requests: map[quarantine.Digest]struct{}{}, probed: make(chan struct{})}
 		cd.disconnects[i.ID] = c
-		task.Start(context.WithoutCancel(ctx), "ask", func(ctx context.Context) error { return cd.probe(ctx, c) })
+		task.Start(context.WithoutCancel(ctx), "probe", func(ctx context.Context) error { return cd.probe(ctx, c) })
 	}
 	c.requests[d] = struct{}{}
 	if c.evidence != "" {
@@ -109,11 +107,11 @@
 	return c.probed
 }
 
-// isOver reports whether the instance was found to be there: if it cuts off a request now
-// that is another matter.
+// isAlive reports whether all probes found the instance running. A later disconnect is then a new
+// one.
 func (c *disconnect) isAlive() bool { return c.probeEnded && c.evidence == "" }
 
-// report has all daemons know of requests that a crashed instance had. The watch must be
+// report tells all daemons which requests a crashed instance was executing. The detector must be
 // locked.
 func (cd *crashDetector) report(c *disconnect, requests ...quarantine.Digest) {
 	crash := quarantine.Crash{Instance: c.instance.ID, Born: c.instance.Born, At: c.at, Requests: map[quarantine.Digest]bool{}}
@@ -123,7 +121,7 @@
 	cd.node.Quarantine().Crashed(crash)
 }
 
-// ask finds out whether an instance still takes connections.
+// probe finds out whether an instance still accepts connections.
 func (cd *crashDetector) probe(ctx context.Context, c *disconnect) error {
 	first := sync.OnceFunc(func() { close(c.probed) })
 	defer func() {
@@ -140,7 +138,7 @@
 			return nil
 		}
 		if err != nil {
-			// A path that is cut tells nothing of the instance.
+			// A network failure is no evidence about the instance.
 			return err
 		}
 		first()
@@ -148,7 +146,7 @@
 	return nil
 }
 
-// dialOnce makes a connection and closes it.
+// dialOnce opens a connection and closes it.
 func dialOnce(ctx context.Context, addr netip.AddrPort) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp4", addr.String())
@@ -158,7 +156,7 @@
 	return conn.Close()
 }
 
-// prove notes that an instance crashed.
+// confirm records that an instance crashed.
 func (cd *crashDetector) confirm(c *disconnect, e evidence) {
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
@@ -172,7 +170,7 @@
 		Int("requests", len(c.requests)).Str("digests", c.digestList()).Dur("after", time.Since(c.at)).Msg("instance-crashed")
 }
 
-// shown lists the requests that the instance had, or some of them.
+// digestList lists the requests that the instance was executing, up to maxLoggedDigests.
 func (c *disconnect) digestList() string {
 	var out []string
 	for d := range c.requests {
@@ -182,8 +180,7 @@
 	return strings.Join(out[:min(len(out), maxLoggedDigests)], ",")
 }
 
-// sweep looks for instances that have started again, and forgets those that cut off
-// requests long ago.
+// sweep looks for instances that have restarted, and drops old disconnects.
 func (cd *crashDetector) sweep(now time.Time) {
 	all := cd.node.View().All
 	var restarted []*disconnect
@@ -203,8 +200,8 @@
 	}
 }
 
-// isCut reports whether an error tells that the instance ended the connection before
-// the answer was whole.
+// isDisconnect reports whether an error means that the instance closed the connection before the
+// response was complete.
 func isDisconnect(err error) bool {
 	for _, end := range []error{io.ErrUnexpectedEOF, sse.ErrCut, errEmptyStream, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, end) {
@@ -214,8 +211,8 @@
 	return false
 }
 
-// noteCut has the instance asked whether it crashed, if the error tells that it cut the
-// request off. It is safe for use by several goroutines.
+// noteDisconnect probes the instance for a crash if the error means that it disconnected. It is
+// safe for concurrent use.
 func (e *exchange) noteDisconnect(ctx context.Context, i models.UpstreamInstance, err error) {
 	if ctx.Err() == nil && isDisconnect(err) {
 		probed := e.g.crashes.noteDisconnect(ctx, i, e.digest())
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -22,9 +22,9 @@
 	"github.com/lupinkeel/lupinkeel/quarantine"
 )
 
-// An instance that cut off a request crashed if its address refuses connections, or if
-// it is born anew; not if it takes connections, if it was about to leave, or if it is
-// not listed any more.
+// TestCrashNeedsEvidence checks that an instance which disconnected during a request counts as
+// crashed if its address refuses connections or it has restarted, but not if it accepts
+// connections, was about to leave, or is no longer listed.
 func TestCrashNeedsEvidence(t *testing.T) {
 	for _, test := range []struct {
 		name                                       string
@@ -70,8 +70,8 @@
 	}
 }
 
-// Only an end of the connection before the answer was whole may be a crash: neither a
-// silence, nor a request that was not sent, nor an answer that makes no sense.
+// TestDisconnectErrors checks that only a connection closed before the response was complete may be
+// a crash: not a stall, nor a request that was not sent, nor an invalid response.
 func TestDisconnectErrors(t *testing.T) {
 	c := qt.New(t)
 	maybeExecuted := func(err error) error { return errors.Join(errMaybeExecuted, fmt.Errorf("%w: %w", h1.ErrNoAnswer, err)) }
@@ -86,9 +86,9 @@
 	}
 }
 
-// An instance resets a connection, as one that is full does, and is found to be there. Some
-// seconds later it crashes under another request: that is proved all the same, and held
-// against that request alone.
+// TestCrashAfterReset checks that an instance which reset a connection, as overloaded ones do, and
+// was found alive is still found crashed when it disconnects again some seconds later. The crash
+// counts only against the later request.
 func TestCrashAfterReset(t *testing.T) {
 	c := qt.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -109,8 +109,8 @@
 	c.Assert(node.quarantine.Standing(reset).Crashes, qt.Equals, 0)
 }
 
-// An instance that reset a connection and starts again much later did not crash under that
-// request.
+// TestRestartLongAfterReset checks that a restart long after a reset connection does not count as a
+// crash by that connection's request.
 func TestRestartLongAfterReset(t *testing.T) {
 	c := qt.New(t)
 	i := models.UpstreamInstance{ID: "i", Born: time.Unix(1, 0), Addr: netip.MustParseAddrPort("127.0.0.1:1")}
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -2,7 +2,7 @@
 
 import "github.com/lupinkeel/lupinkeel/models"
 
-// addWork counts what the request asks of its model.
+// addDemand adds the request to the demand for its model.
 func (e *exchange) addDemand() {
 	service, known := e.g.node.View().Routing.Services[e.service]
 	if !known || service.Engine == nil {
@@ -15,8 +15,8 @@
 	e.g.scheduler.addDemand(e.head.Model, groupSeconds(service.Engine, profile, e.head))
 }
 
-// groupSeconds is how long a request occupies a whole group that is half
-// full.
+// groupSeconds returns how long a request would occupy a whole group, at half of the group's slots
+// in use.
 func groupSeconds(engine *models.EngineProfile, model models.ModelProfile, head models.RequestHead) float64 {
 	read := float64(head.PromptTokens) / max(1, engine.ReadPerSecond)
 	half := max(1, float64(engine.Slots)/2)
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -13,7 +13,7 @@
 	"github.com/lupinkeel/lupinkeel/quarantine"
 )
 
-// exchange is one request on its way.
+// exchange is a request in progress and its response.
 type exchange struct {
 	g        *Gateway
 	w        http.ResponseWriter
@@ -27,30 +27,30 @@
 	deadline time.Time
 	// tried are the instances that the request was sent to.
 	tried []models.InstanceID
-	// ran tells that an instance may have run the request, so that it must not
-	// be refused any more.
+	// maybeExecuted tells that an instance may have executed the request, which then must not be
+	// refused with a status that promises the opposite.
 	maybeExecuted bool
-	// answering tells that the head of the answer has gone out.
+	// headSent tells that the head of the response was sent to the caller.
 	headSent bool
-	// at is where the request was sent last.
+	// instance is where the request was sent last, group its group if it is a stream.
 	instance models.UpstreamInstance
 	group    models.GroupKey
-	// first is when the first byte of the answer went out.
+	// firstByte is when the first byte of the response was sent to the caller.
 	firstByte time.Time
-	// gap is the longest pause between two events, load what the group had
-	// when it was chosen.
+	// maxPause is the longest pause between two events. pickedLoad is the load that the group had
+	// when it was picked.
 	maxPause   time.Duration
 	pickedLoad int
-	// turnedAway is how many sends instances did not run.
+	// rejections counts the sends that instances rejected without executing the request.
 	rejections atomic.Int32
-	// opening is when the request may be sent, if that did not come in time.
+	// available tells when the request could be sent, if that is after the deadline for waiting.
 	available availability
-	// digest stands for what the caller asks. It may be called by several goroutines.
+	// digest returns the hash of the request's content. It is safe for concurrent use.
 	digest func() quarantine.Digest
-	// digested tells that the digest was asked for.
+	// digestUsed tells that the digest was computed.
 	digestUsed atomic.Bool
-	// cut is closed once it is known whether the instance that cut the request off last
-	// has crashed; nil if none did.
+	// probed is closed once it is known whether the instance that last disconnected during the
+	// request has crashed; nil if none disconnected.
 	probed atomic.Pointer[<-chan struct{}]
 }
 
@@ -78,7 +78,7 @@
 	e.finish(ctx, err)
 }
 
-// newDigest is the digest of what the caller asks.
+// computeDigest returns the hash of the request's content.
 func (e *exchange) computeDigest() quarantine.Digest {
 	e.digestUsed.Store(true)
 	asked := quarantine.Request{
@@ -87,7 +87,7 @@
 	return asked.Digest()
 }
 
-// try notes that the request is about to be sent to an instance.
+// markTried records that the request is about to be sent to an instance.
 func (e *exchange) markTried(i models.UpstreamInstance) {
 	e.instance = i
 	if !slices.Contains(e.tried, i.ID) {
@@ -95,32 +95,32 @@
 	}
 }
 
-// untry notes that the request was not sent to an instance after all.
+// unmarkTried records that the request was not sent to the instance after all.
 func (e *exchange) unmarkTried(i models.UpstreamInstance) {
 	e.tried = slices.DeleteFunc(e.tried, func(id models.InstanceID) bool { return id == i.ID })
 }
 
 const (
-	// maxPriority is the last rank of the Priority header that instances take.
+	// maxPriority is the lowest rank that instances accept in the Priority header.
 	maxPriority = 9
-	// routeRanks is how many of those ranks the routes of one workspace share:
-	// the users' routes have two or three priorities.
+	// routeRanks is how many consecutive ranks the routes of one workspace share: the users' routes
+	// have two or three priorities.
 	routeRanks = 3
-	// freshRepeatable and freshOnce are how long a connection may have rested
-	// to carry a request that may be sent again, and one that may not: an
-	// upstream may close a resting connection at any time.
+	// maxIdleRepeatable and maxIdleOnce bound how long a connection may have been idle to carry a
+	// request that may be repeated, and one that may not: an upstream may close an idle connection
+	// at any time.
 	maxIdleRepeatable = 4 * time.Second
 	maxIdleOnce       = 300 * time.Millisecond
 )
 
-// rank is how urgent a request is at an instance, 0 first: the workspace's
-// priority goes before the route's.
+// rank returns the priority of a request at an instance, 0 being the most urgent. The workspace's
+// priority takes precedence over the route's.
 func rank(workspace, route int) int {
 	within := min(max(0, route), routeRanks-1)
 	return min(maxPriority, max(0, workspace)*routeRanks+within)
 }
 
-// writeHead passes the head of an answer on.
+// writeHead forwards the head of a response.
 func (e *exchange) writeHead(status int, h http.Header) {
 	out := e.w.Header()
 	for name, values := range platform.AnswerHeader(h) {
@@ -128,7 +128,7 @@
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, given := out[name]; !given {
-			// An empty list keeps the server from adding one of its own.
+			// A nil list keeps net/http from adding the header.
 			out[name] = nil
 		}
 	}
--- a/gateway/failures.go
+++ b/gateway/failures.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// failureSpan is the time in which two thirds of what an instance failed is
-	// forgotten.
+	// failureDecay is the time constant with which failures decay: two thirds are forgotten after
+	// it.
 	failureDecay = 2 * time.Second
-	// failuresMost bounds what is remembered, so that an instance that is well again
-	// is tried within some six seconds.
+	// maxFailureCount bounds the failure count, so that a recovered instance is tried again within
+	// some six seconds.
 	maxFailureCount = 4
-	// failureRequests is how many requests a failure counts for where the instance
-	// of a plain service with the fewest is picked.
+	// requestsPerFailure is how many requests a failure counts for when the least loaded instance
+	// of a plain service is picked.
 	requestsPerFailure = 2
-	// busyFailures is how many failures it counts for that an instance asked another daemon
-	// for rest.
+	// busyFailures is how many failures it counts for that an instance asked another daemon for a
+	// backoff.
 	busyFailures = 2
 )
 
-// failures are how many requests an instance failed of late. One that resets every
-// connection has no requests, so that it would seem the least busy of all: 761
-// requests of one day with such heads were answered with 502.
+// failureCount is the decayed number of requests that an instance failed recently. Without it an
+// instance that resets every connection would look the least loaded of all, since it has no
+// requests: this caused 761 responses with status 502 in one day.
 type failureCount struct {
-	// born is the life of the instance that failed them.
+	// incarnation is the start time of the instance that failed them.
 	incarnation time.Time
 	count       float64
 	updated     time.Time
@@ -36,7 +36,7 @@
 	return f.count * math.Exp(-now.Sub(f.updated).Seconds()/failureDecay.Seconds())
 }
 
-// fail notes that an instance failed a request without an answer, or turned it away.
+// addFailure records that an instance failed a request without a response, or rejected it.
 func (s *scheduler) addFailure(i models.UpstreamInstance) {
 	now := time.Now()
 	s.mu.Lock()
@@ -44,7 +44,7 @@
 	s.failures[i.ID] = failureCount{i.Born, min(maxFailureCount, s.recentFailures(i)+1), now}
 }
 
-// answer notes that an instance answered a request.
+// addSuccess records that an instance executed a request.
 func (s *scheduler) addSuccess(id models.InstanceID) {
 	now := time.Now()
 	s.mu.Lock()
@@ -54,8 +54,8 @@
 	}
 }
 
-// failing is how many requests an instance failed of late, in this life. The balance
-// must be locked.
+// recentFailures returns the decayed number of requests that this incarnation of an instance
+// failed. The scheduler must be locked.
 func (s *scheduler) recentFailures(i models.UpstreamInstance) float64 {
 	f, known := s.failures[i.ID]
 	if !known || i.LifeOf(f.incarnation) == models.EarlierLife {
@@ -64,8 +64,8 @@
 	return f.decayed(time.Now())
 }
 
-// setback is how many failures an instance counts for, those among them that others' word of
-// it stands for. The balance must be locked.
+// penalty returns how many failures an instance counts for, including those for a backoff that it
+// asked another daemon for. The scheduler must be locked.
 func (s *scheduler) penalty(node Node, i models.UpstreamInstance) float64 {
 	if node.Breakers().IsBusy(i) {
 		return s.recentFailures(i) + busyFailures
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,6 +1,5 @@
-// Package gateway takes callers' requests over HTTP and passes each to an
-// upstream instance, raw: method, path, query, body and headers go through
-// as they came, both ways.
+// Package gateway accepts callers' HTTP requests and forwards each to an upstream instance. Method,
+// path, query, body and headers are forwarded unchanged, in both directions.
 package gateway
 
 import (
@@ -20,54 +19,54 @@
 	"github.com/lupinkeel/lupinkeel/ratelimit"
 )
 
-// Settings are what a gateway needs to know from the start.
+// Settings configure a gateway.
 type Settings struct {
 	Zone models.Zone
-	// Listen is where callers come, Ready where the balancer asks, Admin
-	// where metrics are served; Admin may be invalid.
+	// Listen is the address for callers, Ready for readiness checks by the load balancer, Admin for
+	// metrics and the quarantine; Admin may be invalid, and is then not served.
 	Listen netip.AddrPort
 	Ready  netip.AddrPort
 	Admin  netip.AddrPort
-	// KeysBound is how old the proof that the keys are current may be.
+	// KeysBound is the maximum age of the proof that the configuration is current, for a request
+	// that needs a key to be served.
 	KeysBound time.Duration
-	// ConfigBound is how old it may be for a route or key that is not known
-	// to be refused as unknown.
+	// ConfigBound is the maximum age of that proof for an unknown route or key to be refused as
+	// unknown.
 	ConfigBound time.Duration
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// StopGrace is how long a planned stop may take.
+	// StopGrace bounds the time that a planned stop takes.
 	StopGrace time.Duration
-	// Settle is how long after its start a gateway keeps to itself that a
-	// group seems to stand still: it does not know yet what the other daemons
-	// have there.
+	// Settle is the time after the start during which the gateway does not report stalled groups:
+	// it does not know yet which requests other daemons have there.
 	Settle time.Duration
 }
 
-// dialTimeout bounds the making of a connection to an upstream: two
-// round trips between zones, far less than a lost packet's repeat.
+// dialTimeout bounds the time to connect to an upstream: two round trips between zones, far less
+// than the retransmission of a lost packet takes.
 const dialTimeout = 250 * time.Millisecond
 
-// Beliefs are what the gateway is told of the world, as a cluster.Node does.
+// Node is the gateway's view of the cluster. A cluster.Node implements it.
 type Node interface {
 	View() *cluster.View
-	// PeersLoad is what other daemons have at an instance.
+	// PeersLoad returns the load that other daemons have at an instance.
 	PeersLoad(id models.InstanceID) cluster.Load
-	// ReportStalled tells that nothing moves at a group's head.
+	// ReportStalled reports to the other daemons that a group is stalled.
 	ReportStalled(group models.GroupKey, head models.InstanceID)
-	// Quarantine holds the requests that crash instances.
+	// Quarantine tracks requests that crash instances.
 	Quarantine() *cluster.Quarantine
-	// Limits holds the limits that instances name.
+	// Limits tracks the rate limits that instances announce.
 	Limits() *cluster.Limits
-	// Breakers holds what instances asked for in their answers.
+	// Breakers tracks the backoffs and leaving notices that instances send in responses.
 	Breakers() *cluster.Breakers
-	// AskPermit asks for a permit to send a request to one of several instances of a
-	// zone that name limits.
+	// AskPermit asks for a permit to send a request to one of several rate-limited instances of a
+	// zone.
 	AskPermit(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error)
 	Clock() *timer.Service
 }
 
-// Gateway serves one daemon's callers.
+// Gateway serves the callers of one daemon.
 type Gateway struct {
 	cfg       Settings
 	log       zerolog.Logger
@@ -75,7 +74,7 @@
 	scheduler *scheduler
 	budget    *retryBudget
 	crashes   *crashDetector
-	// settled is when what it sees of groups may be relied on.
+	// stallReportsFrom is when the gateway begins to report stalled groups.
 	stallReportsFrom time.Time
 	conns            *h1.Pool
 	stats            *stats
@@ -86,19 +85,20 @@
 type stats struct {
 	byOutcome map[outcome]*metrics.Counter
 	retries   *metrics.Counter
-	// quarantined counts the requests that were refused since they crash instances.
+	// quarantineRefusals counts requests refused because they crash instances.
 	quarantineRefusals *metrics.Counter
-	// limited counts those that were refused since all instances had named limits.
+	// limitRefusals counts requests refused because all instances have rate limits and no permit
+	// came in time.
 	limitRefusals *metrics.Counter
-	// rested counts those that were refused since all instances had asked for rest.
+	// backoffRefusals counts requests refused because all instances asked for a backoff.
 	backoffRefusals *metrics.Counter
-	// turnedAway counts the sends that instances did not run.
+	// rejections counts sends that instances rejected without executing the request.
 	rejections  *metrics.Counter
 	resumes     *metrics.Counter
 	connsOpened *metrics.Counter
 	firstByte   *metrics.Histogram
 	inFlight    atomic.Int64
-	// ownZone and otherZone count the bytes of connections to upstreams.
+	// ownZone and otherZone count the bytes of connections to upstreams by zone.
 	ownZone   byteMeter
 	otherZone byteMeter
 }
@@ -121,8 +121,8 @@
 	return s
 }
 
-// opened counts a new connection to an upstream, and its bytes by whether they
-// stay in the daemon's availability zone.
+// connOpened counts a new connection to an upstream. It returns the meter for its bytes, which
+// depends on whether the upstream is in the daemon's zone.
 func (g *Gateway) connOpened(addr netip.AddrPort) h1.Meter {
 	g.stats.connsOpened.Inc()
 	for _, i := range g.node.View().All {
@@ -133,7 +133,7 @@
 	return g.stats.otherZone
 }
 
-// meter counts the bytes of connections to upstreams.
+// byteMeter counts the bytes of connections to upstreams.
 type byteMeter struct{ sent, received *metrics.Counter }
 
 func newByteMeter(set *metrics.Set, zone string) byteMeter {
@@ -146,10 +146,11 @@
 // Sent counts bytes of requests.
 func (m byteMeter) Sent(n int) { m.sent.Add(n) }
 
-// Received counts bytes of answers.
+// Received counts bytes of responses.
 func (m byteMeter) Received(n int) { m.received.Add(n) }
 
-// Traffic is what a node reads of a gateway that is yet to be made.
+// Traffic returns the load counters that a cluster node reads. They are passed to New afterwards,
+// since the node is created before its gateway.
 func Traffic() cluster.Traffic { return newScheduler() }
 
 // New returns a gateway. The traffic must come from Traffic.
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -15,9 +15,9 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestProofOfKeys checks that a daemon that can't show that its keys are
-// current refuses, truly and with a time to come back, and that it calls no
-// route or key unknown that a newer configuration may hold.
+// TestStaleConfigRefuses checks that a daemon without a recent proof that its configuration is
+// current refuses requests, with a Retry-After, and does not refuse a route or key as unknown that
+// a newer configuration may contain.
 func TestStaleConfigRefuses(t *testing.T) {
 	c := qt.New(t)
 	routing := &models.Routing{
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestReady checks that the balancer is told the truth.
+// TestReady checks that readiness fails while the configuration is stale or the gateway stops.
 func TestReady(t *testing.T) {
 	c := qt.New(t)
 	view := &cluster.View{Routing: &models.Routing{}, Proven: time.Now()}
@@ -76,9 +76,9 @@
 	c.Assert(ready(), qt.Equals, http.StatusServiceUnavailable)
 }
 
-// A machine is suspended for longer than a key that was taken away may be used. The steady
-// clock does not count that time: the proof that the keys are current seems to be as young as
-// before. No request runs by it, and the balancer is told to send none.
+// TestStaleConfigAfterSuspension checks that the time for which a machine was suspended counts
+// towards the age of the proof, although the monotonic clock does not count it. Otherwise a revoked
+// key could be used after the suspension.
 func TestStaleConfigAfterSuspension(t *testing.T) {
 	c := qt.New(t)
 	start := time.Now()
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -11,10 +11,10 @@
 	"github.com/lupinkeel/lupinkeel/platform"
 )
 
-// outcome is how a request ended.
+// outcome is how a request ended, as logged and counted.
 type outcome string
 
-// The outcomes of requests.
+// Outcomes of requests.
 const (
 	outcomeComplete     outcome = "whole"
 	outcomeRefused      outcome = "refused"
@@ -27,34 +27,34 @@
 
 var outcomes = []outcome{outcomeComplete, outcomeRefused, outcomeUnknownRoute, outcomeForbidden, outcomeBroken, outcomeTimeout, outcomeCallerGone}
 
-// Reasons why a request is not answered by an instance.
+// Errors for requests that no instance answered.
 var (
-	errNoConfig       = errors.New("no configuration is known yet")
-	errStaleConfig    = errors.New("the keys may have changed")
-	errNoRoute        = errors.New("no route has this host and path")
-	errUnknownKey     = errors.New("the key is not known")
-	errBodyTooLong    = errors.New("the body is too long")
-	errBodyIncomplete = errors.New("the body did not come whole")
-	errNoInstance     = errors.New("no instance takes this request now")
-	errAllFull        = errors.New("all instances are full")
-	errNotExecuted    = errors.New("the instance did not run the request")
-	errMaybeExecuted  = errors.New("the request may have been run")
-	errRetryBudget    = errors.New("too many requests are being repeated")
-	// errLimited: no permit comes in time to send the request to any of them.
-	errAllLimited = errors.New("all instances had named limits")
-	// errResting: none of them ends its rest in time.
-	errAllBackingOff = errors.New("all instances had asked for rest")
-	// errHeld: the request was not sent, since the instance is to get none.
-	errNotAdmitted = errors.New("nothing may be sent to the instance now")
-	// errNoPermit: the instance named a limit since it was picked, or the permit lapsed.
-	errNoPermit = errors.New("the instance names a limit, and there is no permit for it")
-	// errQuarantined: instances crashed each time that they ran the request.
-	errQuarantined = errors.New("the request crashes the instances that run it")
-	// errLastSpared: an instance crashed with the request, and only one is left.
-	errLastInstance = errors.New("an instance crashed with the request, and the last one is spared")
+	errNoConfig       = errors.New("no configuration has been received yet")
+	errStaleConfig    = errors.New("the configuration may have changed")
+	errNoRoute        = errors.New("no route matches this host and path")
+	errUnknownKey     = errors.New("the key is unknown")
+	errBodyTooLong    = errors.New("the request body is too long")
+	errBodyIncomplete = errors.New("the request body is incomplete")
+	errNoInstance     = errors.New("no instance is available for this request")
+	errAllFull        = errors.New("all instances are at capacity")
+	errNotExecuted    = errors.New("the instance did not execute the request")
+	errMaybeExecuted  = errors.New("the request may have been executed")
+	errRetryBudget    = errors.New("the retry budget is exhausted")
+	// errAllLimited: no permit to send the request to any of them comes in time.
+	errAllLimited = errors.New("all instances are rate-limited")
+	// errAllBackingOff: the backoff of none of them ends in time.
+	errAllBackingOff = errors.New("all instances asked for a backoff")
+	// errNotAdmitted: the request was not sent, since the instance must not get any.
+	errNotAdmitted = errors.New("the instance must not be sent requests now")
+	// errNoPermit: the instance announced a rate limit after it was picked, or the permit expired.
+	errNoPermit = errors.New("the instance is rate-limited, and there is no valid permit for it")
+	// errQuarantined: several instances crashed while they executed the request.
+	errQuarantined = errors.New("the request is quarantined: it crashes the instances that execute it")
+	// errLastInstance: an instance crashed while it executed the request, and only one is left.
+	errLastInstance = errors.New("an instance crashed executing the request, and only one instance is left")
 )
 
-// refuse answers a request that was sent nowhere.
+// refuse answers a request that no instance has executed.
 func (e *exchange) refuse(err error) {
 	status, end := http.StatusServiceUnavailable, outcomeRefused
 	switch {
@@ -68,7 +68,7 @@
 		end = outcomeCallerGone
 		status = http.StatusBadRequest
 	case errors.Is(err, errQuarantined):
-		// No word of when to retry: that would only bring the caller back.
+		// No Retry-After: it would only make the caller send the request again.
 		e.g.stats.quarantineRefusals.Inc()
 	case errors.Is(err, errAllLimited):
 		e.g.stats.limitRefusals.Inc()
@@ -84,19 +84,18 @@
 }
 
 const (
-	// startTime is about how long a daemon of the users' platform takes from
-	// its start to its first configuration, a large one at 20 Mbit/s.
+	// typicalStartup is about how long a daemon of the users' platform takes from its start to its
+	// first configuration, a large one at 20 Mbit/s.
 	typicalStartup = 400 * time.Millisecond
-	// retryLeast and retrySpread are when a caller is asked to retry where no
-	// place is free: a group of 20 slots, with requests of 1.2 s, ends one about
-	// every 60 ms, but what filled all of them takes longer to pass, and most
-	// callers come back only once. An estimate; 120 ms was worse. They are spread
-	// so that callers do not come all at the same time.
+	// minRetryAfter and retryAfterJitter set when a caller should retry if all groups are full. A
+	// group of 20 slots with requests of 1.2 s finishes one about every 60 ms, but an overload of
+	// all groups lasts longer, and most callers retry only once. The jitter keeps callers from
+	// retrying at the same time. An estimate.
 	minRetryAfter    = 300 * time.Millisecond
 	retryAfterJitter = 500 * time.Millisecond
 )
 
-// retryAfter is when a caller that was refused for this reason should retry.
+// retryAfter returns when a caller that was refused for this reason should retry.
 func retryAfter(reason error) time.Duration {
 	if errors.Is(reason, errNoConfig) {
 		return typicalStartup
@@ -104,25 +103,25 @@
 	return minRetryAfter + rand.N(retryAfterJitter)
 }
 
-// afterPermit is when a caller should retry for whom a permit may come after a wait. They are
-// spread, as a permit is for one of them.
+// retryAfterPermit returns when a caller should retry if a permit may be available after a wait.
+// The jitter spreads the callers, since a permit serves only one of them.
 func retryAfterPermit(wait time.Duration) time.Duration {
 	return max(minRetryAfter, wait) + rand.N(max(retryAfterJitter, wait))
 }
 
-// ranksSpread is over how many ranks callers are spread who are told to come back.
+// jitterRanks is the number of ranks over which the retries of refused callers are spread.
 const jitterRanks = 3
 
-// afterRest is when a caller should retry who found all instances resting: after the first
-// rest ends, the more urgent ones first. They are spread over half of the time for which
-// callers were refused, so that those who come back add twice the usual requests at most.
+// retryAfterBackoff returns when a caller should retry if all instances back off: after the first
+// backoff ends, the more urgent callers first. Retries are spread over half of the time for which
+// callers were refused, so that they add at most twice the usual request rate.
 func retryAfterBackoff(o availability, rank int, now time.Time) time.Duration {
 	jitter := max(retryAfterJitter, now.Sub(o.since)/2)
 	fraction := (float64(min(rank, jitterRanks-1)) + rand.Float64()) / jitterRanks
 	return max(minRetryAfter, o.at.Sub(now)) + time.Duration(fraction*float64(jitter))
 }
 
-// finish gives a request its end if no instance did.
+// finish logs the end of a request, and answers it if no response was sent.
 func (e *exchange) finish(ctx context.Context, err error) {
 	switch {
 	case err == nil:
@@ -132,8 +131,7 @@
 		e.logEnd(outcomeCallerGone, 0, err)
 		panic(http.ErrAbortHandler)
 	case e.headSent:
-		// Only a broken connection tells the caller that the answer that has
-		// begun is not whole.
+		// Only a broken connection tells the caller that the response is incomplete.
 		e.logEnd(outcomeBroken, 0, err)
 		panic(http.ErrAbortHandler)
 	case !e.maybeExecuted && isNotExecuted(err):
@@ -147,7 +145,7 @@
 	}
 }
 
-// isUnrun reports whether the error tells that no instance ran the request.
+// isNotExecuted reports whether the error means that no instance executed the request.
 func isNotExecuted(err error) bool {
 	for _, reason := range []error{errNotExecuted, errAllFull, errNoInstance, errAllLimited, errAllBackingOff, errQuarantined, errLastInstance} {
 		if errors.Is(err, reason) {
@@ -157,12 +155,12 @@
 	return false
 }
 
-// isTurnedAway reports whether the error tells that an instance would not run the request.
+// isRejected reports whether the error means that an instance rejected the request.
 func isRejected(err error) bool {
 	return errors.Is(err, errNotExecuted) && !errors.Is(err, h1.ErrNotSent)
 }
 
-// note writes a request's end into the log and the metrics.
+// logEnd logs and counts the end of a request.
 func (e *exchange) logEnd(end outcome, status int, err error) {
 	e.g.stats.byOutcome[end].Inc()
 	event := e.g.log.Info()
--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -8,50 +8,47 @@
 )
 
 const (
-	// ratioStep and ratioSteps are the width and the number of the steps in
-	// which pauses are counted, as parts of the pass that was expected.
+	// pauseBucketWidth and pauseBuckets are the width and number of the histogram's buckets. Pauses
+	// are counted as a ratio to the expected pass time.
 	pauseBucketWidth = 0.1
 	pauseBuckets     = 80
-	// pausesKept is how many pauses are remembered before their counts are
-	// halved, so that what is learned follows the load within seconds.
+	// maxPauseCount is the total at which the counts are halved, so that the histogram follows the
+	// load within seconds.
 	maxPauseCount = 3000
-	// rarePause is the part of pauses that may be longer than the patience.
-	// A stream has some 35 of them, and a hedge that was begun in vain costs
-	// one reading of its prompt.
+	// tailFraction is the fraction of pauses that may exceed the stall timeout. A stream has some
+	// 35 pauses, and an unnecessary hedge costs one prefill of its prompt.
 	tailFraction = 0.003
-	// leastPauses is how many must have been seen to rely on them.
+	// minPauseCount is how many pauses must have been counted for the histogram to be used.
 	minPauseCount = 300
-	// firstRatio is used while too little is known; what is learned was 1.1 to
-	// 1.3 times the pass.
+	// defaultPauseRatio is the ratio used before that; measured ratios were 1.1 to 1.3.
 	defaultPauseRatio = 1.6
-	// firstPatience is the patience where the engine is not described,
-	// leastPatience and mostPatience bound it elsewhere.
+	// defaultStallTimeout is the stall timeout if the engine has no profile. minStallTimeout and
+	// maxStallTimeout bound it otherwise.
 	defaultStallTimeout = 250 * time.Millisecond
 	minStallTimeout     = 40 * time.Millisecond
 	maxStallTimeout     = 400 * time.Millisecond
-	// netSlack is put on top for the way from the group and through the
-	// daemon.
+	// networkMargin is added for the network and the daemon's own processing.
 	networkMargin = 10 * time.Millisecond
-	// movedPrompts is how many prompts may have to be read before a stream that
-	// is moved goes on: others are moved to the same group. The 18
-	// streams of two lost groups come to two or three at each of eight.
+	// failoverPrompts is how many prompts may have to be prefilled before a stream continues at
+	// another group, since others fail over to the same group: the 18 streams of two lost groups
+	// were two or three at each of eight other groups.
 	failoverPrompts = 3
 )
 
-// passTime is how long a pass of a group takes with this load: the steps of
-// those that write, and the reading of what is unread.
+// passTime returns the duration of an engine pass with this load: the decoding steps of the running
+// requests, and the prefill of waiting prompts. Each running stream gets its next event at the end
+// of a pass.
 func passTime(engine *models.EngineProfile, model models.ModelProfile, load cluster.Load) time.Duration {
 	running := time.Duration(min(load.Requests, engine.Slots))
 	steps := time.Duration(max(1, engine.Stride)) * (engine.Step + running*engine.PerRequest)
 	return time.Duration(model.Pace * float64(steps+engine.ReadTime(load.Unread)))
 }
 
-// begunPass is how long the pass should take that a group is at, from how long it
-// was expected to take when it began and how long it would take by what is known
-// now. Where loads are told with a delay some of the prompts that it reads were not
-// known yet: at a group for long prompts 7 pauses in 100 were longer than the
-// patience by what was known first, 3 in 10,000 by what is known later
-// (TestPromptsToldLate). All daemons pass such a group over.
+// currentPassTime returns the expected duration of the pass that a group is executing, from the
+// expectations when it began and now. If loads are reported with a delay, some of the prompts that
+// the pass prefills were not known when it began. At a group for long prompts 7 pauses in 100
+// exceeded the stall timeout by the first expectation, 3 in 10,000 by the later one
+// (TestDelayedPromptReports). A group reported as stalled gets no requests from any daemon.
 func currentPassTime(expected, now, loadsAge time.Duration) time.Duration {
 	if loadsAge > 0 {
 		return max(expected, now)
@@ -59,17 +56,17 @@
 	return expected
 }
 
-// sparePause is how long nothing may come from a group if the stream is then to
-// go on at another one within the pause that its caller puts up with. It is not
-// worth while to begin a second run before that: of the passes that take longer
-// than expected most read prompts of which this daemon does not know yet.
+// failoverSlack returns how long a group may be silent if the stream is then still to continue at
+// another group within the pause that the caller tolerates. A hedge before that is not worth its
+// cost: most passes that take longer than expected prefill prompts that this daemon does not know
+// of yet.
 func failoverSlack(engine *models.EngineProfile, model models.ModelProfile, promptTokens int, pause time.Duration) time.Duration {
 	destLoad := cluster.Load{Requests: engine.Slots / 2, Unread: failoverPrompts * promptTokens}
 	return pause - passTime(engine, model, destLoad) - 2*networkMargin
 }
 
-// pauses counts the pauses between the events of a model's streams, each as
-// a part of the pass that was expected.
+// pauseHistogram counts the pauses between the events of a model's streams, each as a ratio to the
+// expected pass time.
 type pauseHistogram struct {
 	counts [pauseBuckets]float64
 	total  float64
@@ -81,7 +78,7 @@
 	}
 	at := int(float64(pause) / float64(pass) / pauseBucketWidth)
 	if at >= pauseBuckets {
-		// Longer ones are stalls, from which nothing is to be learned.
+		// Longer pauses are stalls and would distort the histogram.
 		return
 	}
 	p.counts[at]++
@@ -95,8 +92,8 @@
 	p.total /= 2
 }
 
-// patience is how long nothing may come from a head whose pass should take
-// this long. It may be asked of nil.
+// stallTimeout returns how long a head may be silent whose pass has this expected duration. It may
+// be called on nil.
 func (p *pauseHistogram) stallTimeout(pass time.Duration) time.Duration {
 	if p == nil || p.total < minPauseCount {
 		return boundedStallTimeout(defaultPauseRatio, pass)
@@ -111,7 +108,8 @@
 	return boundedStallTimeout(defaultPauseRatio, pass)
 }
 
-// within is the patience for a pass and the ratio by which it may be longer.
+// boundedStallTimeout returns the stall timeout for a pass and the ratio by which its duration may
+// be exceeded.
 func boundedStallTimeout(ratio float64, pass time.Duration) time.Duration {
 	timeout := time.Duration(ratio*float64(pass)) + networkMargin
 	return min(maxStallTimeout, max(minStallTimeout, timeout))
@@ -128,8 +126,8 @@
 	p.add(pause, pass)
 }
 
-// patience is how long nothing may come from a head of the model's groups
-// whose pass should take this long.
+// stallTimeout returns how long a head of one of the model's groups may be silent whose pass has
+// this expected duration.
 func (s *scheduler) stallTimeout(model models.ModelName, pass time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/pauses_test.go
+++ b/gateway/pauses_test.go
@@ -22,8 +22,8 @@
 	c.Assert(over, qt.Equals, 24250*time.Microsecond)
 }
 
-// TestPatienceIsLearned checks that the patience follows the pauses that are
-// seen, keeps clear of stalls, and stays within its bounds.
+// TestStallTimeoutFollowsPauses checks that the stall timeout follows the pauses that are counted,
+// ignores stalls, and stays within its bounds.
 func TestStallTimeoutFollowsPauses(t *testing.T) {
 	c := qt.New(t)
 	const pass = 50 * time.Millisecond
@@ -44,8 +44,8 @@
 	c.Assert(p.stallTimeout(time.Second), qt.Equals, maxStallTimeout)
 }
 
-// TestBudget checks that repeats stay within a part of the requests and the
-// daemon's part of the fixed number, over any window.
+// TestBudget checks that retries stay within a fraction of the requests and the daemon's share of
+// the fixed number, over any window.
 func TestBudget(t *testing.T) {
 	c := qt.New(t)
 	b := newRetryBudget(0.2, 100, 10*time.Second)
@@ -63,43 +63,42 @@
 	c.Assert(b.allowRetry(now, 10, false), qt.IsTrue)
 }
 
-// TestSparePause checks that a stream waits for its group as long as it may go
-// on elsewhere in time, and that this is the shorter the longer its prompt is.
-// Daemons that did not know of each other's prompts took seventeen sound groups
-// for stalled within two seconds, at 56 ms where the caller allows 200.
+// TestFailoverSlack checks that a stream waits for its group as long as it can still continue
+// elsewhere in time, and that this is shorter for longer prompts. Daemons that did not know of each
+// other's prompts once took seventeen healthy groups for stalled within two seconds, at a stall
+// timeout of 56 ms where the caller tolerates 200.
 func TestFailoverSlack(t *testing.T) {
 	c := qt.New(t)
 	engine := &models.EngineProfile{Slots: 20, Step: 8 * time.Millisecond, PerRequest: 100 * time.Microsecond, ReadPerSecond: 46000, Stride: 6}
 	model := models.ModelProfile{Pace: 0.5}
 	c.Assert(failoverSlack(engine, model, 460, 200*time.Millisecond), qt.Equals, 138*time.Millisecond)
 	c.Assert(failoverSlack(engine, model, 1840, 200*time.Millisecond), qt.Equals, 93*time.Millisecond)
-	c.Assert(failoverSlack(engine, model, 460, 0) < 0, qt.IsTrue, qt.Commentf("no pause is named"))
+	c.Assert(failoverSlack(engine, model, 460, 0) < 0, qt.IsTrue, qt.Commentf("the route sets no pause"))
 }
 
-// TestPromptsToldLate replays a group that reads long prompts, of which its
-// daemons are told with a delay: few of its pauses may seem to be too long.
+// TestDelayedPromptReports replays a group that prefills long prompts, which its daemons know of
+// only after a delay, and checks that few of its pauses exceed the stall timeout.
 func TestDelayedPromptReports(t *testing.T) {
 	c := qt.New(t)
 	early := falseAlarmRate(func(expected, _ time.Duration) time.Duration { return currentPassTime(expected, 0, 0) })
 	late := falseAlarmRate(func(expected, now time.Duration) time.Duration { return currentPassTime(expected, now, loadDelay) })
-	t.Logf("in a million pauses: %.0f by what was known at their begin, %.0f by what is known later", early*1e6, late*1e6)
+	t.Logf("false alarms per million passes: %.0f by the expectation at their begin, %.0f by the later one", early*1e6, late*1e6)
 	c.Assert(early > 0.005, qt.IsTrue, qt.Commentf("the load no longer shows the fault: %v", early))
 	c.Assert(late < 0.001, qt.IsTrue, qt.Commentf("%v", late))
 }
 
 const (
-	// toldAfter is how late the loads of other daemons are told.
+	// loadDelay is how late the loads of other daemons are received.
 	loadDelay = 50 * time.Millisecond
-	// promptEvery is how often a prompt comes to the group, promptTokens how long
-	// they are on average.
+	// promptInterval is the mean time between two prompts, promptTokens their mean length.
 	promptInterval = 180 * time.Millisecond
 	promptTokens   = 1700
-	// running is how many requests the group is answering.
+	// runningRequests is how many requests the group is executing.
 	runningRequests = 6
 )
 
-// falseAlarms is the part of a group's pauses that seem too long, where the pass
-// that it is at is judged by what was known when it began and what is known now.
+// falseAlarmRate returns the fraction of a group's passes that exceed the stall timeout, where
+// judge returns the expected pass time from the expectations when the pass began and now.
 func falseAlarmRate(judge func(expected, now time.Duration) time.Duration) float64 {
 	engine := &models.EngineProfile{Slots: 14, Step: 7800 * time.Microsecond, PerRequest: 95 * time.Microsecond, Stride: 8, ReadPerSecond: 45900}
 	model := models.ModelProfile{Pace: 1}
@@ -111,7 +110,7 @@
 	var waiting []prompt
 	next, now, alarms := time.Duration(0), time.Duration(0), 0
 	const passes = 200_000
-	// unread are the tokens of the prompts that came until a time.
+	// unread returns the tokens of the prompts that arrived until a time.
 	unread := func(until time.Duration) int {
 		sum := 0
 		for _, p := range waiting {
--- a/gateway/permit.go
+++ b/gateway/permit.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// mostAsks is how often a request asks for a permit until it counts as refused, each
-	// time for other instances.
+	// maxPermitAsks is how many times a request asks for a permit, each time for other instances,
+	// before it counts as refused.
 	maxPermitAsks = 8
-	// mostWanted bounds how many instances one ask names.
+	// maxPermitCandidates bounds how many instances one ask names.
 	maxPermitCandidates = 32
-	// permitValid is for how long a permit may be used.
+	// permitLifetime is for how long a permit may be used.
 	permitLifetime = 300 * time.Millisecond
-	// unansweredBar is for how long instances are left alone whose granter did not answer.
+	// unansweredExclusion is for how long instances are not picked after their granter did not
+	// answer.
 	unansweredExclusion = 300 * time.Millisecond
 )
 
-// permit allows one request to be sent to an instance that bounds how many it gets from all
-// daemons. The zero permit is enough for other instances.
+// permit allows one request to be sent to an instance whose rate limit covers all daemons together.
+// The zero permit is enough for other instances.
 type permit struct {
 	instance models.InstanceID
 	granted  time.Time
 }
 
-// isLimited reports whether requests to an instance need permits.
+// needsPermit reports whether requests to an instance need permits.
 func (g *Gateway) needsPermit(i models.UpstreamInstance) bool {
 	return g.node.Limits().Rate(i, time.Now()) != models.NoLimit
 }
 
-// allows reports whether a request may be sent to an instance now. It is asked at the send
-// itself: the instance may have named a limit since it was picked, or the process may have
-// stood still.
+// allows reports whether a request may be sent to an instance now. It is called right before the
+// send: the instance may have announced a rate limit after it was picked, or the process may have
+// been paused.
 func (p permit) allows(g *Gateway, i models.UpstreamInstance) bool {
 	if !g.needsPermit(i) {
 		return true
@@ -44,9 +45,9 @@
 	return p.instance == i.ID && g.node.Clock().Since(p.granted) < permitLifetime
 }
 
-// askPermit asks for a permit for one of some instances of a zone, the best first, and
-// returns which one it is for. Instances that can't be sent a request now are left alone for
-// as long.
+// requestPermit asks for a permit for one of several instances of a zone, the best first, and
+// returns the index of the instance that it is for. Instances that can't be sent a request now are
+// excluded until they can.
 func (e *exchange) requestPermit(ctx context.Context, instances []models.UpstreamInstance) (int, permit, bool) {
 	now := time.Now()
 	ask := ratelimit.Ask{Rank: e.permitRank(now)}
@@ -72,8 +73,8 @@
 	return grant.At, permit{instance: instances[grant.At].ID, granted: now}, true
 }
 
-// permitRank is how urgent the request is: one that is late already comes after those that
-// can still be in time.
+// permitRank returns the request's priority for permits: a request that is already late ranks below
+// those that can still meet their latency target.
 func (e *exchange) permitRank(now time.Time) int {
 	r := rank(e.holder.Priority, e.route.Priority)
 	if aim := e.route.Aim; aim > 0 && !e.headSent && now.Sub(e.started) > aim {
@@ -82,14 +83,14 @@
 	return r
 }
 
-// placed is a group that a request goes to, with the permit for its head.
+// target is a group that was picked for a request, with the permit for its head.
 type target struct {
 	group  cluster.Group
 	permit permit
 }
 
-// permitted returns the group that was picked, or another one whose head its zone's granter
-// gives a permit for.
+// pickPermittedGroup returns the picked group, or another one of its zone, with a permit for its
+// head.
 func (s *stream) pickPermittedGroup(engine *models.EngineProfile, picked cluster.Group) (target, bool) {
 	groups := []cluster.Group{picked}
 	if criteria := s.criteria(); criteria.trialPlace == nil {
@@ -106,8 +107,8 @@
 	return target{groups[at], p}, true
 }
 
-// limitedBeside are other groups of the same zone that have a place and whose heads name a
-// limit.
+// limitedGroups returns other groups of the same zone that have capacity and whose heads have a
+// rate limit.
 func (s *scheduler) limitedGroups(node Node, engine *models.EngineProfile, picked cluster.Group, criteria groupCriteria) []cluster.Group {
 	now := time.Now()
 	s.mu.Lock()
@@ -123,8 +124,8 @@
 	return out
 }
 
-// pickPermitted returns the instance of a plain service that the request is sent to next.
-// Where all of them name limits or rest it waits as long as others wait for a place.
+// awaitInstance returns the instance of a plain service that the request is sent to next. If all
+// have rate limits or back off, it waits as long as a stream waits for a group with capacity.
 func (e *exchange) awaitInstance(ctx context.Context) (models.UpstreamInstance, permit, error) {
 	until := e.started.Add(time.Duration(queueFraction * float64(e.route.Aim)))
 	for {
@@ -148,7 +149,7 @@
 	}
 }
 
-// askInstances returns an instance that needs no permit, or one with a permit.
+// pickPermittedInstance returns an instance that needs no permit, or one with a permit.
 func (e *exchange) pickPermittedInstance(ctx context.Context) (models.UpstreamInstance, permit, bool) {
 	for range maxPermitAsks {
 		i, found := e.pickInstance()
@@ -163,7 +164,7 @@
 	return models.UpstreamInstance{}, permit{}, false
 }
 
-// instancesBeside are other instances of the same service and zone that name a limit.
+// limitedInstances returns other instances of the same service and zone that have a rate limit.
 func (s *scheduler) limitedInstances(node Node, service models.ServiceName, picked models.UpstreamInstance, tried []models.InstanceID) []models.UpstreamInstance {
 	now := time.Now()
 	s.mu.Lock()
--- a/gateway/permit_test.go
+++ b/gateway/permit_test.go
@@ -17,13 +17,14 @@
 	"github.com/lupinkeel/lupinkeel/ratelimit"
 )
 
-// limitedSite is a gateway with two plain instances of which the test says which name limits.
+// limitFixture is a gateway with two plain instances, p1 and p2. The test sets the rate limit and
+// the other signals in the responses of p1.
 type limitFixture struct {
 	c       *qt.C
 	node    *fakeNode
 	gateway *httptest.Server
-	// ran holds the instances that got requests, limit what p1 names, status what it
-	// answers with unless that is 0, told what else it says in heads.
+	// received holds the instance of each request that was received. limit is the rate limit that
+	// p1 announces, status the status of its responses unless 0, headers their further headers.
 	received []string
 	limit    string
 	status   int
@@ -61,7 +62,7 @@
 	return s
 }
 
-// ask sends one request and returns the answer, and how long it took.
+// send sends one request and returns the response, and how long it took.
 func (s *limitFixture) send(id string) (*http.Response, time.Duration) {
 	r, err := http.NewRequest(http.MethodPost, s.gateway.URL+"/again/x", strings.NewReader("body"))
 	s.c.Assert(err, qt.IsNil)
@@ -75,14 +76,15 @@
 	return resp, time.Since(began)
 }
 
-// name has an instance known to name a limit.
+// setLimit records a rate limit of an instance at the gateway.
 func (s *limitFixture) setLimit(id models.InstanceID) {
 	i := s.node.view.All[id]
 	s.node.limits.Heard(ratelimit.Sighting{Instance: id, Born: i.Born, Rate: 2, Asked: time.Now(), Heard: time.Now()})
 }
 
-// The limit that an answer names holds from the next request on: without a permit nothing is
-// sent, other instances take the requests, and with one it goes there.
+// TestLimitedInstanceNeedsPermit checks that a rate limit announced in a response applies from the
+// next request on: without a permit all requests are sent to other instances, with one to the
+// rate-limited instance.
 func TestLimitedInstanceNeedsPermit(t *testing.T) {
 	s := newLimitFixture(t)
 	s.limit = "2"
@@ -112,8 +114,8 @@
 	s.c.Assert(s.received[len(s.received)-1], qt.Equals, "p1")
 }
 
-// Where all instances name limits and no permit can come in time, a request is refused at
-// once, without a send, and told to come back by the wait, each caller at another time.
+// TestAllLimitedRefusesImmediately checks that a request is refused without a send if all instances
+// have rate limits and no permit comes in time. Retry-After follows the wait, with a jitter.
 func TestAllLimitedRefusesImmediately(t *testing.T) {
 	s := newLimitFixture(t)
 	s.setLimit("p1")
@@ -140,8 +142,8 @@
 	s.c.Assert(s.received, qt.HasLen, 0)
 }
 
-// Another instance has taken over the address of one with a limit: what it says is not that
-// one's word.
+// TestLimitFromReusedAddressIgnored checks that a 421 response, from another instance that has
+// taken over the address, sets no rate limit for the former one.
 func TestLimitFromReusedAddressIgnored(t *testing.T) {
 	s := newLimitFixture(t)
 	s.limit, s.status = "2", http.StatusMisdirectedRequest
@@ -152,7 +154,7 @@
 	s.c.Assert(s.node.limits.Any(), qt.IsFalse)
 }
 
-// A permit that comes within the time that requests wait for a place is waited for.
+// TestWaitsForPermit checks that a request waits for a permit that comes within its queueing time.
 func TestWaitsForPermit(t *testing.T) {
 	s := newLimitFixture(t)
 	s.setLimit("p1")
@@ -169,8 +171,9 @@
 	s.c.Assert(s.received, qt.HasLen, 1)
 }
 
-// The instance names a limit after it was picked, or the process stands still with a permit
-// in its hand: nothing is sent without one that is valid.
+// TestPermitCheckedBeforeSend checks that nothing is sent without a valid permit, even if the
+// instance announces its rate limit after it was picked, or the process pauses while it holds a
+// permit.
 func TestPermitCheckedBeforeSend(t *testing.T) {
 	s := newLimitFixture(t)
 	g := New(Settings{RetryWindow: time.Second}, s.node, newScheduler(), metrics.NewSet(), zerolog.Nop())
--- a/gateway/pick.go
+++ b/gateway/pick.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// queueStep is how often a waiting request looks for a place.
+	// queuePollInterval is how often a queued request looks for a group with capacity.
 	queuePollInterval = 20 * time.Millisecond
-	// queuePart is the part of its aim that a request waits for a place, so
-	// that a refusal comes early enough to be made good elsewhere.
+	// queueFraction is the part of its latency target for which a request is queued: a refusal must
+	// be early enough for the caller to succeed elsewhere.
 	queueFraction = 0.22
 )
 
-// look returns the best group that was not tried, if there is one, and whether it
-// has a place. Of a group whose head names a limit it then has a permit.
+// findGroup returns the best group that was not tried, if any, and whether it has capacity. If the
+// group's head has a rate limit, the target includes a permit.
 func (s *stream) findGroup() (dest target, found, free bool) {
 	engine := s.engine()
 	if engine == nil {
@@ -43,7 +43,7 @@
 	return dest, false, false
 }
 
-// lookUnlimited is look for groups whose heads name no limit.
+// findUnlimitedGroup is findGroup for groups whose heads have no rate limit.
 func (s *stream) findUnlimitedGroup() (dest target, free bool) {
 	engine := s.engine()
 	if engine == nil {
@@ -55,7 +55,7 @@
 	return target{group: group}, found && s.g.scheduler.policy.HasCapacity(engine, load)
 }
 
-// heads are those of the groups that serve the stream's model.
+// heads returns the heads of the groups that serve the stream's model.
 func (s *stream) heads() []models.UpstreamInstance {
 	groups := s.g.node.View().Groups[s.head.Model]
 	out := make([]models.UpstreamInstance, len(groups))
@@ -65,9 +65,9 @@
 	return out
 }
 
-// pick waits for a group with a place. A stream that has begun takes any, and
-// waits as long as its caller puts up with a pause. Where no permit can come in
-// time, and no rest ends, it does not wait.
+// awaitGroup waits for a group with capacity. A stream that has begun takes any group, and waits as
+// long as its caller tolerates a pause. It does not wait if no permit and no end of a backoff comes
+// in time.
 func (s *stream) awaitGroup() (target, error) {
 	until := s.started.Add(time.Duration(queueFraction * float64(s.route.Aim)))
 	if s.headSent {
@@ -99,22 +99,22 @@
 	}
 }
 
-// wanted is what a request asks of the group that is picked for it.
+// groupCriteria are a request's criteria for the group that is picked for it.
 type groupCriteria struct {
 	head models.RequestHead
-	// aim is the time in which its first event should come, 0 if every ms counts;
-	// routeAim is that of its route, whatever became of the request.
+	// latencyTarget is the time in which the first event should be sent, 0 if the request is late
+	// already; routeTarget is the latency target of its route in any case.
 	latencyTarget, routeTarget time.Duration
 	tried                      []models.InstanceID
-	// place picks one of several groups or instances for a request that is on trial; it
-	// is nil for others.
+	// trialPlace picks one of several groups or instances for a request on trial; it is nil for
+	// others.
 	trialPlace func(places int) int
-	// unlimited tells that only groups are wanted whose heads name no limit.
+	// unlimitedOnly excludes groups whose heads have a rate limit.
 	unlimitedOnly bool
 }
 
-// wants tells what the stream asks of its next group. One that is moved is late
-// already, wherever it goes on.
+// criteria returns the stream's criteria for its next group. After a failover the stream is late
+// already, wherever it continues.
 func (s *stream) criteria() groupCriteria {
 	criteria := groupCriteria{head: s.head, latencyTarget: s.route.Aim, routeTarget: s.route.Aim, tried: s.tried, trialPlace: s.trialPlace()}
 	if len(s.tried) > 0 {
@@ -123,8 +123,8 @@
 	return criteria
 }
 
-// pickGroup returns a group that was not tried and that answers soon, and how
-// many requests it has.
+// pickGroup returns a group that was not tried and is expected to answer soon, and how many
+// requests it has.
 func (s *scheduler) pickGroup(node Node, engine *models.EngineProfile, criteria groupCriteria) (cluster.Group, int, bool) {
 	head, tried := criteria.head, criteria.tried
 	s.mu.Lock()
@@ -144,7 +144,7 @@
 	}
 	req := placement.Request{PromptTokens: head.PromptTokens, LatencyTarget: criteria.latencyTarget, RouteTarget: criteria.routeTarget, Displaced: 1}
 	for _, id := range tried {
-		// All that are there move as well.
+		// Its other requests fail over as well.
 		req.Displaced = max(req.Displaced, s.totalLoadLocked(node, id).Requests)
 	}
 	staleness := placement.Staleness{Age: view.LoadsAge(), Daemons: view.Sharers(), RequestRate: s.arrivals[head.Model].decayed(time.Now())}
@@ -152,8 +152,8 @@
 	return groups[index], candidates[index].Requests, true
 }
 
-// apart picks a group for a request that is on trial: its own, or the next one that has a
-// place.
+// pickIsolated picks a group for a request on trial: the one that trialPlace names, or the next one
+// with capacity.
 func (s *scheduler) pickIsolated(engine *models.EngineProfile, groups []cluster.Group, candidates []placement.Candidate, trialPlace func(int) int) int {
 	order := make([]int, len(groups))
 	for i := range order {
@@ -170,7 +170,7 @@
 	return order[first]
 }
 
-// candidate is what is known of a group. The balance must be locked.
+// candidate returns what is known of a group. The scheduler must be locked.
 func (s *scheduler) candidate(node Node, g cluster.Group) placement.Candidate {
 	load := s.totalLoadLocked(node, g.Head.ID)
 	return placement.Candidate{
@@ -178,7 +178,7 @@
 	}
 }
 
-// eligible are the groups that were not tried and are not left alone. The balance must be
+// eligible returns the groups that were not tried and are not excluded. The scheduler must be
 // locked.
 func (s *scheduler) eligible(node Node, groups []cluster.Group, criteria groupCriteria, now time.Time) []cluster.Group {
 	return slices.DeleteFunc(slices.Clone(groups), func(g cluster.Group) bool {
@@ -187,9 +187,9 @@
 	})
 }
 
-// pickInstance returns the instance of a plain service with the fewest
-// requests that was not tried, of equals one in this daemon's zone. Failures of
-// late, and rests that others were asked for, count as requests.
+// pickInstance returns the instance of a plain service with the fewest requests that was not tried;
+// a tie goes to this daemon's zone. Recent failures, and backoffs that other daemons were asked
+// for, count as requests.
 func (s *scheduler) pickInstance(node Node, service models.ServiceName, tried []models.InstanceID) (models.UpstreamInstance, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/pick_test.go
+++ b/gateway/pick_test.go
@@ -12,13 +12,13 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// idlePeers are beliefs in which other daemons have no requests.
+// idlePeersNode is a fakeNode whose other daemons have no requests.
 type idlePeersNode struct{ *fakeNode }
 
 func (idlePeersNode) PeersLoad(models.InstanceID) cluster.Load { return cluster.Load{} }
 
-// pickBeliefs are beliefs with three groups of one model, one of them in the
-// daemon's zone, and as many instances of a plain service.
+// newPickNode returns a node with three groups of one model, each in its own zone, and as many
+// instances of a plain service.
 func newPickNode() idlePeersNode {
 	view := &cluster.View{Groups: map[models.ModelName][]cluster.Group{}, Services: map[models.ServiceName][]models.UpstreamInstance{}}
 	for _, zone := range []models.Zone{"a", "b", "c"} {
@@ -29,9 +29,9 @@
 	return idlePeersNode{&fakeNode{view: view, clock: timer.New(time.Now())}}
 }
 
-// TestNearestOfEquals checks that of equal groups and instances one in the
-// daemon's own zone is picked, a less busy instance elsewhere before that, and a
-// group elsewhere if it answers sooner by a fifth of the aim.
+// TestPrefersOwnZone checks that of equal groups and instances the one in the daemon's own zone is
+// picked, that a less loaded instance in another zone is preferred to it, and so is a group in
+// another zone if it answers sooner by a fifth of the latency target.
 func TestPrefersOwnZone(t *testing.T) {
 	c := qt.New(t)
 	b := newScheduler()
@@ -52,19 +52,18 @@
 		c.Assert(group(200*time.Millisecond), qt.Equals, models.InstanceID("b"))
 		c.Assert(instance(), qt.Equals, models.InstanceID("b"))
 	}
-	// 52 ms later than the others.
+	// The group in the own zone now answers 52 ms later than the others.
 	b.addLoad("b", 4, 2000)
 	for range 20 {
 		c.Assert(group(200*time.Millisecond), qt.Not(qt.Equals), models.InstanceID("b"))
 		c.Assert(group(0), qt.Not(qt.Equals), models.InstanceID("b"))
-		c.Assert(group(300*time.Millisecond), qt.Equals, models.InstanceID("b"), qt.Commentf("a fifth of the aim is more"))
+		c.Assert(group(300*time.Millisecond), qt.Equals, models.InstanceID("b"), qt.Commentf("52 ms is less than a fifth of the latency target"))
 		c.Assert(instance(), qt.Not(qt.Equals), models.InstanceID("b"))
 	}
 }
 
-// TestMovedStreamsScatter checks that streams which are moved at the same
-// moment do not all go to the group that was the least busy one: six
-// prompts met there and were read one after the other.
+// TestFailoverSpreadsStreams checks that streams which fail over at the same moment do not all pick
+// the least loaded group. Six prompts were once prefilled one after the other at such a group.
 func TestFailoverSpreadsStreams(t *testing.T) {
 	c := qt.New(t)
 	b := newScheduler()
@@ -87,16 +86,16 @@
 	}
 	c.Assert(picked, qt.HasLen, 3)
 
-	// Nine prompts of 30 ms: two groups have one to read already. In a play
-	// half of the streams met at the third.
+	// Nine prompts of 30 ms, while two groups have one prompt to prefill already. Half of the
+	// streams were once placed on the third group.
 	b.addLoad("b", 0, 1400)
 	b.addLoad("c", 0, 1400)
 	picked = pick("lost")
 	c.Check(picked["a"] > 90 && picked["a"] < 160, qt.IsTrue, qt.Commentf("%v", picked))
 	c.Check(picked["b"] > 50 && picked["c"] > 50, qt.IsTrue, qt.Commentf("%v", picked))
 
-	// Among many daemons a request that comes at the same moment elsewhere is
-	// reckoned with: in a play 12,000 tokens met at one of eight groups.
+	// With many daemons, requests that other daemons place at the same moment count as well:
+	// prompts of 12,000 tokens were once placed on one of eight groups.
 	many := newPickNode()
 	many.view.Arranged = &membership.Arrangement{Zone: 59}
 	b.addLoad("b", 0, -1400)
@@ -108,17 +107,17 @@
 	c.Check(picked["a"] > 100 && picked["b"] > 100, qt.IsTrue, qt.Commentf("%v", picked))
 	b.addLoad("b", 0, 1400)
 
-	// A group that is later than all others will be takes none, and a request
-	// that is moved alone goes where it is answered first.
+	// A group that stays the slowest in any case gets none, and a request that fails over alone is
+	// sent where it is answered first.
 	b.addLoad("c", 0, 40000)
 	c.Check(pick("lost")["c"], qt.Equals, 0)
 	b.addLoad("lost", -8, 0)
 	c.Check(pick("lost"), qt.DeepEquals, map[models.InstanceID]int{"a": 300})
 }
 
-// TestFailingIsPassedOver checks that an instance which fails requests at once, and
-// so has none, is not taken for the least busy one; that it is tried again after a
-// while, or once it answers; and that it is used if there is no other.
+// TestAvoidsFailingInstance checks that an instance which fails requests at once, and so has none
+// in flight, is not taken for the least loaded one; that it is tried again after a while, or once
+// it answers; and that it is used if there is no other.
 func TestAvoidsFailingInstance(t *testing.T) {
 	c := qt.New(t)
 	b := newScheduler()
@@ -159,8 +158,8 @@
 	c.Assert(group, qt.Equals, models.InstanceID("b"))
 }
 
-// TestFailuresAreOfOneLife checks that what an instance failed before it started again
-// is not held against it.
+// TestRestartForgetsFailures checks that failures before a restart do not count against the
+// instance.
 func TestRestartForgetsFailures(t *testing.T) {
 	c := qt.New(t)
 	b := newScheduler()
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -11,7 +11,7 @@
 	"github.com/lupinkeel/lupinkeel/quarantine"
 )
 
-// standing is what is held against the request, by all that daemons have told each other.
+// standing returns the crashes that all daemons know the request to have caused.
 func (e *exchange) standing() quarantine.Standing {
 	held := e.g.node.Quarantine()
 	if !held.Holds() {
@@ -21,19 +21,19 @@
 }
 
 const (
-	// verdictWait is how long a repeat waits to learn whether the instance that cut the
-	// request off has crashed: the way there and back within a region.
+	// probeWait is how long a retry waits for the probe of the instance that disconnected: a round
+	// trip within a region.
 	probeWait = 20 * time.Millisecond
-	// lastSpared is for how long after a crash requests that were on the instance are kept
-	// from the last one left: others are back by then.
+	// lastInstanceHold is for how long after a crash the requests that were on the instance are not
+	// sent to the last one left: others are back by then.
 	lastInstanceHold = 10 * time.Second
 )
 
-// mayBeSent returns an error if the request is known to crash the instances that run it. It
-// is asked before each send: where each daemon forgot what a request had done one caller
-// ended nineteen instances, and the requests of all others on them. A request that may have
-// crashed an instance just now is not sent to the last one either, which all others need;
-// a stream that its caller has seen the beginning of is, unless it is on trial.
+// checkQuarantine returns an error if the request is known to crash the instances that execute it.
+// It is called before each send: without shared knowledge of crashes, one caller's request crashed
+// nineteen instances and failed all other requests on them. A request that may have just crashed an
+// instance is not sent to the last one either, which all others need. A stream whose beginning the
+// caller has received is, unless it is on trial.
 func (e *exchange) checkQuarantine() error {
 	e.awaitProbe()
 	s := e.standing()
@@ -48,7 +48,7 @@
 	}
 }
 
-// awaitVerdict waits until it is known whether the instance that cut the request off last
+// awaitProbe waits until it is known whether the instance that last disconnected during the request
 // has crashed.
 func (e *exchange) awaitProbe() {
 	probed := e.probed.Load()
@@ -62,8 +62,8 @@
 	}
 }
 
-// choices is how many instances or groups could take the request that are not known to
-// have crashed, to rest, or to leave.
+// countAvailable returns how many instances or groups could take the request that are not known to
+// have crashed, back off or be leaving.
 func (e *exchange) countAvailable() int {
 	v, held := e.g.node.View(), e.g.node.Quarantine()
 	n := 0
@@ -81,7 +81,8 @@
 	return n
 }
 
-// place tells where a request goes that is on trial, nil for others.
+// trialPlace returns the function that places a request on trial: the same instance at all daemons.
+// It is nil for requests that are not on trial.
 func (e *exchange) trialPlace() func(int) int {
 	if !e.standing().OnTrial() {
 		return nil
@@ -89,23 +90,23 @@
 	return func(places int) int { return e.g.node.Quarantine().Place(e.digest(), places) }
 }
 
-// clear takes back what is held against a request that has ended well.
+// clearCrashes clears the crashes of a request that has ended well.
 func (e *exchange) clearCrashes() {
 	if e.standing().Crashes > 0 {
 		e.g.node.Quarantine().EndedWell(e.digest())
 	}
 }
 
-// listQuarantine tells an operator which requests are refused, a line each.
+// listQuarantine lists the quarantined requests for an operator, one per line.
 func (g *Gateway) listQuarantine(w http.ResponseWriter, _ *http.Request) {
 	for d, s := range g.node.Quarantine().Refused() {
-		// An operator who is gone needs no answer.
+		// A write error means that the operator has disconnected.
 		_, _ = fmt.Fprintf(w, "digest=%x crashes=%d age=%s\n", d[:], s.Crashes, time.Since(s.Last).Round(time.Second))
 	}
 }
 
-// releaseQuarantine has a request sent again, whose digest begins with what the path tells,
-// at all daemons. The crashes that were held against it are forgotten.
+// releaseQuarantine releases the request whose digest begins with the path's prefix, at all
+// daemons. Its crashes are forgotten.
 func (g *Gateway) releaseQuarantine(w http.ResponseWriter, r *http.Request) {
 	prefix := r.PathValue("digest")
 	for d := range g.node.Quarantine().Refused() {
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -22,10 +22,10 @@
 "Services":[{"Name":"plain","MaxConnections":10}],"Limits":{"MaxBodyBytes":1000},
 "Tenants":[{"Name":"ws","ApiKeys":["k1","k2"]},{"Name":"other","ApiKeys":["k3"]}]}`
 
-// A request that is held to have crashed three instances is refused at once, without a send
-// and without a word of when to come back, whatever key of its workspace it comes with.
-// Others with the same body, and its workspace with another one, are served. An operator
-// finds it by the digest in the log, and has it sent again.
+// TestQuarantinedRequestRefused checks that a request which is known to have crashed three
+// instances is refused without a send and without a Retry-After, whichever key of its workspace it
+// has. The same body from another workspace, and another body from its workspace, are served. An
+// operator can list it by its digest and release it.
 func TestQuarantinedRequestRefused(t *testing.T) {
 	c := qt.New(t)
 	runs := 0
--- a/gateway/retry_budget.go
+++ b/gateway/retry_budget.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// budgetSteps is into how many steps the budget's window is cut.
+// budgetBuckets is the number of buckets of the budget's window.
 const budgetBuckets = 10
 
-// budget bounds how often requests are sent again, over a sliding window, as
-// a part of the requests that came plus a fixed number. All daemons together
-// may use it, so each takes its share of the fixed number.
+// retryBudget bounds retries over a sliding window to a fraction of the requests plus a fixed
+// number. The fixed number is for all daemons together, so that each uses its share.
 type retryBudget struct {
 	ratio  float64
 	slack  float64
@@ -21,15 +20,15 @@
 	current int64
 }
 
-// budgetStep counts requests, all repeats, and those after sends that were turned away.
+// budgetBucket counts requests, all retries, and the retries of rejected sends.
 type budgetBucket struct{ requests, retries, rejections int }
 
-// budgetPart is the part of the budget that is used, since the daemons'
-// windows and the count of daemons do not agree to the moment.
+// usableFraction is the part of the budget that is used, since the daemons' windows and their
+// counts of daemons differ slightly.
 const usableFraction = 0.7
 
-// turnedAwayPart is the part of the repeats that may follow sends which instances turned
-// away, so that some are left for failures.
+// rejectionFraction is the part of the retries that may follow rejected sends, so that some are
+// left for failures.
 const rejectionFraction = 0.7
 
 func newRetryBudget(ratio, slack float64, window time.Duration) *retryBudget {
@@ -49,15 +48,15 @@
 	return &b.buckets[b.current%int64(len(b.buckets))]
 }
 
-// request counts a request that came.
+// addRequest counts a request.
 func (b *retryBudget) addRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now).requests++
 }
 
-// repeat reports whether a request may be sent once more, and counts it. A daemon that
-// does not know yet how many there are has no share of the fixed number.
+// allowRetry reports whether a request may be sent once more, and counts it. A daemon that does not
+// know yet how many daemons there are has no share of the fixed number.
 func (b *retryBudget) allowRetry(now time.Time, daemons int, rejected bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/retry_budget_test.go
+++ b/gateway/retry_budget_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestRepeatsOfDaemonsThatStart checks that daemons which do not know yet how many there are
-// do not each spend what all may repeat together.
+// TestRetryBudgetWithUnknownDaemonCount checks that daemons which do not know yet how many daemons
+// there are do not each spend the fixed number of retries that is for all together.
 func TestRetryBudgetWithUnknownDaemonCount(t *testing.T) {
 	c := qt.New(t)
 	repeats := func(daemons int) int {
@@ -27,8 +27,8 @@
 	c.Assert(repeats(10), qt.Equals, 21)
 }
 
-// TestTurnedAwayLeaveRepeats checks that requests which instances turn away do not use up the
-// repeats of those that fail.
+// TestRejectionsLeaveRetryBudget checks that retries of rejected requests do not use up the retries
+// of failed ones.
 func TestRejectionsLeaveRetryBudget(t *testing.T) {
 	c := qt.New(t)
 	b := newRetryBudget(0.2, 100, 10*time.Second)
--- a/gateway/scheduler.go
+++ b/gateway/scheduler.go
@@ -12,44 +12,44 @@
 	"github.com/lupinkeel/lupinkeel/placement"
 )
 
-// workSpan is the time over which the load of a model is averaged.
+// averagingPeriod is the time constant of the moving averages of demand and arrivals.
 const averagingPeriod = 4 * time.Second
 
-// balance counts what the daemon has at each instance and picks where the
-// next request goes. It is safe for use by several goroutines.
+// scheduler tracks the daemon's load at each instance and picks where the next request goes. It is
+// safe for concurrent use.
 type scheduler struct {
-	// zone is the daemon's own; it is set before anything is picked.
+	// zone is the daemon's own zone; it is set before anything is picked.
 	zone models.Zone
-	// policy is how groups are chosen.
+	// policy decides how groups are picked.
 	policy placement.Policy
 
 	mu sync.Mutex
-	// random breaks ties, differently at each daemon.
+	// random breaks ties; it is seeded differently at each daemon.
 	random *rand.Rand
 	loads  map[models.InstanceID]cluster.Load
-	// stamps number the changes of each instance's load.
+	// changeSeqs holds the sequence number of the last change of each instance's load.
 	changeSeqs map[models.InstanceID]uint64
 	lastSeq    uint64
 	demand     map[models.ModelName]*decayingRate
-	// arrivals are how many requests of each model come in a second.
+	// arrivals is the number of requests per second for each model.
 	arrivals map[models.ModelName]*decayingRate
-	// moved is when something last came from a group's head.
+	// lastEvents holds when the last event was received from each group's head.
 	lastEvents map[models.InstanceID]time.Time
-	// barred is until when instances that name a limit are left alone.
+	// excludedUntil holds until when rate-limited instances must not be picked.
 	excludedUntil map[models.InstanceID]time.Time
-	// failed is what instances failed of late.
+	// failures holds the recent failures of instances.
 	failures map[models.InstanceID]failureCount
 	pauses   map[models.ModelName]*pauseHistogram
 	changed  chan struct{}
 }
 
-// average is a rate that forgets exponentially.
+// decayingRate is a rate whose past decays exponentially.
 type decayingRate struct {
 	rate    float64
 	updated time.Time
 }
 
-// decayed is the rate now. It may be asked of nil.
+// decayed returns the rate now. It may be called on nil.
 func (a *decayingRate) decayed(now time.Time) float64 {
 	if a == nil {
 		return 0
@@ -66,14 +66,14 @@
 	}
 }
 
-// Loads are what the daemon has at instances.
+// Loads returns the daemon's load at instances.
 func (s *scheduler) Loads() map[models.InstanceID]cluster.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.loads)
 }
 
-// LoadsSince are the loads that changed since an earlier call.
+// LoadsSince returns the loads that changed after a sequence number, and the newest number.
 func (s *scheduler) LoadsSince(seen uint64) (map[models.InstanceID]cluster.Load, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +89,7 @@
 // Changed yields after loads have changed.
 func (s *scheduler) Changed() <-chan struct{} { return s.changed }
 
-// Work tells the load of each model, in seconds of a replica group for each
-// second.
+// Work returns the demand for each model, in seconds of a replica group per second.
 func (s *scheduler) Work() map[models.ModelName]float64 {
 	now := time.Now()
 	s.mu.Lock()
@@ -110,7 +109,7 @@
 	addToRate(s.arrivals, model, 1, now)
 }
 
-// addTo adds an amount to the average rate of a model.
+// addToRate adds an amount to the rate of a model.
 func addToRate(averages map[models.ModelName]*decayingRate, model models.ModelName, amount float64, now time.Time) {
 	a := averages[model]
 	if a == nil {
@@ -120,7 +119,7 @@
 	a.rate, a.updated = a.decayed(now)+amount/averagingPeriod.Seconds(), now
 }
 
-// add changes what the daemon has at an instance, and has the others told.
+// addLoad changes the daemon's load at an instance, and wakes the reader of Changed.
 func (s *scheduler) addLoad(id models.InstanceID, requests, prefillTokens int) {
 	s.mu.Lock()
 	load := s.loads[id]
@@ -139,7 +138,7 @@
 	}
 }
 
-// move notes that something came from a head.
+// noteEvent records that an event was received from a head.
 func (s *scheduler) noteEvent(id models.InstanceID) {
 	now := time.Now()
 	s.mu.Lock()
@@ -147,14 +146,14 @@
 	s.lastEvents[id] = now
 }
 
-// still tells for how long nothing came from a head.
+// silence returns the time since the last event from a head.
 func (s *scheduler) silence(id models.InstanceID, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now.Sub(s.lastEvents[id])
 }
 
-// forget drops what is kept of instances that are gone.
+// prune drops the state of instances that are gone.
 func (s *scheduler) prune(known map[models.InstanceID]models.UpstreamInstance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,13 +168,13 @@
 	maps.DeleteFunc(s.changeSeqs, func(id models.InstanceID, _ uint64) bool { return gone(id) })
 }
 
-// loadAt is what an instance has from all daemons. The balance must be locked.
+// totalLoadLocked returns the load of an instance from all daemons. The scheduler must be locked.
 func (s *scheduler) totalLoadLocked(node Node, id models.InstanceID) cluster.Load {
 	own, peers := s.loads[id], node.PeersLoad(id)
 	return cluster.Load{Requests: own.Requests + peers.Requests, Unread: own.Unread + peers.Unread}
 }
 
-// loadNow is loadAt for a balance that is not locked.
+// totalLoad is totalLoadLocked for a scheduler that is not locked.
 func (s *scheduler) totalLoad(node Node, id models.InstanceID) cluster.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/script_test.go
+++ b/gateway/script_test.go
@@ -29,29 +29,28 @@
 	"github.com/lupinkeel/lupinkeel/ratelimit"
 )
 
-// TestScripts runs the archives in testdata. The file "config" holds the
-// configuration as the platform's store does. A file named as an instance
-// holds what that instance does with its connections, step by step:
+// TestScripts runs the archives in testdata. The file "config" holds the configuration as the
+// platform's store does. A file named as an instance holds what that instance does with its
+// connections, step by step:
 //
-//	read            reads a request, and notes what came of it; a connection that ends
-//	                without a byte only asks whether the instance is there
-//	send TEXT       sends a text; \r, \n and \t stand for themselves
-//	head STATUS     sends the head of an answer to the last request, signed
-//	event N         sends the event with this number, as a chunk
-//	end             ends a body that is sent in chunks
+//	read            reads a request and records it; a connection that closes without
+//	                a byte is a probe and is skipped
+//	send TEXT       sends a text; \r, \n and \t are escapes
+//	head STATUS     sends the head of a signed response to the last request
+//	event N         sends the event with this ID, as a chunk
+//	end             ends a chunked body
 //	wait DURATION   waits
-//	close, reset    ends the connection; the next step takes a new one
+//	close, reset    closes the connection; the next step accepts a new one
 //
-// Instances whose names begin with "g" are heads of groups of model "big",
-// the others are of the plain service. "busy" holds lines of an instance and
-// how many requests other daemons have there. "restarted" names instances that are
-// known to have started again since their groups were shown. "ask" holds requests, each a line:
+// Instances whose names begin with "g" are heads of groups of model "big", the others are of the
+// plain service. "busy" holds lines of an instance and how many requests other daemons have there.
+// "restarted" names instances that are known to have restarted since their groups were published.
+// "settle" is how long the gateway reports no stalled groups. "ask" holds requests, one per line:
 //
 //	METHOD PATH [NAME=VALUE...]
 //
-// The answer to HEAD is told with its length.
-//
-// and "want" what came of each, and then what the instances saw.
+// "want" holds the response to each, then the requests that the instances received, then the groups
+// that were reported as stalled. The response to HEAD is shown with its length.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	qt.Assert(t, err, qt.IsNil)
@@ -61,16 +60,16 @@
 	}
 }
 
-// fixedBeliefs are beliefs that do not change while a script runs.
+// fakeNode is a Node that does not change while a script runs.
 type fakeNode struct {
 	view  *cluster.View
 	clock *timer.Service
-	// busy holds how many requests other daemons have at instances.
+	// peerRequests holds how many requests other daemons have at instances.
 	peerRequests map[models.InstanceID]int
 	quarantine   *cluster.Quarantine
-	// limits are none if nil; permit answers asks for permits.
+	// limits are empty if nil; permit answers AskPermit.
 	limits *cluster.Limits
-	// breakers are none if nil.
+	// breakers are closed if nil.
 	breakers *cluster.Breakers
 	permit   func(ratelimit.Ask) (ratelimit.Grant, error)
 
@@ -81,7 +80,7 @@
 func (f *fakeNode) View() *cluster.View   { return f.view }
 func (f *fakeNode) Clock() *timer.Service { return f.clock }
 
-// Quarantine is one in which nothing is held, unless the test has another.
+// Quarantine returns the test's quarantine, or an empty one.
 func (f *fakeNode) Quarantine() *cluster.Quarantine {
 	if f.quarantine == nil {
 		return emptyQuarantine()
@@ -89,7 +88,7 @@
 	return f.quarantine
 }
 
-// Limits are such that no instance names one, unless the test has others.
+// Limits returns the test's limits, or empty ones.
 func (f *fakeNode) Limits() *cluster.Limits {
 	if f.limits == nil {
 		return emptyLimits()
@@ -97,12 +96,12 @@
 	return f.limits
 }
 
-// noLimits are none yet.
+// emptyLimits returns limits of which no instance has announced any.
 func emptyLimits() *cluster.Limits {
 	return cluster.NewLimits("d1", func() {}, metrics.NewSet(), zerolog.Nop())
 }
 
-// Breakers are such that no instance asked for anything, unless the test has others.
+// Breakers returns the test's breakers, or closed ones.
 func (f *fakeNode) Breakers() *cluster.Breakers {
 	if f.breakers == nil {
 		return closedBreakers()
@@ -110,12 +109,12 @@
 	return f.breakers
 }
 
-// noBreakers are none yet.
+// closedBreakers returns breakers that are all closed.
 func closedBreakers() *cluster.Breakers {
 	return cluster.NewBreakers(func() {}, metrics.NewSet(), zerolog.Nop())
 }
 
-// AskPermit has nobody who grants permits, unless the test has.
+// AskPermit calls the test's permit function; without one there is no granter.
 func (f *fakeNode) AskPermit(_ context.Context, _ models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
 	if f.permit == nil {
 		return ratelimit.Grant{}, cluster.ErrNoGranter
@@ -123,14 +122,13 @@
 	return f.permit(ask)
 }
 
-// noQuarantine is one in which nothing is held yet.
+// emptyQuarantine returns a quarantine without any crash.
 func emptyQuarantine() *cluster.Quarantine {
 	return cluster.NewQuarantine(func() {}, metrics.NewSet(), zerolog.Nop())
 }
 
-// PeersLoad makes instances the busier the later their names are, by far more
-// than choices are scattered, so that the order in which they are tried is
-// known.
+// PeersLoad returns a load that grows with the number at the end of the instance's name, by far
+// more than random placement varies, so that the order in which instances are tried is known.
 func (f *fakeNode) PeersLoad(id models.InstanceID) cluster.Load {
 	const tokens = 1_000_000
 	nth := int(id[len(id)-1] - '1')
@@ -143,7 +141,7 @@
 	f.stalled = append(f.stalled, h)
 }
 
-// instance is an upstream that follows steps.
+// fakeInstance is an upstream that executes the steps of a script.
 type fakeInstance struct {
 	name     string
 	l        net.Listener
@@ -242,7 +240,7 @@
 	return out
 }
 
-// askFront sends one request and tells what came of it.
+// sendRequest sends one request and describes the response.
 func sendRequest(url, line string) string {
 	words := strings.Fields(line)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -335,22 +333,21 @@
 		case "reset":
 			err, conn = errors.Join(conn.SetLinger(0), conn.Close()), nil
 		default:
-			return fmt.Errorf("no step %q", verb)
+			return fmt.Errorf("unknown step %q", verb)
 		}
 		if err != nil && verb != "read" && verb != "event" && verb != "end" {
 			return fmt.Errorf("%s: %s: %w", i.name, step, err)
 		}
 	}
 	if conn != nil {
-		// Whether the gateway closes or keeps the connection is its own
-		// affair.
+		// The gateway may close or keep the connection.
 		_ = conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		_, _ = r.ReadByte()
 	}
 	return nil
 }
 
-// readRequest reads a request and notes what an instance is told.
+// readRequest reads a request and records its main fields. It returns the request ID.
 func (i *fakeInstance) readRequest(r *bufio.Reader) (string, error) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -15,8 +15,8 @@
 	"github.com/lupinkeel/lupinkeel/ratelimit"
 )
 
-// send sends the request to an instance, if that takes any and the permit allows it. It is
-// safe for use by several goroutines.
+// send sends the request to an instance, if the instance accepts requests and the permit allows it.
+// It is safe for concurrent use.
 func (e *exchange) send(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, patience h1.Patience) (*h1.Response, error) {
 	if !p.allows(e.g, i) {
 		return nil, errors.Join(errNotExecuted, errNotAdmitted, errNoPermit)
@@ -30,9 +30,9 @@
 	return resp, err
 }
 
-// held returns why the request may not be sent to an instance any more for which it had been
-// admitted. It is asked when the connection is there: the instance may have asked for rest
-// since, or the permit have lapsed.
+// checkAdmission returns why an admitted request may no longer be sent. It is called once there is
+// a connection: meanwhile the instance may have asked for a backoff, or the permit may have
+// expired.
 func (e *exchange) checkAdmission(i models.UpstreamInstance, p permit) error {
 	if err := e.g.node.Breakers().Blocks(i); err != nil {
 		return errors.Join(errNotAdmitted, err)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// sendAdmitted is send for a request that was admitted. It tells what came of it.
+// sendAdmitted is send for an admitted request. It also returns the result for the circuit breaker.
 func (e *exchange) sendAdmitted(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, patience h1.Patience) (*h1.Response, breaker.End, error) {
 	a.Left, a.Instance, a.Workspace = time.Until(e.deadline), i.ID, e.holder.Workspace
 	a.Priority = rank(e.holder.Priority, e.route.Priority)
@@ -73,7 +73,7 @@
 		e.g.scheduler.addSuccess(i.ID)
 		return resp, breaker.Taken, nil
 	}
-	// An instance that turns requests away has few, and would seem the least busy one.
+	// An instance that rejects requests has few of them, and would look the least loaded one.
 	e.g.scheduler.addFailure(i)
 	e.rejections.Add(1)
 	e.g.stats.rejections.Inc()
@@ -81,12 +81,12 @@
 	return nil, breaker.TurnedAway, fmt.Errorf("%w: status %d, at fault %q", errNotExecuted, resp.Status, head.Fault)
 }
 
-// hear notes what an answer told of its instance.
+// recordSignals records the backoff, leaving notice and rate limit in the head of a response.
 func (e *exchange) recordSignals(i models.UpstreamInstance, head models.AnswerHead, status int, sentAt time.Time) {
 	for _, header := range head.Unreadable {
 		e.g.log.Warn().Str("instance", string(i.ID)).Str("request", string(e.head.ID)).Str("header", header).Msg("answer-unreadable")
 	}
-	// Another instance may have taken over the address, and answer so.
+	// Another instance may have taken over the address and sent the response.
 	misdirected := status == http.StatusMisdirectedRequest
 	if !misdirected || !e.g.isAddressShared(i) {
 		e.g.node.Breakers().HeardHead(i.ID, i.Born, head)
@@ -96,7 +96,7 @@
 	}
 }
 
-// isShared reports whether another instance is known to have the address of an instance.
+// isAddressShared reports whether another instance is known to have the same address.
 func (g *Gateway) isAddressShared(i models.UpstreamInstance) bool {
 	for id, other := range g.node.View().All {
 		if id != i.ID && other.Addr == i.Addr {
@@ -106,7 +106,7 @@
 	return false
 }
 
-// hearLimit notes what an answer told of its instance's limit.
+// recordLimit records the rate limit that a response announced.
 func (e *exchange) recordLimit(i models.UpstreamInstance, rate float64, sentAt time.Time) {
 	if math.IsNaN(rate) {
 		e.g.log.Warn().Str("instance", string(i.ID)).Str("request", string(e.head.ID)).Msg("limit-unreadable")
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -21,19 +21,19 @@
 )
 
 const (
-	// maxHeader bounds a request's head where the configuration does not.
+	// maxHeaderBytes bounds the head of a request.
 	maxHeaderBytes    = 64 << 10
 	readHeaderTimeout = 10 * time.Second
 	sweepInterval     = time.Second
-	// stopNotice is how long a stopping daemon goes on taking connections,
-	// until the balancer has asked twice and left it out.
+	// readinessDrain is how long a stopping daemon still accepts connections, so that the load
+	// balancer sees two failed readiness checks and stops sending callers.
 	readinessDrain = 2500 * time.Millisecond
-	// stopMargin is kept for the process to end within StopGrace.
+	// exitMargin is the part of StopGrace that is left for the process to exit.
 	exitMargin = 400 * time.Millisecond
 )
 
-// Run serves until the context ends and then stops as planned: the balancer
-// is told first, requests in flight end, and then the connections close.
+// Run serves until the context ends and then stops gracefully: readiness checks fail first, then
+// requests in flight finish, then connections close.
 func (g *Gateway) Run(ctx context.Context) error {
 	callers := g.newServer(http.HandlerFunc(g.serve))
 	callers.ReadHeaderTimeout, callers.MaxHeaderBytes = readHeaderTimeout, maxHeaderBytes
@@ -62,13 +62,12 @@
 	return errors.Join(err, task.Wait(tasks...))
 }
 
-// newServer returns a server that tells in the log what goes wrong in it.
+// newServer returns a server that logs its errors.
 func (g *Gateway) newServer(h http.Handler) *http.Server {
 	return &http.Server{Handler: h, ErrorLog: log.New(serverErrorLog{g.log}, "", 0)}
 }
 
-// serverErrors writes what a server has to say into the log, panics of handlers
-// among it.
+// serverErrorLog logs what an http.Server reports, such as panics of handlers.
 type serverErrorLog struct{ log zerolog.Logger }
 
 func (s serverErrorLog) Write(text []byte) (int, error) {
@@ -83,8 +82,8 @@
 	return nil
 }
 
-// stop ends as planned: the balancer is told first, so that requests no longer
-// come when the listener closes.
+// shutdown fails the readiness checks, waits until callers are sent elsewhere, and then closes the
+// listener and lets requests in flight finish.
 func (g *Gateway) shutdown(ctx context.Context, callers *http.Server) {
 	began := time.Now()
 	g.stopping.Store(true)
@@ -96,7 +95,7 @@
 	g.log.Info().Int64("cut-off", g.stats.inFlight.Load()).Err(err).Msg("stop-ended")
 }
 
-// sweep drops, once a second, what is kept of instances that are gone.
+// sweep periodically closes idle connections and drops the state of instances that are gone.
 func (g *Gateway) sweep(ctx context.Context) error {
 	ticks := g.node.Clock().Subscribe(sweepInterval)
 	for {
@@ -116,14 +115,14 @@
 	}
 }
 
-// restingPart is the part of the connections that an instance takes which may
-// rest, those of all daemons together, so that there is room for those in use. An
-// estimate.
+// idleConnFraction is the fraction of the connections accepted by an instance that may be idle,
+// over all daemons, so that there is room for those in use. An estimate.
 const idleConnFraction = 0.5
 
-// restingConns is how many connections to each instance may rest: this daemon's
-// share of what the instance takes. Of a share below one some daemons keep one
-// connection, others to other instances, so that all together keep to their part.
+// idleConnLimits returns how many idle connections to keep per instance address: this daemon's
+// share of what the instance accepts. If the share is below one, some daemons keep one connection,
+// chosen by a hash that differs between instances, so that all daemons together stay within the
+// fraction.
 func idleConnLimits(v *cluster.View, self netip.AddrPort) map[netip.AddrPort]int {
 	limits := make(map[netip.AddrPort]int, len(v.All))
 	for _, i := range v.All {
@@ -142,7 +141,7 @@
 	return limits
 }
 
-// lot is a number from 0 to 1 that is a daemon's own for each instance.
+// hashFraction returns a number from 0 to 1 that is stable for a daemon and an instance.
 func hashFraction(daemon, instance netip.AddrPort) float64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s %s", daemon, instance)
@@ -165,14 +164,14 @@
 	return mux
 }
 
-// serveReady tells the balancer whether to send callers here.
+// serveReady answers the load balancer's readiness check.
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if g.stopping.Load() || !g.isCurrent(g.node.View(), g.cfg.KeysBound) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// current reports whether the configuration was the newest within the bound.
+// isCurrent reports whether the configuration was proven to be the newest within the bound.
 func (g *Gateway) isCurrent(v *cluster.View, bound time.Duration) bool {
 	return v.Routing != nil && g.node.Clock().Since(v.Proven) < bound
 }
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -11,10 +11,10 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestRestingConns checks that the connections which all daemons keep to an
-// instance leave room below the number that it takes. With 90 daemons and 120
-// connections instances reset 259 that were beyond it; with 300 daemons and 110 those
-// that rested alone were more than twice as many.
+// TestIdleConnLimits checks that the idle connections which all daemons keep to an instance leave
+// room below the number that it accepts. With 90 daemons and a limit of 120, instances reset 259
+// connections beyond it; with 300 daemons and a limit of 110, the idle ones alone were more than
+// twice as many.
 func TestIdleConnLimits(t *testing.T) {
 	c := qt.New(t)
 	addr := netip.MustParseAddrPort("10.0.0.1:80")
@@ -34,7 +34,7 @@
 		for self := range test.daemons {
 			sum += limit(test.takes, test.daemons, self)
 		}
-		// A fifth more than their part: who keeps one is by chance.
+		// A fifth more than the fraction: which daemons keep one connection is random.
 		c.Assert(float64(sum) <= 1.2*idleConnFraction*float64(test.takes), qt.IsTrue, qt.Commentf("%d of %v", sum, test))
 		c.Assert(sum > 0, qt.IsTrue)
 	}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -14,30 +14,30 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// spareSends is how often a request may be sent beyond its attempts to
-// instances that turn out not to run it.
+// extraSends is how many sends a request may make beyond its attempts, to instances that turn out
+// not to execute it.
 const extraSends = 3
 
 var errEventGap = errors.New("an event is missing")
 
-// stream passes the events of a stream on as they come, and goes on at
-// another group when one fails or stands still and the stream may be resumed.
+// stream forwards the events of a stream as they arrive, and continues at another group if one
+// fails or stalls and the stream may be resumed.
 type stream struct {
 	*exchange
 	ctx context.Context
-	// last is the newest event that the caller has, if begun.
+	// lastID is the ID of the last event that the caller has, if hasLast.
 	lastID  int64
 	hasLast bool
-	// moved is when the last event went out.
+	// lastEvent is when the last event was sent to the caller.
 	lastEvent time.Time
-	// runs counts the runs that were begun and not refused unrun.
+	// attempts counts the attempts that were started and not rejected.
 	attempts int
 	current  *streamAttempt
 	hedge    *hedge
 	flush    func() error
 }
 
-// stream sends a request to a group and passes its events on.
+// serveStream sends a request to a group and forwards its events.
 func (e *exchange) serveStream(ctx context.Context) error {
 	e.g.budget.addRequest(e.started)
 	e.addDemand()
@@ -54,7 +54,7 @@
 	return s.relay()
 }
 
-// begin begins a run that takes the place of the former one.
+// startAttempt starts an attempt that replaces the current one.
 func (s *stream) startAttempt(dest target) {
 	s.attempts++
 	s.current = s.newAttempt(dest)
@@ -71,7 +71,7 @@
 	}
 }
 
-// run passes events on until the stream ends.
+// relay forwards events until the stream ends.
 func (s *stream) relay() error {
 	for {
 		event, err := s.current.next()
@@ -91,8 +91,7 @@
 		default:
 			err = s.failOver(err)
 			if errors.Is(err, errFailureResponse) {
-				// No other group takes the stream: the caller gets what the
-				// instance said.
+				// No other group takes the stream: the caller gets the failure response.
 				return s.forwardFailure(s.current.response)
 			}
 			if err != nil {
@@ -102,11 +101,11 @@
 	}
 }
 
-// goOn has the stream go on elsewhere after its run failed with the error,
-// which is returned if it can't.
+// failOver continues the stream at another group after its attempt failed. It returns the cause if
+// that is not possible.
 func (s *stream) failOver(cause error) error {
 	if s.headSent {
-		// Events that were not flushed because others were to follow.
+		// Events may not have been flushed because others were to follow.
 		if err := s.flush(); err != nil {
 			return err
 		}
@@ -118,7 +117,7 @@
 	if s.hedge != nil && s.adoptHedge(cause) {
 		return nil
 	}
-	// What no instance has run may be sent again, whatever the route.
+	// A request that no instance has executed may be sent again on any route.
 	notExecuted := errors.Is(cause, errNotExecuted) && s.attempts == 0 && s.maySend()
 	if !s.mayRetry() && !notExecuted {
 		return cause
@@ -139,8 +138,8 @@
 	return nil
 }
 
-// takeHedge has the hedge, once it has its first event, take the place of a run
-// that failed with the error. It returns false if the hedge failed too.
+// adoptHedge waits for the hedge's first event and makes it the current attempt. It returns false
+// if the hedge failed too.
 func (s *stream) adoptHedge(cause error) bool {
 	h := s.hedge
 	s.hedge = nil
@@ -153,8 +152,8 @@
 	return true
 }
 
-// noteEnd notes that a run ended with an error: one that the instance did not
-// run does not count against the route's attempts.
+// noteFailure records that an attempt failed. A request that the instance did not execute does not
+// count against the route's attempts.
 func (s *stream) noteFailure(err error) {
 	if errors.Is(err, errNotExecuted) {
 		s.attempts--
@@ -163,7 +162,7 @@
 	s.maybeExecuted = true
 }
 
-// switchTo has a hedge's run take the place of the former one.
+// switchTo makes a hedge's attempt the current one.
 func (s *stream) switchTo(a *streamAttempt, cause error) {
 	s.logFailover(a.group, cause)
 	s.current.close()
@@ -172,7 +171,7 @@
 	a.response.Body.SetPatience(s.readTimeout)
 }
 
-// logMove tells that the stream goes on at another group.
+// logFailover logs that the stream continues at another group.
 func (s *stream) logFailover(dest cluster.Group, cause error) {
 	s.g.stats.resumes.Inc()
 	s.g.log.Info().Str("request", string(s.head.ID)).Str("from", string(s.current.group.Key.Name)).Str("to", string(dest.Key.Name)).
@@ -180,25 +179,25 @@
 		Err(cause).Msg("stream-moved")
 }
 
-// engine describes the engine of the stream's service; it may be nil.
+// engine returns the engine profile of the stream's service; it may be nil.
 func (s *stream) engine() *models.EngineProfile {
 	return s.g.node.View().Routing.Services[s.service].Engine
 }
 
-// mayRepeat reports whether the request may be run once more.
+// mayRetry reports whether the request may be executed once more.
 func (s *stream) mayRetry() bool {
 	return s.route.Repeatable() && s.attempts < s.route.Attempts && s.maySend()
 }
 
-// maySend reports whether one more instance may be sent the request.
+// maySend reports whether the request may be sent to one more instance.
 func (s *stream) maySend() bool { return len(s.tried) < s.route.Attempts+extraSends }
 
-// spend takes a repeat from the budget, of a send that was turned away if so.
+// allowRetry takes a retry from the budget.
 func (s *stream) allowRetry(rejected bool) bool {
 	return s.g.budget.allowRetry(time.Now(), s.g.node.View().Daemons, rejected)
 }
 
-// pass passes an event on.
+// forward sends an event to the caller.
 func (s *stream) forward(event sse.Event) error {
 	if !s.headSent {
 		s.writeHead(s.current.response.Status, s.current.response.Header)
@@ -217,7 +216,7 @@
 	return s.flush()
 }
 
-// passFailure passes on an answer that is no stream.
+// forwardFailure forwards a failure response.
 func (s *stream) forwardFailure(answer *h1.Response) error {
 	body, err := readResponse(answer)
 	if err != nil {
@@ -231,7 +230,7 @@
 	return err
 }
 
-// finishStream ends the answer as whole.
+// finishStream completes the response.
 func (s *stream) finishStream() error {
 	if !s.headSent {
 		s.writeHead(s.current.response.Status, s.current.response.Header)
@@ -239,13 +238,13 @@
 	return nil
 }
 
-// check refuses an event that does not follow the last one.
+// checkSequence returns an error for an event that does not follow the last one.
 func (s *stream) checkSequence(event sse.Event) error {
 	if !event.HasID {
 		return nil
 	}
 	if s.hasLast && event.ID != s.lastID+1 {
-		return fmt.Errorf("%w: %w: %d follows %d", errMaybeExecuted, errEventGap, event.ID, s.lastID)
+		return fmt.Errorf("%w: %w: got event %d after %d", errMaybeExecuted, errEventGap, event.ID, s.lastID)
 	}
 	s.lastID, s.hasLast = event.ID, true
 	return nil
--- a/gateway/unary.go
+++ b/gateway/unary.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// maxAnswer bounds an answer that is passed on whole, in bytes.
+	// maxResponseBytes bounds a response that is buffered before it is forwarded.
 	maxResponseBytes = 16 << 20
-	// slowFactor is after how many times its aim a repeatable request is
-	// sent to another instance.
+	// slowTimeoutFactor is how many times its latency target a repeatable request waits before it
+	// is sent to another instance.
 	slowTimeoutFactor = 1.5
-	// slowLeast is the least time after which it is.
+	// minSlowTimeout is the shortest such wait.
 	minSlowTimeout = 150 * time.Millisecond
 )
 
 var (
-	errResponseTooLong = errors.New("the answer is too long")
-	errUnsigned        = errors.New("the answer is not signed")
-	errSlow            = errors.New("the instance is slow")
+	errResponseTooLong = errors.New("the response is too long")
+	errUnsigned        = errors.New("the response is not signed")
+	errSlow            = errors.New("the instance exceeded the slow-request timeout")
 )
 
-// unary sends a request to an instance of a plain service and passes the
-// answer on once it is whole.
+// serveUnary sends a request to an instance of a plain service and forwards the response once it is
+// complete.
 func (e *exchange) serveUnary(ctx context.Context) error {
 	e.g.budget.addRequest(e.started)
 	var err error
@@ -45,7 +45,7 @@
 		err = e.attemptUnary(ctx, i, p, last)
 		e.noteDisconnect(ctx, i, err)
 		if errors.Is(err, errNotAdmitted) {
-			// Nothing was sent; it is picked for anew.
+			// Nothing was sent; another instance is picked.
 			e.unmarkTried(i)
 			continue
 		}
@@ -76,8 +76,7 @@
 	return e.g.scheduler.pickInstance(e.g.node, e.service, e.tried)
 }
 
-// tryUnary makes one try. A failure that the instance gave is passed on only
-// in the last one.
+// attemptUnary makes one attempt. A failure response is forwarded only in the last one.
 func (e *exchange) attemptUnary(ctx context.Context, i models.UpstreamInstance, p permit, last bool) error {
 	e.markTried(i)
 	e.g.scheduler.addLoad(i.ID, 1, 0)
@@ -107,9 +106,8 @@
 	return err
 }
 
-// setLength tells the caller the length of the body. The instance's own length
-// concerns its connection, but in an answer to HEAD it is that of the body which
-// is left out.
+// setContentLength sets the Content-Length for the caller. The instance's own header describes its
+// connection, except in a response to HEAD, where it is the length of the omitted body.
 func (e *exchange) setContentLength(resp *h1.Response, body []byte) {
 	length := strconv.Itoa(len(body))
 	if e.r.Method == http.MethodHead {
@@ -120,7 +118,7 @@
 	}
 }
 
-// readWhole reads an answer's body to its end.
+// readResponse reads a response's body to its end.
 func readResponse(resp *h1.Response) ([]byte, error) {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
