--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -1,9 +1,9 @@
-// Package breaker keeps what instances ask of a daemon in their answers: to be left alone
-// for a while, or for good, since they are about to leave. It is a circuit breaker for each
-// instance that opens as the instance itself asks: open while the instance rests, half-open
-// afterwards, when a few requests try it, and closed once those were answered.
+// Package breaker implements circuit breakers that instances open themselves: an instance can ask
+// in its responses for a backoff, or announce that it is leaving. A breaker is open during the
+// backoff, half-open afterwards, when a few requests probe the instance, and closed once enough
+// probes succeeded.
 //
-// The package is pure: it does no input or output, and the time and randomness are handed in.
+// The package is pure: it does no input or output, and the time and randomness are passed in.
 package breaker
 
 import (
@@ -14,46 +14,46 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Reasons for which nothing may be sent to an instance now.
+// Reasons why no request may be sent to an instance now.
 var (
 	ErrResting = errors.New("the instance asked for rest")
-	// ErrTried: as many requests as may try the instance after its rest are on their way.
+	// ErrProbing: as many requests as may probe the instance after its backoff are in flight.
 	ErrProbing = errors.New("the instance is being tried after its rest")
 	ErrLeaving = errors.New("the instance is about to leave")
 )
 
 const (
-	// spreadPart is the part of a rest over which daemons spread their return, so that they
-	// do not all come in the same moment.
+	// jitterFraction is the part of a backoff by which it is extended at random, so that daemons do
+	// not all return at the same moment.
 	jitterFraction = 0.25
-	// closedAfter is how many requests must be answered until the breaker closes. One more
-	// may be on its way for each of them.
+	// probesToClose is how many probes must succeed for the breaker to close. For each that
+	// succeeds, one more may be in flight.
 	probesToClose = 8
-	// retryPause is the pause after a request that tried the instance was turned away. It
-	// doubles each time, up to mostRetryPause.
+	// initialRejectBackoff is the backoff after a rejected probe. It doubles with each further one,
+	// up to maxRejectBackoff.
 	initialRejectBackoff = 250 * time.Millisecond
 	maxRejectBackoff     = 4 * time.Second
-	// triedPause is when to look again at an instance that is being tried.
+	// probePollInterval is when to check again an instance that is being probed.
 	probePollInterval = 50 * time.Millisecond
-	// tellPart is the part of a rest by which it must outlast what other daemons were told,
-	// so that they are told again.
+	// broadcastFraction is the part of a backoff by which it must outlast the last one that was
+	// broadcast to be broadcast as well.
 	broadcastFraction = 0.5
-	// kept is for how long a rest is remembered after its end, leavingKept how long it is
-	// that an instance leaves which is not listed any more: longer than any copy of the
-	// store is old.
+	// backoffRetention is for how long a backoff is remembered after its end. leavingRetention is
+	// for how long an unlisted instance is remembered as leaving: longer than any copy of the store
+	// is old.
 	backoffRetention = time.Minute
 	leavingRetention = 10 * time.Minute
 )
 
-// Signal is what the head of one answer said of its instance.
+// Signal is what an instance asked for in the head of one response.
 type Signal struct {
 	Instance models.InstanceID
-	// Born tells lives of one id apart; it is zero where births are not told.
+	// Born distinguishes incarnations of an instance with the same ID; it is zero if the start time
+	// is unknown.
 	Born time.Time
-	// Heard is when the head came.
+	// Heard is when the head was received.
 	Heard time.Time
-	// Rest is for how long the instance wants nothing from the daemon that it answered, 0
-	// if it did not say.
+	// Rest is the backoff that the instance asks of the daemon that it answered, 0 for none.
 	Rest time.Duration
 	// Leaving tells that the instance is about to leave.
 	Leaving bool
@@ -62,41 +62,40 @@
 // IsEmpty reports whether the instance asked for nothing.
 func (s Signal) IsEmpty() bool { return s.Rest <= 0 && !s.Leaving }
 
-// Source tells who heard of something; the empty one is this daemon itself.
+// Source is the daemon that received a signal from an instance; the empty one is this daemon.
 type Source = models.DaemonID
 
-// Breakers holds what is known of instances that asked for something. It is not safe for use
-// by several goroutines.
+// Breakers holds the circuit breakers of instances. It is not safe for concurrent use.
 type Breakers struct {
 	random   *rand.Rand
 	breakers map[models.InstanceID]*breaker
-	// changes numbers what is learned, so that others can be told what is new.
+	// lastChange is the number of the last change that is to be broadcast.
 	lastChange uint64
 }
 
-// breaker is what one life of an instance asked for.
+// breaker is the circuit breaker of one incarnation of an instance.
 type breaker struct {
 	instance models.UpstreamInstance
-	// began and until are the times of this daemon's rest, zero if there was none; reopens is
-	// when the instance may be tried.
-	began, until, reopens time.Time
-	// trying counts the requests on their way that try the instance, answered those that
-	// were answered since the rest, refused those turned away one after the other.
-	probesInFlight, probesTaken, rejections int
-	// rests tells that the end of the rest was not told yet, reported that the instance was
-	// asked for a report during the rest.
+	// started and until bound this daemon's backoff, zero if there was none; probesFrom is when the
+	// instance may be probed.
+	started, until, probesFrom time.Time
+	// probesInFlight counts the probes in flight, probesSucceeded those that succeeded since the
+	// backoff, rejections those that were rejected in a row.
+	probesInFlight, probesSucceeded, rejections int
+	// endUnreported tells that Prune has not returned the end of the backoff yet, reportRequested
+	// that the instance was asked for a report during the backoff.
 	endUnreported, reportRequested bool
-	// elsewhere is the last end of a rest that other daemons know of, told how long the rest
-	// was.
+	// broadcastUntil is the latest end of a backoff that other daemons know of, broadcastBackoff
+	// the length of that backoff.
 	broadcastUntil   time.Time
 	broadcastBackoff time.Duration
-	// leaving is when the instance first said that it leaves, zero if it did not.
+	// leaving is when the instance first announced that it leaves, zero if it did not.
 	leaving time.Time
-	// restNews and leavingNews are the last changes of what others are to be told.
+	// backoffChange and leavingChange are the last changes to be broadcast.
 	backoffChange, leavingChange sourcedChange
 }
 
-// news is a change that others are to be told of, and who told it.
+// sourcedChange is the number of a change to be broadcast, and its source.
 type sourcedChange struct {
 	number uint64
 	source Source
@@ -109,84 +108,84 @@
 
 // Change is what a signal changed.
 type Change struct {
-	// Began tells that a rest began, Lengthened that it became longer.
+	// Began tells that a backoff began, Lengthened that it was extended.
 	Began, Lengthened bool
-	// Leaving tells that the instance was not known to leave.
+	// Leaving tells that the instance is newly known to leave.
 	Leaving bool
-	// Tell tells that other daemons are to be told.
+	// Tell tells that the signal is to be broadcast.
 	Tell bool
 }
 
-// Note takes in a signal that this daemon heard, or that another one told. A rest binds only
-// the daemon that was asked for it; others take it for a sign that the instance is busy. The
-// later end of two rests holds, whichever is heard of first.
+// Note applies a signal that this daemon or another one received from an instance. A backoff binds
+// only the daemon that was asked for it; for others it only means that the instance is busy. Of two
+// backoffs the later end counts, in whichever order they are received.
 func (b *Breakers) Note(s Signal, from Source) Change {
-	k := b.breakers[s.Instance]
-	if s.IsEmpty() || (k != nil && k.instance.LifeOf(s.Born) == models.EarlierLife) {
+	br := b.breakers[s.Instance]
+	if s.IsEmpty() || (br != nil && br.instance.LifeOf(s.Born) == models.EarlierLife) {
 		return Change{}
 	}
-	if k == nil || k.instance.LifeOf(s.Born) == models.LaterLife {
-		k = &breaker{instance: models.UpstreamInstance{ID: s.Instance, Born: s.Born}}
-		b.breakers[s.Instance] = k
+	if br == nil || br.instance.LifeOf(s.Born) == models.LaterLife {
+		br = &breaker{instance: models.UpstreamInstance{ID: s.Instance, Born: s.Born}}
+		b.breakers[s.Instance] = br
 	}
 	var change Change
 	end := s.Heard.Add(s.Rest)
-	if from == "" && s.Rest > 0 && end.After(k.until) {
-		change.Began, change.Lengthened = !s.Heard.Before(k.until), s.Heard.Before(k.until)
-		k.open(s, end, b.jitter(s.Rest))
+	if from == "" && s.Rest > 0 && end.After(br.until) {
+		change.Began, change.Lengthened = !s.Heard.Before(br.until), s.Heard.Before(br.until)
+		br.open(s, end, b.jitter(s.Rest))
 	}
-	if s.Rest > 0 && end.Sub(k.broadcastUntil) > time.Duration(broadcastFraction*float64(s.Rest)) {
-		k.broadcastUntil, k.broadcastBackoff, change.Tell = end, s.Rest, true
-		k.backoffChange = b.nextChange(from)
+	if s.Rest > 0 && end.Sub(br.broadcastUntil) > time.Duration(broadcastFraction*float64(s.Rest)) {
+		br.broadcastUntil, br.broadcastBackoff, change.Tell = end, s.Rest, true
+		br.backoffChange = b.nextChange(from)
 	}
-	if s.Leaving && k.leaving.IsZero() {
-		k.leaving, change.Leaving, change.Tell = s.Heard, true, true
-		k.leavingChange = b.nextChange(from)
+	if s.Leaving && br.leaving.IsZero() {
+		br.leaving, change.Leaving, change.Tell = s.Heard, true, true
+		br.leavingChange = b.nextChange(from)
 	}
 	return change
 }
 
-// newsFrom numbers one more change.
+// nextChange numbers a change.
 func (b *Breakers) nextChange(from Source) sourcedChange {
 	b.lastChange++
 	return sourcedChange{b.lastChange, from}
 }
 
-// spread is a random part of a rest by which its end is put off.
+// jitter returns the random time by which a backoff is extended.
 func (b *Breakers) jitter(backoff time.Duration) time.Duration {
 	return time.Duration(jitterFraction * float64(backoff) * b.random.Float64())
 }
 
-// open begins a rest, or lengthens one.
-func (k *breaker) open(s Signal, end time.Time, jitter time.Duration) {
-	if !s.Heard.Before(k.until) {
-		k.began, k.reportRequested = s.Heard, false
+// open starts or extends a backoff.
+func (br *breaker) open(s Signal, end time.Time, jitter time.Duration) {
+	if !s.Heard.Before(br.until) {
+		br.started, br.reportRequested = s.Heard, false
 	}
-	k.endUnreported = true
-	k.until, k.reopens, k.probesTaken, k.rejections = end, end.Add(jitter), 0, 0
+	br.endUnreported = true
+	br.until, br.probesFrom, br.probesSucceeded, br.rejections = end, end.Add(jitter), 0, 0
 }
 
-// find returns what this life of an instance asked for, nil if nothing.
+// find returns the breaker of this incarnation of an instance, nil if there is none.
 func (b *Breakers) find(i models.UpstreamInstance) *breaker {
-	k := b.breakers[i.ID]
-	if k == nil || i.LifeOf(k.instance.Born) == models.EarlierLife {
+	br := b.breakers[i.ID]
+	if br == nil || i.LifeOf(br.instance.Born) == models.EarlierLife {
 		return nil
 	}
-	return k
+	return br
 }
 
-// isClosed reports whether the instance gets requests as any other.
-func (k *breaker) isClosed() bool { return k.until.IsZero() || k.probesTaken >= probesToClose }
+// isClosed reports whether requests to the instance are not limited.
+func (br *breaker) isClosed() bool { return br.until.IsZero() || br.probesSucceeded >= probesToClose }
 
-// Blocks returns why nothing may be sent to an instance at all, nil if something may.
+// Blocks returns why no request at all may be sent to an instance, nil if some may.
 func (b *Breakers) Blocks(i models.UpstreamInstance, now time.Time) error {
-	k := b.find(i)
+	br := b.find(i)
 	switch {
-	case k == nil:
+	case br == nil:
 		return nil
-	case !k.leaving.IsZero():
+	case !br.leaving.IsZero():
 		return ErrLeaving
-	case !k.isClosed() && now.Before(k.reopens):
+	case !br.isClosed() && now.Before(br.probesFrom):
 		return ErrResting
 	default:
 		return nil
@@ -198,15 +197,15 @@
 	if err := b.Blocks(i, now); err != nil {
 		return err
 	}
-	if k := b.find(i); k != nil && !k.isClosed() && k.probesInFlight > k.probesTaken {
+	if br := b.find(i); br != nil && !br.isClosed() && br.probesInFlight > br.probesSucceeded {
 		return ErrProbing
 	}
 	return nil
 }
 
-// Admission admits one request to an instance. It is to be settled.
+// Admission admits one request to an instance. It must be settled.
 type Admission struct {
-	k *breaker
+	breaker *breaker
 }
 
 // Admit admits a request to an instance, or returns why it may not be sent.
@@ -214,65 +213,66 @@
 	if err := b.Check(i, now); err != nil {
 		return Admission{}, err
 	}
-	k := b.find(i)
-	if k == nil || k.isClosed() {
+	br := b.find(i)
+	if br == nil || br.isClosed() {
 		return Admission{}, nil
 	}
-	k.probesInFlight++
-	return Admission{k}, nil
+	br.probesInFlight++
+	return Admission{br}, nil
 }
 
-// End is what came of a request that was admitted.
+// End is the result of an admitted request.
 type End int
 
-// The ends of requests.
+// Results of admitted requests.
 const (
-	// Unanswered tells nothing of whether the instance takes requests.
+	// Unanswered does not tell whether the instance accepts requests. Taken and TurnedAway are
+	// requests that the instance executed and rejected.
 	Unanswered End = iota
 	Taken
 	TurnedAway
 )
 
-// Settle takes in what came of a request that was admitted.
+// Settle records the result of an admitted request.
 func (b *Breakers) Settle(admission Admission, end End, now time.Time) {
-	k := admission.k
-	if k == nil {
+	br := admission.breaker
+	if br == nil {
 		return
 	}
-	k.probesInFlight--
+	br.probesInFlight--
 	switch {
-	case now.Before(k.reopens):
-		// It was sent before the rest that has begun since.
+	case now.Before(br.probesFrom):
+		// The request was sent before the current backoff was known.
 	case end == Taken:
-		k.probesTaken, k.rejections = k.probesTaken+1, 0
+		br.probesSucceeded, br.rejections = br.probesSucceeded+1, 0
 	case end == TurnedAway:
-		pause := min(maxRejectBackoff, initialRejectBackoff<<min(k.rejections, 10))
-		k.probesTaken, k.rejections = 0, k.rejections+1
-		k.reopens = now.Add(pause + b.jitter(pause))
+		pause := min(maxRejectBackoff, initialRejectBackoff<<min(br.rejections, 10))
+		br.probesSucceeded, br.rejections = 0, br.rejections+1
+		br.probesFrom = now.Add(pause + b.jitter(pause))
 	}
 }
 
-// AdmitReport reports whether an instance may be asked for a report, which it may once in a
-// rest.
+// AdmitReport reports whether an instance may be asked for a report, which is allowed once in a
+// backoff.
 func (b *Breakers) AdmitReport(i models.UpstreamInstance, now time.Time) bool {
-	k := b.find(i)
-	if k == nil || !now.Before(k.until) {
+	br := b.find(i)
+	if br == nil || !now.Before(br.until) {
 		return true
 	}
-	first := !k.reportRequested
-	k.reportRequested = true
+	first := !br.reportRequested
+	br.reportRequested = true
 	return first
 }
 
-// Next is when an instance that gets nothing now may be sent a request again, and since when
-// it gets none. It returns false for one that leaves.
+// Next returns when an instance that gets no requests now may be sent one again, and since when it
+// gets none. It returns false for one that is leaving.
 func (b *Breakers) Next(i models.UpstreamInstance, now time.Time) (next, since time.Time, ok bool) {
 	switch b.Check(i, now) {
 	case ErrResting:
-		k := b.find(i)
-		return k.reopens, k.began, true
+		br := b.find(i)
+		return br.probesFrom, br.started, true
 	case ErrProbing:
-		return now.Add(probePollInterval), b.find(i).began, true
+		return now.Add(probePollInterval), b.find(i).started, true
 	case ErrLeaving:
 		return time.Time{}, time.Time{}, false
 	default:
@@ -280,67 +280,67 @@
 	}
 }
 
-// IsBusy reports whether an instance wants nothing from some daemon, or was not seen to take
-// requests since.
+// IsBusy reports whether an instance asked some daemon for a backoff that lasts, or has not been
+// probed successfully since.
 func (b *Breakers) IsBusy(i models.UpstreamInstance, now time.Time) bool {
-	k := b.find(i)
-	return k != nil && (now.Before(k.broadcastUntil) || !k.isClosed())
+	br := b.find(i)
+	return br != nil && (now.Before(br.broadcastUntil) || !br.isClosed())
 }
 
-// Leaving lists the instances that said that they leave, with when they did.
+// Leaving returns the instances that announced that they leave, with the time of the announcement.
 func (b *Breakers) Leaving() []Signal {
 	var out []Signal
-	for id, k := range b.breakers {
-		if !k.leaving.IsZero() {
-			out = append(out, Signal{Instance: id, Born: k.instance.Born, Heard: k.leaving, Leaving: true})
+	for id, br := range b.breakers {
+		if !br.leaving.IsZero() {
+			out = append(out, Signal{Instance: id, Born: br.instance.Born, Heard: br.leaving, Leaving: true})
 		}
 	}
 	return out
 }
 
-// Since returns what was learned after a change from those sources that are to be told of,
-// and the newest change.
+// Since returns the signals to broadcast of changes after a number, from the sources that include
+// accepts, and the number of the last change.
 func (b *Breakers) Since(seen uint64, include func(Source) bool, now time.Time) ([]Signal, uint64) {
 	var out []Signal
 	isNew := func(n sourcedChange) bool { return n.number > seen && include(n.source) }
-	for id, k := range b.breakers {
-		if isNew(k.leavingChange) {
-			out = append(out, Signal{Instance: id, Born: k.instance.Born, Heard: k.leaving, Leaving: true})
+	for id, br := range b.breakers {
+		if isNew(br.leavingChange) {
+			out = append(out, Signal{Instance: id, Born: br.instance.Born, Heard: br.leaving, Leaving: true})
 		}
-		if isNew(k.backoffChange) && now.Before(k.broadcastUntil) {
-			out = append(out, Signal{Instance: id, Born: k.instance.Born, Heard: k.broadcastUntil.Add(-k.broadcastBackoff), Rest: k.broadcastBackoff})
+		if isNew(br.backoffChange) && now.Before(br.broadcastUntil) {
+			out = append(out, Signal{Instance: id, Born: br.instance.Born, Heard: br.broadcastUntil.Add(-br.broadcastBackoff), Rest: br.broadcastBackoff})
 		}
 	}
 	return out, b.lastChange
 }
 
-// Resting is how many instances want nothing from this daemon.
+// Resting returns how many instances asked this daemon for a backoff that lasts.
 func (b *Breakers) Resting(now time.Time) int {
 	n := 0
-	for _, k := range b.breakers {
-		if now.Before(k.until) {
+	for _, br := range b.breakers {
+		if now.Before(br.until) {
 			n++
 		}
 	}
 	return n
 }
 
-// Prune forgets rests that ended long ago, and instances that left and are not listed any
-// more. It returns those whose rest ended since it was last called.
+// Prune drops backoffs that ended long ago, and instances that left and are no longer listed. It
+// returns the instances whose backoff ended since the last call.
 func (b *Breakers) Prune(listed func(models.InstanceID) bool, now time.Time) []models.InstanceID {
 	var ended []models.InstanceID
-	for id, k := range b.breakers {
-		if k.endUnreported && !now.Before(k.until) {
-			k.endUnreported = false
+	for id, br := range b.breakers {
+		if br.endUnreported && !now.Before(br.until) {
+			br.endUnreported = false
 			ended = append(ended, id)
 		}
-		left := k.leaving.IsZero() || (!listed(id) && now.Sub(k.leaving) > leavingRetention)
-		if left && now.Sub(k.reopens) > backoffRetention && now.Sub(k.broadcastUntil) > backoffRetention && k.probesInFlight == 0 {
+		left := br.leaving.IsZero() || (!listed(id) && now.Sub(br.leaving) > leavingRetention)
+		if left && now.Sub(br.probesFrom) > backoffRetention && now.Sub(br.broadcastUntil) > backoffRetention && br.probesInFlight == 0 {
 			delete(b.breakers, id)
 		}
 	}
 	return ended
 }
 
-// Empty reports whether nothing is known of any instance.
+// Empty reports whether there is no breaker.
 func (b *Breakers) Empty() bool { return len(b.breakers) == 0 }
--- a/breaker/compare_test.go
+++ b/breaker/compare_test.go
@@ -8,36 +8,36 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// simulated are daemons that send requests at random times to instances, part of which turn
-// all away and ask for rest each time.
-type simulated struct {
+// simulated are daemons that send requests at random times to instances, some of which reject all
+// and ask for a backoff each time.
+type simulation struct {
 	daemons, instances int
-	// rate is how many requests a second come to all daemons together.
+	// rate is the number of requests per second for all daemons together.
 	rate float64
 	rest time.Duration
-	// told tells that daemons tell each other of rests, which takes lag.
-	told bool
-	lag  time.Duration
+	// sharing tells that daemons broadcast backoffs, which takes lag.
+	sharing bool
+	lag     time.Duration
 }
 
 const (
-	simulatedFor = 9 * time.Second
-	// shedPart is the part of the instances that turn requests away.
-	shedPart = 0.5
-	// mostTries is how many instances a request may go to.
-	mostTries = 3
+	simulatedTime = 9 * time.Second
+	// rejectingFraction is the part of the instances that reject requests.
+	rejectingFraction = 0.5
+	// maxAttempts is how many instances a request may be sent to.
+	maxAttempts = 3
 )
 
-// onTheWay is a signal on its way to the other daemons.
-type onTheWay struct {
-	at   time.Time
-	from int
-	word Signal
+// broadcast is a signal in flight to the other daemons.
+type broadcast struct {
+	arrives time.Time
+	from    int
+	signal  Signal
 }
 
-// run tells which part of the sends was turned away, and which of the requests was not taken
-// by any instance.
-func (s simulated) run() (turnedAway, lost float64) {
+// run returns the fraction of the sends that were rejected, and of the requests that no instance
+// executed.
+func (s simulation) run() (rejectedFraction, failedFraction float64) {
 	random := rand.New(rand.NewPCG(47, uint64(s.daemons)))
 	known := make([]*Breakers, s.daemons)
 	for d := range known {
@@ -47,14 +47,14 @@
 	for n := range all {
 		all[n].ID = models.InstanceID(rune('A' + n))
 	}
-	var queue []onTheWay
-	sends, sheds, requests, failed := 0, 0, 0, 0
+	var queue []broadcast
+	sends, rejected, requests, failed := 0, 0, 0, 0
 	pause := time.Duration(float64(time.Second) / s.rate)
-	for now := epoch; now.Before(epoch.Add(simulatedFor)); now = now.Add(pause) {
-		for len(queue) > 0 && !queue[0].at.After(now) {
+	for now := epoch; now.Before(epoch.Add(simulatedTime)); now = now.Add(pause) {
+		for len(queue) > 0 && !queue[0].arrives.After(now) {
 			for d, b := range known {
 				if d != queue[0].from {
-					b.Note(queue[0].word, "other")
+					b.Note(queue[0].signal, "other")
 				}
 			}
 			queue = queue[1:]
@@ -64,34 +64,34 @@
 		tried := map[models.InstanceID]bool{}
 		for taken := false; !taken; {
 			i, found := pickIdle(known[d], all, tried, now, random)
-			if !found || len(tried) == mostTries {
+			if !found || len(tried) == maxAttempts {
 				failed++
 				break
 			}
 			tried[i.ID] = true
-			pass, err := known[d].Admit(i, now)
+			admission, err := known[d].Admit(i, now)
 			if err != nil {
 				continue
 			}
 			sends++
-			if float64(i.ID[0]-'A') >= shedPart*float64(s.instances) {
-				known[d].Settle(pass, Taken, now)
+			if float64(i.ID[0]-'A') >= rejectingFraction*float64(s.instances) {
+				known[d].Settle(admission, Taken, now)
 				taken = true
 				continue
 			}
-			sheds++
-			w := Signal{Instance: i.ID, Heard: now, Rest: s.rest}
-			if change := known[d].Note(w, ""); s.told && change.Tell {
-				queue = append(queue, onTheWay{now.Add(s.lag), d, w})
+			rejected++
+			signal := Signal{Instance: i.ID, Heard: now, Rest: s.rest}
+			if change := known[d].Note(signal, ""); s.sharing && change.Tell {
+				queue = append(queue, broadcast{now.Add(s.lag), d, signal})
 			}
-			known[d].Settle(pass, TurnedAway, now)
+			known[d].Settle(admission, TurnedAway, now)
 		}
 	}
-	return float64(sheds) / float64(sends), float64(failed) / float64(requests)
+	return float64(rejected) / float64(sends), float64(failed) / float64(requests)
 }
 
 // pickIdle picks one of the instances that may be sent a request, at random; those that asked
-// another daemon for rest come last.
+// another daemon for a backoff come last.
 func pickIdle(b *Breakers, all []models.UpstreamInstance, tried map[models.InstanceID]bool, now time.Time, random *rand.Rand) (models.UpstreamInstance, bool) {
 	var best []models.UpstreamInstance
 	bestBusy := true
@@ -113,28 +113,28 @@
 	return best[random.IntN(len(best))], true
 }
 
-// TestTellingOfRests compares daemons that each find out for themselves which instances want
-// rest with daemons that tell each other.
-func TestTellingOfRests(t *testing.T) {
+// TestBroadcastSavesRejections compares daemons that each find out for themselves which instances
+// want a backoff with daemons that broadcast it.
+func TestBroadcastSavesRejections(t *testing.T) {
 	for _, test := range []struct {
-		simulated
-		// most is the part of the sends turned away that may be left.
+		simulation
+		// most bounds the rejected sends with broadcasts, as a fraction of those without.
 		most float64
 	}{
-		{simulated{daemons: 9, instances: 20, rate: 150, rest: 3 * time.Second, lag: 5 * time.Millisecond}, 0.5},
-		// One request tries each instance after each rest either way.
-		{simulated{daemons: 9, instances: 20, rate: 150, rest: time.Second, lag: 5 * time.Millisecond}, 1},
-		{simulated{daemons: 60, instances: 60, rate: 500, rest: 3 * time.Second, lag: 50 * time.Millisecond}, 0.25},
-		{simulated{daemons: 300, instances: 100, rate: 1900, rest: 3 * time.Second, lag: 100 * time.Millisecond}, 0.25},
+		{simulation{daemons: 9, instances: 20, rate: 150, rest: 3 * time.Second, lag: 5 * time.Millisecond}, 0.5},
+		// Each daemon probes each instance after each backoff either way.
+		{simulation{daemons: 9, instances: 20, rate: 150, rest: time.Second, lag: 5 * time.Millisecond}, 1},
+		{simulation{daemons: 60, instances: 60, rate: 500, rest: 3 * time.Second, lag: 50 * time.Millisecond}, 0.25},
+		{simulation{daemons: 300, instances: 100, rate: 1900, rest: 3 * time.Second, lag: 100 * time.Millisecond}, 0.25},
 	} {
-		s := test.simulated
-		alone, lostAlone := s.run()
-		s.told = true
-		told, lostTold := s.run()
-		t.Logf("%d daemons, %d instances, %.0f/s, rest %v: turned away %.3f of sends alone, %.3f told; not taken %.3f, %.3f",
-			s.daemons, s.instances, s.rate, s.rest, alone, told, lostAlone, lostTold)
-		if told > test.most*alone {
-			t.Errorf("telling saves too little: %.3f of sends turned away, %.3f without", told, alone)
+		s := test.simulation
+		aloneRejected, aloneFailed := s.run()
+		s.sharing = true
+		sharedRejected, sharedFailed := s.run()
+		t.Logf("%d daemons, %d instances, %.0f/s, backoff %v: fraction of sends rejected %.3f alone, %.3f with broadcasts; of requests not executed %.3f, %.3f",
+			s.daemons, s.instances, s.rate, s.rest, aloneRejected, sharedRejected, aloneFailed, sharedFailed)
+		if sharedRejected > test.most*aloneRejected {
+			t.Errorf("broadcasts save too little: %.3f of sends rejected, %.3f without", sharedRejected, aloneRejected)
 		}
 	}
 }
--- a/breaker/property_test.go
+++ b/breaker/property_test.go
@@ -11,17 +11,17 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestRestIsKept checks, over made-up histories, that nothing is admitted while any rest that
-// was heard of lasts, in whatever order answers came, nor ever to an instance that leaves; and
-// that an instance which takes requests again gets them.
-func TestRestIsKept(t *testing.T) {
+// TestBackoffIsHonored checks, over random histories, that no request is admitted during a backoff
+// that was received, in whatever order the responses arrive, nor ever to an instance that is
+// leaving; and that an instance which executes requests again gets them.
+func TestBackoffIsHonored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := epoch
 		b := New(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		i := models.UpstreamInstance{ID: "i"}
-		var ends time.Time
+		var until time.Time
 		leaves := false
-		var under []Admission
+		var inFlight []Admission
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
@@ -30,8 +30,8 @@
 				rest := time.Duration(rapid.IntRange(1, 5000).Draw(t, "rest")) * time.Millisecond
 				heard := now.Add(-late)
 				b.Note(Signal{Instance: "i", Heard: heard, Rest: rest}, "")
-				if end := heard.Add(rest); end.After(ends) {
-					ends = end
+				if end := heard.Add(rest); end.After(until) {
+					until = end
 				}
 			case 2:
 				b.Note(Signal{Instance: "i", Heard: now, Rest: time.Second}, "d2")
@@ -43,21 +43,21 @@
 			case 4:
 				b.Prune(func(models.InstanceID) bool { return true }, now)
 			case 5:
-				for _, p := range under {
+				for _, p := range inFlight {
 					b.Settle(p, End(rapid.IntRange(0, 2).Draw(t, "end")), now)
 				}
-				under = nil
+				inFlight = nil
 			default:
 				p, err := b.Admit(i, now)
-				if err == nil && (now.Before(ends) || leaves) {
-					t.Fatalf("a request is sent %v before the end of the rest, leaving: %v", ends.Sub(now), leaves)
+				if err == nil && (now.Before(until) || leaves) {
+					t.Fatalf("a request is admitted %v before the end of the backoff, leaving: %v", until.Sub(now), leaves)
 				}
 				if err == nil {
-					under = append(under, p)
+					inFlight = append(inFlight, p)
 				}
 			}
 		}
-		for _, p := range under {
+		for _, p := range inFlight {
 			b.Settle(p, Taken, now)
 		}
 		if leaves {
@@ -67,26 +67,26 @@
 		for range probesToClose {
 			p, err := b.Admit(i, now)
 			if err != nil {
-				t.Fatalf("long after its rest: %v", err)
+				t.Fatalf("long after the backoff: %v", err)
 			}
 			b.Settle(p, Taken, now)
 		}
 		for range 20 {
 			if _, err := b.Admit(i, now); err != nil {
-				t.Fatalf("the breaker does not close: %v", err)
+				t.Fatalf("the breaker is not closed: %v", err)
 			}
 		}
 	})
 }
 
-// TestSignalsJoinInAnyOrder checks that two daemons that heard the same words in another order
-// believe the same of when the instance may be tried, but for the part by which they spread.
-func TestSignalsJoinInAnyOrder(t *testing.T) {
+// TestSignalOrderIndependence checks that the end of a backoff, apart from its jitter, and a
+// leaving notice do not depend on the order in which the signals were received.
+func TestSignalOrderIndependence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var words []Signal
+		var signals []Signal
 		for range rapid.IntRange(1, 8).Draw(t, "words") {
 			heard := epoch.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "heard")) * time.Millisecond)
-			words = append(words, Signal{
+			signals = append(signals, Signal{
 				Instance: "i", Heard: heard, Rest: time.Duration(rapid.IntRange(0, 3000).Draw(t, "rest")) * time.Millisecond,
 				Leaving: rapid.IntRange(0, 9).Draw(t, "leaving") == 0,
 			})
@@ -96,21 +96,22 @@
 			for _, w := range order {
 				b.Note(w, "")
 			}
-			k := b.breakers["i"]
-			if k == nil {
+			br := b.breakers["i"]
+			if br == nil {
 				return time.Time{}, false
 			}
-			return k.until, !k.leaving.IsZero()
+			return br.until, !br.leaving.IsZero()
 		}
-		end, leaves := until(words)
-		otherEnd, otherLeaves := until(rapid.Permutation(words).Draw(t, "order"))
+		end, leaves := until(signals)
+		otherEnd, otherLeaves := until(rapid.Permutation(signals).Draw(t, "order"))
 		if !end.Equal(otherEnd) || leaves != otherLeaves {
-			t.Fatalf("until %v and %v, leaving %v and %v", end.Sub(epoch), otherEnd.Sub(epoch), leaves, otherLeaves)
+			t.Fatalf("backoff until %v and %v, leaving %v and %v", end.Sub(epoch), otherEnd.Sub(epoch), leaves, otherLeaves)
 		}
 	})
 }
 
-// An instance that asked for rest is left alone, and then tried by one request at first.
+// An instance that asked for a backoff gets no request until its end, and then a single probe at
+// first.
 func ExampleBreakers_Admit() {
 	now := time.Unix(0, 0)
 	b := New(rand.New(rand.NewPCG(1, 1)))
--- a/breaker/script_test.go
+++ b/breaker/script_test.go
@@ -18,16 +18,17 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestScripts runs the scripts in testdata. Each line holds a time, what happens, and what
-// comes of it. Instances may name their birth, in seconds, behind an @.
+// TestScripts runs the scripts in testdata. Each line holds a time, a command, and its expected
+// result. An instance may have its start time, in seconds, after an @.
 //
-//	word INSTANCE rest=D|leaving      an answer of the instance says so to this daemon
-//	told DAEMON INSTANCE ...          another daemon tells that one did
+//	signal INSTANCE rest=D|leaving    this daemon receives a signal from the instance
+//	remote DAEMON INSTANCE ...        another daemon broadcasts a signal that it received
 //	check, next, busy, report INSTANCE
-//	admit INSTANCE as NAME            a request is to be sent there
+//	admit INSTANCE as NAME            a request is to be sent to the instance
 //	settle NAME taken|turned-away|unanswered
-//	since CHANGE                      what daemon d2 is told, from daemon d1
-//	prune, unlist                     forgets what is old; no instance is listed any more
+//	since CHANGE                      what is broadcast to daemon d2, by daemon d1
+//	prune                             drops old state and returns the backoffs that ended
+//	unlist                            no instance is listed any more
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	qt.Assert(t, err, qt.IsNil)
@@ -36,7 +37,7 @@
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
 			data, err := os.ReadFile(file)
 			qt.Assert(t, err, qt.IsNil)
-			s := script{c: qt.New(t), b: New(rand.New(rand.NewPCG(1, 2))), passes: map[string]Admission{}, listed: true}
+			s := script{c: qt.New(t), b: New(rand.New(rand.NewPCG(1, 2))), admissions: map[string]Admission{}, listed: true}
 			for n, line := range strings.Split(string(data), "\n") {
 				if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
 					s.run(n+1, line)
@@ -47,16 +48,16 @@
 }
 
 type script struct {
-	c      *qt.C
-	b      *Breakers
-	passes map[string]Admission
-	listed bool
-	now    time.Time
+	c          *qt.C
+	b          *Breakers
+	admissions map[string]Admission
+	listed     bool
+	now        time.Time
 }
 
 var (
 	epoch    = time.Unix(1_000_000, 0)
-	verdicts = map[error]string{nil: "ok", ErrResting: "resting", ErrProbing: "tried", ErrLeaving: "leaving"}
+	errNames = map[error]string{nil: "ok", ErrResting: "resting", ErrProbing: "tried", ErrLeaving: "leaving"}
 	ends     = map[string]End{"taken": Taken, "turned-away": TurnedAway, "unanswered": Unanswered}
 )
 
@@ -74,13 +75,13 @@
 	return d
 }
 
-// since is a time in the script's words.
-func (s *script) since(t time.Time) string { return t.Sub(epoch).String() }
+// sinceEpoch returns a time as the scripts write it.
+func (s *script) sinceEpoch(t time.Time) string { return t.Sub(epoch).String() }
 
 func (s *script) instance(text string) models.UpstreamInstance {
-	id, born, told := strings.Cut(text, "@")
+	id, born, hasBorn := strings.Cut(text, "@")
 	i := models.UpstreamInstance{ID: models.InstanceID(id)}
-	if told {
+	if hasBorn {
 		seconds, err := strconv.ParseInt(born, 10, 64)
 		s.c.Assert(err, qt.IsNil)
 		i.Born = time.Unix(seconds, 0)
@@ -88,61 +89,61 @@
 	return i
 }
 
-func (s *script) word(args []string) Signal {
+func (s *script) signal(args []string) Signal {
 	i := s.instance(args[0])
-	w := Signal{Instance: i.ID, Born: i.Born, Heard: s.now}
+	signal := Signal{Instance: i.ID, Born: i.Born, Heard: s.now}
 	for _, a := range args[1:] {
 		if rest, found := strings.CutPrefix(a, "rest="); found {
-			w.Rest = s.duration(rest)
+			signal.Rest = s.duration(rest)
 		}
-		w.Leaving = w.Leaving || a == "leaving"
+		signal.Leaving = signal.Leaving || a == "leaving"
 	}
-	return w
+	return signal
 }
 
 func (s *script) step(verb string, args []string) string {
 	switch verb {
-	case "word":
-		return shown(s.b.Note(s.word(args), ""))
-	case "told":
-		return shown(s.b.Note(s.word(args[1:]), Source(args[0])))
+	case "signal":
+		return changeString(s.b.Note(s.signal(args), ""))
+	case "remote":
+		return changeString(s.b.Note(s.signal(args[1:]), Source(args[0])))
 	case "check":
-		return verdicts[s.b.Check(s.instance(args[0]), s.now)]
+		return errNames[s.b.Check(s.instance(args[0]), s.now)]
 	case "busy":
-		return yes(s.b.IsBusy(s.instance(args[0]), s.now), "yes")
+		return yesNo(s.b.IsBusy(s.instance(args[0]), s.now), "yes")
 	case "report":
-		return yes(s.b.AdmitReport(s.instance(args[0]), s.now), "ok")
+		return yesNo(s.b.AdmitReport(s.instance(args[0]), s.now), "ok")
 	case "next":
 		return s.next(s.instance(args[0]))
 	case "admit":
-		pass, err := s.b.Admit(s.instance(args[0]), s.now)
+		admission, err := s.b.Admit(s.instance(args[0]), s.now)
 		if err == nil {
-			s.passes[args[2]] = pass
+			s.admissions[args[2]] = admission
 		}
-		return verdicts[err]
+		return errNames[err]
 	case "settle":
-		s.b.Settle(s.passes[args[0]], ends[args[1]], s.now)
+		s.b.Settle(s.admissions[args[0]], ends[args[1]], s.now)
 	case "since":
-		return s.told(args[0])
+		return s.since(args[0])
 	case "unlist":
 		s.listed = false
 	case "prune":
 		ended := s.b.Prune(func(models.InstanceID) bool { return s.listed }, s.now)
 		return strings.Trim(fmt.Sprint(ended), "[]")
 	default:
-		s.c.Fatalf("no step %q", verb)
+		s.c.Fatalf("unknown command %q", verb)
 	}
 	return ""
 }
 
-func yes(is bool, word string) string {
+func yesNo(is bool, word string) string {
 	if is {
 		return word
 	}
 	return "no"
 }
 
-func shown(c Change) string {
+func changeString(c Change) string {
 	var out []string
 	for _, f := range []struct {
 		name string
@@ -155,28 +156,29 @@
 	return strings.Join(out, " ")
 }
 
-// next tells between which times the instance may be tried, over all that daemons may draw.
+// next returns the range of times from which the instance may be probed, over all values of the
+// jitter.
 func (s *script) next(i models.UpstreamInstance) string {
 	first, since, ok := s.b.Next(i, s.now)
 	if !ok {
 		return "never"
 	}
 	last := first
-	if k := s.b.find(i); errors.Is(s.b.Check(i, s.now), ErrResting) {
-		spread := time.Duration(jitterFraction * float64(k.until.Sub(k.began)))
-		s.c.Assert(!first.Before(k.until) && first.Before(k.until.Add(spread)), qt.IsTrue)
-		first, last = k.until, k.until.Add(spread)
+	if br := s.b.find(i); errors.Is(s.b.Check(i, s.now), ErrResting) {
+		spread := time.Duration(jitterFraction * float64(br.until.Sub(br.started)))
+		s.c.Assert(!first.Before(br.until) && first.Before(br.until.Add(spread)), qt.IsTrue)
+		first, last = br.until, br.until.Add(spread)
 	}
-	return fmt.Sprintf("%s..%s since %s", s.since(first), s.since(last), s.since(since))
+	return fmt.Sprintf("%s..%s since %s", s.sinceEpoch(first), s.sinceEpoch(last), s.sinceEpoch(since))
 }
 
-func (s *script) told(change string) string {
+func (s *script) since(change string) string {
 	seen, err := strconv.ParseUint(change, 10, 64)
 	s.c.Assert(err, qt.IsNil)
-	words, _ := s.b.Since(seen, func(from Source) bool { return from != "d2" }, s.now)
-	slices.SortFunc(words, func(a, b Signal) int { return cmp.Compare(a.Rest, b.Rest) })
+	signals, _ := s.b.Since(seen, func(from Source) bool { return from != "d2" }, s.now)
+	slices.SortFunc(signals, func(a, b Signal) int { return cmp.Compare(a.Rest, b.Rest) })
 	var out []string
-	for _, w := range words {
+	for _, w := range signals {
 		text := string(w.Instance)
 		if w.Leaving {
 			text += " leaving"
