--- a/breaker/compare_test.go
+++ b/breaker/compare_test.go
@@ -13,8 +13,8 @@
 type simulation struct {
 	daemons, instances int
 	// rate is the number of requests per second for all daemons together.
-	rate float64
-	rest time.Duration
+	rate    float64
+	backoff time.Duration
 	// sharing tells that daemons broadcast backoffs, which takes lag.
 	sharing bool
 	lag     time.Duration
@@ -39,52 +39,52 @@
 // executed.
 func (s simulation) run() (rejectedFraction, failedFraction float64) {
 	random := rand.New(rand.NewPCG(47, uint64(s.daemons)))
-	known := make([]*Breakers, s.daemons)
-	for d := range known {
-		known[d] = New(rand.New(rand.NewPCG(random.Uint64(), 1)))
+	breakers := make([]*Breakers, s.daemons)
+	for d := range breakers {
+		breakers[d] = New(rand.New(rand.NewPCG(random.Uint64(), 1)))
 	}
 	all := make([]models.UpstreamInstance, s.instances)
 	for n := range all {
 		all[n].ID = models.InstanceID(rune('A' + n))
 	}
-	var queue []broadcast
+	var inFlight []broadcast
 	sends, rejected, requests, failed := 0, 0, 0, 0
 	pause := time.Duration(float64(time.Second) / s.rate)
 	for now := epoch; now.Before(epoch.Add(simulatedTime)); now = now.Add(pause) {
-		for len(queue) > 0 && !queue[0].arrives.After(now) {
-			for d, b := range known {
-				if d != queue[0].from {
-					b.Note(queue[0].signal, "other")
+		for len(inFlight) > 0 && !inFlight[0].arrives.After(now) {
+			for d, b := range breakers {
+				if d != inFlight[0].from {
+					b.Note(inFlight[0].signal, "other")
 				}
 			}
-			queue = queue[1:]
+			inFlight = inFlight[1:]
 		}
 		d := random.IntN(s.daemons)
 		requests++
 		tried := map[models.InstanceID]bool{}
 		for taken := false; !taken; {
-			i, found := pickIdle(known[d], all, tried, now, random)
+			i, found := pickIdle(breakers[d], all, tried, now, random)
 			if !found || len(tried) == maxAttempts {
 				failed++
 				break
 			}
 			tried[i.ID] = true
-			admission, err := known[d].Admit(i, now)
+			admission, err := breakers[d].Admit(i, now)
 			if err != nil {
 				continue
 			}
 			sends++
 			if float64(i.ID[0]-'A') >= rejectingFraction*float64(s.instances) {
-				known[d].Settle(admission, Taken, now)
+				breakers[d].Settle(admission, Taken, now)
 				taken = true
 				continue
 			}
 			rejected++
-			signal := Signal{Instance: i.ID, Heard: now, Rest: s.rest}
-			if change := known[d].Note(signal, ""); s.sharing && change.Tell {
-				queue = append(queue, broadcast{now.Add(s.lag), d, signal})
+			signal := Signal{Instance: i.ID, Heard: now, Rest: s.backoff}
+			if change := breakers[d].Note(signal, ""); s.sharing && change.Tell {
+				inFlight = append(inFlight, broadcast{now.Add(s.lag), d, signal})
 			}
-			known[d].Settle(admission, TurnedAway, now)
+			breakers[d].Settle(admission, TurnedAway, now)
 		}
 	}
 	return float64(rejected) / float64(sends), float64(failed) / float64(requests)
@@ -118,22 +118,22 @@
 func TestBroadcastSavesRejections(t *testing.T) {
 	for _, test := range []struct {
 		simulation
-		// most bounds the rejected sends with broadcasts, as a fraction of those without.
-		most float64
+		// maxFraction bounds the rejected sends with broadcasts, as a fraction of those without.
+		maxFraction float64
 	}{
-		{simulation{daemons: 9, instances: 20, rate: 150, rest: 3 * time.Second, lag: 5 * time.Millisecond}, 0.5},
+		{simulation{daemons: 9, instances: 20, rate: 150, backoff: 3 * time.Second, lag: 5 * time.Millisecond}, 0.5},
 		// Each daemon probes each instance after each backoff either way.
-		{simulation{daemons: 9, instances: 20, rate: 150, rest: time.Second, lag: 5 * time.Millisecond}, 1},
-		{simulation{daemons: 60, instances: 60, rate: 500, rest: 3 * time.Second, lag: 50 * time.Millisecond}, 0.25},
-		{simulation{daemons: 300, instances: 100, rate: 1900, rest: 3 * time.Second, lag: 100 * time.Millisecond}, 0.25},
+		{simulation{daemons: 9, instances: 20, rate: 150, backoff: time.Second, lag: 5 * time.Millisecond}, 1},
+		{simulation{daemons: 60, instances: 60, rate: 500, backoff: 3 * time.Second, lag: 50 * time.Millisecond}, 0.25},
+		{simulation{daemons: 300, instances: 100, rate: 1900, backoff: 3 * time.Second, lag: 100 * time.Millisecond}, 0.25},
 	} {
 		s := test.simulation
 		aloneRejected, aloneFailed := s.run()
 		s.sharing = true
 		sharedRejected, sharedFailed := s.run()
 		t.Logf("%d daemons, %d instances, %.0f/s, backoff %v: fraction of sends rejected %.3f alone, %.3f with broadcasts; of requests not executed %.3f, %.3f",
-			s.daemons, s.instances, s.rate, s.rest, aloneRejected, sharedRejected, aloneFailed, sharedFailed)
-		if sharedRejected > test.most*aloneRejected {
+			s.daemons, s.instances, s.rate, s.backoff, aloneRejected, sharedRejected, aloneFailed, sharedFailed)
+		if sharedRejected > test.maxFraction*aloneRejected {
 			t.Errorf("broadcasts save too little: %.3f of sends rejected, %.3f without", sharedRejected, aloneRejected)
 		}
 	}
--- a/breaker/property_test.go
+++ b/breaker/property_test.go
@@ -26,11 +26,11 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1:
-				late := time.Duration(rapid.IntRange(0, 400).Draw(t, "late")) * time.Millisecond
-				rest := time.Duration(rapid.IntRange(1, 5000).Draw(t, "rest")) * time.Millisecond
-				heard := now.Add(-late)
-				b.Note(Signal{Instance: "i", Heard: heard, Rest: rest}, "")
-				if end := heard.Add(rest); end.After(until) {
+				delay := time.Duration(rapid.IntRange(0, 400).Draw(t, "late")) * time.Millisecond
+				backoff := time.Duration(rapid.IntRange(1, 5000).Draw(t, "rest")) * time.Millisecond
+				received := now.Add(-delay)
+				b.Note(Signal{Instance: "i", Heard: received, Rest: backoff}, "")
+				if end := received.Add(backoff); end.After(until) {
 					until = end
 				}
 			case 2:
@@ -85,9 +85,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var signals []Signal
 		for range rapid.IntRange(1, 8).Draw(t, "words") {
-			heard := epoch.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "heard")) * time.Millisecond)
+			received := epoch.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "heard")) * time.Millisecond)
 			signals = append(signals, Signal{
-				Instance: "i", Heard: heard, Rest: time.Duration(rapid.IntRange(0, 3000).Draw(t, "rest")) * time.Millisecond,
+				Instance: "i", Heard: received, Rest: time.Duration(rapid.IntRange(0, 3000).Draw(t, "rest")) * time.Millisecond,
 				Leaving: rapid.IntRange(0, 9).Draw(t, "leaving") == 0,
 			})
 		}
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -35,9 +35,9 @@
 // from the next request on, whatever the status of the response.
 func TestSignalAppliesToNextRequest(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		status int
-		told   map[string]string
+		name    string
+		status  int
+		headers map[string]string
 	}{
 		{"turned_away", 503, map[string]string{"Retry-After": "3", "X-Lupinkeel-Not-Executed": "1"}},
 		{"failed", 503, map[string]string{"Retry-After": "3"}},
@@ -48,7 +48,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := newLimitFixture(t)
-			s.status, s.headers = test.status, test.told
+			s.status, s.headers = test.status, test.headers
 			s.sendUntil("p1")
 			s.status, s.headers = 0, nil
 			for range 20 {
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -81,10 +81,10 @@
 // computeDigest returns the hash of the request's content.
 func (e *exchange) computeDigest() quarantine.Digest {
 	e.digestUsed.Store(true)
-	asked := quarantine.Request{
+	content := quarantine.Request{
 		Workspace: e.holder.Workspace, Method: e.r.Method, Host: e.r.Host, Target: e.r.RequestURI, Body: e.body,
 	}
-	return asked.Digest()
+	return content.Digest()
 }
 
 // markTried records that the request is about to be sent to an instance.
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -125,7 +125,7 @@
 func (e *exchange) finish(ctx context.Context, err error) {
 	switch {
 	case err == nil:
-		e.clearCrashes()
+		e.clear()
 		e.logEnd(outcomeComplete, 0, nil)
 	case e.r.Context().Err() != nil:
 		e.logEnd(outcomeCallerGone, 0, err)
--- a/gateway/pauses_test.go
+++ b/gateway/pauses_test.go
@@ -80,11 +80,11 @@
 // only after a delay, and checks that few of its pauses exceed the stall timeout.
 func TestDelayedPromptReports(t *testing.T) {
 	c := qt.New(t)
-	early := falseAlarmRate(func(expected, _ time.Duration) time.Duration { return currentPassTime(expected, 0, 0) })
-	late := falseAlarmRate(func(expected, now time.Duration) time.Duration { return currentPassTime(expected, now, loadDelay) })
-	t.Logf("false alarms per million passes: %.0f by the expectation at their begin, %.0f by the later one", early*1e6, late*1e6)
-	c.Assert(early > 0.005, qt.IsTrue, qt.Commentf("the load no longer shows the fault: %v", early))
-	c.Assert(late < 0.001, qt.IsTrue, qt.Commentf("%v", late))
+	firstRate := falseAlarmRate(func(expected, _ time.Duration) time.Duration { return currentPassTime(expected, 0, 0) })
+	laterRate := falseAlarmRate(func(expected, now time.Duration) time.Duration { return currentPassTime(expected, now, loadDelay) })
+	t.Logf("false alarms per million passes: %.0f by the expectation at their begin, %.0f by the later one", firstRate*1e6, laterRate*1e6)
+	c.Assert(firstRate > 0.005, qt.IsTrue, qt.Commentf("the load no longer shows the fault: %v", firstRate))
+	c.Assert(laterRate < 0.001, qt.IsTrue, qt.Commentf("%v", laterRate))
 }
 
 const (
@@ -98,23 +98,23 @@
 )
 
 // falseAlarmRate returns the fraction of a group's passes that exceed the stall timeout, where
-// judge returns the expected pass time from the expectations when the pass began and now.
-func falseAlarmRate(judge func(expected, now time.Duration) time.Duration) float64 {
+// expectation returns the expected pass time from the expectations when the pass began and now.
+func falseAlarmRate(expectation func(expected, now time.Duration) time.Duration) float64 {
 	engine := &models.EngineProfile{Slots: 14, Step: 7800 * time.Microsecond, PerRequest: 95 * time.Microsecond, Stride: 8, ReadPerSecond: 45900}
 	model := models.ModelProfile{Pace: 1}
 	random := rand.New(rand.NewPCG(1, 2))
 	type prompt struct {
-		came   time.Duration
-		tokens int
+		arrived time.Duration
+		tokens  int
 	}
 	var waiting []prompt
 	next, now, alarms := time.Duration(0), time.Duration(0), 0
 	const passes = 200_000
-	// unread returns the tokens of the prompts that arrived until a time.
-	unread := func(until time.Duration) int {
+	// prefillTokens returns the tokens of the prompts that arrived until a time.
+	prefillTokens := func(until time.Duration) int {
 		sum := 0
 		for _, p := range waiting {
-			if p.came <= until {
+			if p.arrived <= until {
 				sum += p.tokens
 			}
 		}
@@ -124,21 +124,21 @@
 		pass := func(tokens int) time.Duration {
 			return passTime(engine, model, cluster.Load{Requests: runningRequests, Unread: tokens})
 		}
-		expected, takes := pass(unread(now-loadDelay)), pass(unread(now))
-		read := len(waiting)
-		for next <= now+takes {
+		expected, actual := pass(prefillTokens(now-loadDelay)), pass(prefillTokens(now))
+		prefilled := len(waiting)
+		for next <= now+actual {
 			waiting = append(waiting, prompt{next, int(random.ExpFloat64() * promptTokens)})
 			next += time.Duration(random.ExpFloat64() * float64(promptInterval))
 		}
 		var p *pauseHistogram
-		longest := p.stallTimeout(expected)
-		if takes > longest {
-			later := pass(unread(now + longest - loadDelay))
-			if takes > p.stallTimeout(judge(expected, later)) {
+		timeout := p.stallTimeout(expected)
+		if actual > timeout {
+			later := pass(prefillTokens(now + timeout - loadDelay))
+			if actual > p.stallTimeout(expectation(expected, later)) {
 				alarms++
 			}
 		}
-		waiting, now = waiting[read:], now+takes
+		waiting, now = waiting[prefilled:], now+actual
 	}
 	return float64(alarms) / passes
 }
--- a/gateway/permit_test.go
+++ b/gateway/permit_test.go
@@ -69,11 +69,11 @@
 	r.Host = "api.example"
 	r.Header.Set("Authorization", "Token k1")
 	r.Header.Set("X-Lupinkeel-Request-Id", id)
-	began := time.Now()
+	started := time.Now()
 	resp, err := http.DefaultClient.Do(r)
 	s.c.Assert(err, qt.IsNil)
 	s.c.Assert(resp.Body.Close(), qt.IsNil)
-	return resp, time.Since(began)
+	return resp, time.Since(started)
 }
 
 // setLimit records a rate limit of an instance at the gateway.
@@ -99,15 +99,15 @@
 	}
 	s.c.Assert(s.received, qt.DeepEquals, []string{"p2", "p2", "p2", "p2", "p2"})
 
-	asked := 0
+	asks := 0
 	s.node.permit = func(ask ratelimit.Ask) (ratelimit.Grant, error) {
-		asked++
+		asks++
 		s.c.Check(ask.Wanted, qt.DeepEquals, []ratelimit.Wanted{{Instance: "p1", Rate: 2}})
 		return ratelimit.Grant{Granted: true, Waits: []time.Duration{0}}, nil
 	}
 	time.Sleep(unansweredExclusion)
 	s.received = nil
-	for n := 0; asked == 0; n++ {
+	for n := 0; asks == 0; n++ {
 		s.c.Assert(n < 100, qt.IsTrue)
 		s.send("c")
 	}
@@ -159,9 +159,9 @@
 	s := newLimitFixture(t)
 	s.setLimit("p1")
 	s.setLimit("p2")
-	asked := 0
+	asks := 0
 	s.node.permit = func(ask ratelimit.Ask) (ratelimit.Grant, error) {
-		if asked++; asked > 1 {
+		if asks++; asks > 1 {
 			return ratelimit.Grant{Granted: true, At: len(ask.Wanted) - 1, Waits: make([]time.Duration, len(ask.Wanted))}, nil
 		}
 		return ratelimit.Grant{Waits: []time.Duration{10 * time.Millisecond, 15 * time.Millisecond}}, nil
--- a/gateway/pick.go
+++ b/gateway/pick.go
@@ -194,15 +194,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := node.View().Services[service]
-	best, least, now := -1, 0.0, time.Now()
+	best, minLoad, now := -1, 0.0, time.Now()
 	for _, i := range rand.Perm(len(all)) {
 		if slices.Contains(tried, all[i].ID) || s.isExcluded(node, all[i], now) {
 			continue
 		}
-		n := float64(s.totalLoadLocked(node, all[i].ID).Requests) + requestsPerFailure*s.penalty(node, all[i])
-		nearer := best >= 0 && n == least && all[i].Zone == s.zone && all[best].Zone != s.zone
-		if best < 0 || n < least || nearer {
-			best, least = i, n
+		load := float64(s.totalLoadLocked(node, all[i].ID).Requests) + requestsPerFailure*s.penalty(node, all[i])
+		sameZone := best >= 0 && load == minLoad && all[i].Zone == s.zone && all[best].Zone != s.zone
+		if best < 0 || load < minLoad || sameZone {
+			best, minLoad = i, load
 		}
 	}
 	if best < 0 {
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -13,11 +13,11 @@
 
 // standing returns the crashes that all daemons know the request to have caused.
 func (e *exchange) standing() quarantine.Standing {
-	held := e.g.node.Quarantine()
-	if !held.Holds() {
+	quarantined := e.g.node.Quarantine()
+	if !quarantined.Holds() {
 		return quarantine.Standing{}
 	}
-	return held.Standing(e.digest())
+	return quarantined.Standing(e.digest())
 }
 
 const (
@@ -65,10 +65,10 @@
 // countAvailable returns how many instances or groups could take the request that are not known to
 // have crashed, back off or be leaving.
 func (e *exchange) countAvailable() int {
-	v, held := e.g.node.View(), e.g.node.Quarantine()
+	v, quarantined := e.g.node.View(), e.g.node.Quarantine()
 	n := 0
 	count := func(i models.UpstreamInstance) {
-		if !held.HasCrashed(i) && e.g.node.Breakers().Blocks(i) == nil {
+		if !quarantined.HasCrashed(i) && e.g.node.Breakers().Blocks(i) == nil {
 			n++
 		}
 	}
@@ -90,8 +90,8 @@
 	return func(places int) int { return e.g.node.Quarantine().Place(e.digest(), places) }
 }
 
-// clearCrashes clears the crashes of a request that has ended well.
-func (e *exchange) clearCrashes() {
+// clear clears the crashes of a request that has ended well.
+func (e *exchange) clear() {
 	if e.standing().Crashes > 0 {
 		e.g.node.Quarantine().EndedWell(e.digest())
 	}
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -85,11 +85,11 @@
 // shutdown fails the readiness checks, waits until callers are sent elsewhere, and then closes the
 // listener and lets requests in flight finish.
 func (g *Gateway) shutdown(ctx context.Context, callers *http.Server) {
-	began := time.Now()
+	started := time.Now()
 	g.stopping.Store(true)
 	g.log.Info().Int64("in-flight", g.stats.inFlight.Load()).Msg("stop-begun")
 	time.Sleep(min(readinessDrain, g.cfg.StopGrace/2))
-	ctx, cancel := context.WithDeadline(ctx, began.Add(g.cfg.StopGrace-exitMargin))
+	ctx, cancel := context.WithDeadline(ctx, started.Add(g.cfg.StopGrace-exitMargin))
 	defer cancel()
 	err := callers.Shutdown(ctx)
 	g.log.Info().Int64("cut-off", g.stats.inFlight.Load()).Err(err).Msg("stop-ended")
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -217,15 +217,15 @@
 }
 
 // forwardFailure forwards a failure response.
-func (s *stream) forwardFailure(answer *h1.Response) error {
-	body, err := readResponse(answer)
+func (s *stream) forwardFailure(resp *h1.Response) error {
+	body, err := readResponse(resp)
 	if err != nil {
 		return errors.Join(errMaybeExecuted, err)
 	}
 	if s.headSent {
-		return fmt.Errorf("%w: status %d", errMaybeExecuted, answer.Status)
+		return fmt.Errorf("%w: status %d", errMaybeExecuted, resp.Status)
 	}
-	s.writeHead(answer.Status, answer.Header)
+	s.writeHead(resp.Status, resp.Header)
 	_, err = s.w.Write(body)
 	return err
 }
--- a/gateway/unary.go
+++ b/gateway/unary.go
@@ -68,9 +68,9 @@
 	all := e.g.node.View().Services[e.service]
 	if place := e.trialPlace(); place != nil && len(all) > 0 {
 		sorted := slices.SortedFunc(slices.Values(all), func(a, b models.UpstreamInstance) int { return cmp.Compare(a.ID, b.ID) })
-		own := sorted[place(len(sorted))]
-		if !slices.Contains(e.tried, own.ID) && e.g.node.Breakers().Check(own) == nil {
-			return own, true
+		pinned := sorted[place(len(sorted))]
+		if !slices.Contains(e.tried, pinned.ID) && e.g.node.Breakers().Check(pinned) == nil {
+			return pinned, true
 		}
 	}
 	return e.g.scheduler.pickInstance(e.g.node, e.service, e.tried)
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -115,21 +115,21 @@
 func (g *group) advance(now time.Duration) (late int) {
 	for g.busy <= now {
 		g.running = slices.DeleteFunc(g.running, func(end time.Duration) bool { return end <= g.busy })
-		free := min(engine.Slots-len(g.running), len(g.waiting))
+		admitted := min(engine.Slots-len(g.running), len(g.waiting))
 		tokens := 0
-		for _, j := range g.waiting[:free] {
+		for _, j := range g.waiting[:admitted] {
 			tokens += j.tokens
 		}
-		steps := time.Duration(engine.Stride) * (engine.Step + time.Duration(len(g.running)+free)*engine.PerRequest)
-		begun := g.busy
+		steps := time.Duration(engine.Stride) * (engine.Step + time.Duration(len(g.running)+admitted)*engine.PerRequest)
+		started := g.busy
 		g.busy += steps + engine.ReadTime(tokens)
-		for _, j := range g.waiting[:free] {
+		for _, j := range g.waiting[:admitted] {
 			if g.busy-j.arrived > latencyTarget {
 				late++
 			}
-			g.running = append(g.running, begun+decodeTime)
+			g.running = append(g.running, started+decodeTime)
 		}
-		g.waiting = g.waiting[free:]
+		g.waiting = g.waiting[admitted:]
 	}
 	return late
 }
