--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -174,7 +174,7 @@
 	return br
 }
 
-// isClosed reports whether requests to the instance are not limited.
+// isClosed reports whether requests are admitted without limit.
 func (br *breaker) isClosed() bool { return br.until.IsZero() || br.probesSucceeded >= probesToClose }
 
 // Blocks returns why no request at all may be sent to an instance, nil if some may.
--- a/gateway/availability.go
+++ b/gateway/availability.go
@@ -48,12 +48,12 @@
 		if !stays || slices.Contains(tried, i.ID) {
 			continue
 		}
-		o := availability{at, since, errAllBackingOff}
+		candidate := availability{at, since, errAllBackingOff}
 		if until := s.excludedUntil[i.ID]; s.isPermitDenied(node, i, now) && !until.Before(at) {
-			o = availability{until, now, errAllLimited}
+			candidate = availability{until, now, errAllLimited}
 		}
-		if o.at.After(now) && (first.at.IsZero() || o.at.Before(first.at)) {
-			first = o
+		if candidate.at.After(now) && (first.at.IsZero() || candidate.at.Before(first.at)) {
+			first = candidate
 		}
 	}
 	return first, !first.at.IsZero()
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -27,8 +27,8 @@
 	// restartWindow is for how long after a disconnect a restart of the instance shows that it
 	// crashed then: an instance writes its entry when it starts.
 	restartWindow = 3 * time.Second
-	// disconnectRetention is for how long a crash is remembered: other requests on the instance may
-	// end later.
+	// disconnectRetention is for how long a confirmed crash is remembered: other requests on the
+	// instance may end later.
 	disconnectRetention = 10 * time.Second
 	// maxLoggedDigests bounds the digests in a log line.
 	maxLoggedDigests = 8
--- a/gateway/permit.go
+++ b/gateway/permit.go
@@ -77,7 +77,7 @@
 // those that can still meet their latency target.
 func (e *exchange) permitRank(now time.Time) int {
 	r := rank(e.holder.Priority, e.route.Priority)
-	if aim := e.route.Aim; aim > 0 && !e.headSent && now.Sub(e.started) > aim {
+	if latencyTarget := e.route.Aim; latencyTarget > 0 && !e.headSent && now.Sub(e.started) > latencyTarget {
 		return min(maxPriority, r+routeRanks)
 	}
 	return r
--- a/gateway/pick.go
+++ b/gateway/pick.go
@@ -65,9 +65,9 @@
 	return out
 }
 
-// awaitGroup waits for a group with capacity. A stream that has begun takes any group, and waits as
-// long as its caller tolerates a pause. It does not wait if no permit and no end of a backoff comes
-// in time.
+// awaitGroup waits for a group with capacity. A stream whose response has begun takes any group,
+// and waits as long as its caller tolerates a pause. It does not wait if no permit and no end of a
+// backoff comes in time.
 func (s *stream) awaitGroup() (target, error) {
 	until := s.started.Add(time.Duration(queueFraction * float64(s.route.Aim)))
 	if s.headSent {
@@ -159,7 +159,7 @@
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortFunc(order, func(a, s int) int { return cmp.Compare(groups[a].Head.ID, groups[s].Head.ID) })
+	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(groups[a].Head.ID, groups[b].Head.ID) })
 	first := trialPlace(len(order))
 	for n := range order {
 		index := order[(first+n)%len(order)]
--- a/gateway/pick_test.go
+++ b/gateway/pick_test.go
@@ -38,8 +38,8 @@
 	b.zone = "b"
 	node := newPickNode()
 	engine := &models.EngineProfile{Slots: 17, ReadPerSecond: 45900}
-	group := func(aim time.Duration) models.InstanceID {
-		g, _, found := b.pickGroup(node, engine, groupCriteria{head: models.RequestHead{Model: "m"}, latencyTarget: aim, routeTarget: 300 * time.Millisecond})
+	group := func(latencyTarget time.Duration) models.InstanceID {
+		g, _, found := b.pickGroup(node, engine, groupCriteria{head: models.RequestHead{Model: "m"}, latencyTarget: latencyTarget, routeTarget: 300 * time.Millisecond})
 		c.Assert(found, qt.IsTrue)
 		return g.Head.ID
 	}
--- a/gateway/retry_budget_test.go
+++ b/gateway/retry_budget_test.go
@@ -11,20 +11,20 @@
 // there are do not each spend the fixed number of retries that is for all together.
 func TestRetryBudgetWithUnknownDaemonCount(t *testing.T) {
 	c := qt.New(t)
-	repeats := func(daemons int) int {
-		const turnedAway = false
+	retries := func(daemons int) int {
+		const rejected = false
 		b, n := newRetryBudget(0.2, 100, 10*time.Second), 0
 		for range 100 {
 			b.addRequest(time.Now())
 		}
-		for b.allowRetry(time.Now(), daemons, turnedAway) {
+		for b.allowRetry(time.Now(), daemons, rejected) {
 			n++
 		}
 		return n
 	}
-	c.Assert(repeats(0), qt.Equals, 14)
-	c.Assert(repeats(1), qt.Equals, 84)
-	c.Assert(repeats(10), qt.Equals, 21)
+	c.Assert(retries(0), qt.Equals, 14)
+	c.Assert(retries(1), qt.Equals, 84)
+	c.Assert(retries(10), qt.Equals, 21)
 }
 
 // TestRejectionsLeaveRetryBudget checks that retries of rejected requests do not use up the retries
@@ -35,8 +35,8 @@
 	for range 100 {
 		b.addRequest(time.Now())
 	}
-	count := func(turnedAway bool) (n int) {
-		for b.allowRetry(time.Now(), 1, turnedAway) {
+	count := func(rejected bool) (n int) {
+		for b.allowRetry(time.Now(), 1, rejected) {
 			n++
 		}
 		return n
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -17,7 +17,7 @@
 
 // send sends the request to an instance, if the instance accepts requests and the permit allows it.
 // It is safe for concurrent use.
-func (e *exchange) send(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, patience h1.Patience) (*h1.Response, error) {
+func (e *exchange) send(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, readTimeout h1.Patience) (*h1.Response, error) {
 	if !p.allows(e.g, i) {
 		return nil, errors.Join(errNotExecuted, errNotAdmitted, errNoPermit)
 	}
@@ -25,7 +25,7 @@
 	if err != nil {
 		return nil, errors.Join(errNotExecuted, errNotAdmitted, err)
 	}
-	resp, end, err := e.sendAdmitted(ctx, i, p, a, patience)
+	resp, end, err := e.sendAdmitted(ctx, i, p, a, readTimeout)
 	e.g.node.Breakers().Settle(admission, end)
 	return resp, err
 }
@@ -44,7 +44,7 @@
 }
 
 // sendAdmitted is send for an admitted request. It also returns the result for the circuit breaker.
-func (e *exchange) sendAdmitted(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, patience h1.Patience) (*h1.Response, breaker.End, error) {
+func (e *exchange) sendAdmitted(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, readTimeout h1.Patience) (*h1.Response, breaker.End, error) {
 	a.Left, a.Instance, a.Workspace = time.Until(e.deadline), i.ID, e.holder.Workspace
 	a.Priority = rank(e.holder.Priority, e.route.Priority)
 	maxIdle := maxIdleRepeatable
@@ -54,7 +54,7 @@
 	sentAt := time.Now()
 	resp, err := e.g.conns.Do(ctx, i.Addr, h1.Request{
 		Method: e.r.Method, Target: e.r.RequestURI, Host: e.r.Host, Header: platform.ForwardHeader(e.r.Header, a), Body: e.body,
-		Freshest: maxIdle, Patience: patience,
+		Freshest: maxIdle, Patience: readTimeout,
 		Ready: func() error { return e.checkAdmission(i, p) },
 		Mine:  func(h http.Header) bool { return platform.DecodeAnswer(0, h).ID == e.head.ID },
 	})
--- a/gateway/unary.go
+++ b/gateway/unary.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// pickInstance returns the instance that the request is sent to next, if it gets a permit.
+// pickInstance returns the instance to send the request to next; a rate-limited one still needs a
+// permit. A request on trial gets the instance that is assigned to it, if that is available.
 func (e *exchange) pickInstance() (models.UpstreamInstance, bool) {
 	all := e.g.node.View().Services[e.service]
 	if place := e.trialPlace(); place != nil && len(all) > 0 {
