--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -11,14 +11,13 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// bodyDefault is the longest body, in bytes, where the configuration names no
-// limit.
-const bodyDefault = 4 << 20
+// defaultMaxBodyBytes is the longest body accepted if the configuration sets no limit.
+const defaultMaxBodyBytes = 4 << 20
 
-// noDeadline bounds a request whose caller and route name no time.
-const noDeadline = time.Minute
+// defaultTimeout bounds a request for which neither caller nor route sets a timeout.
+const defaultTimeout = time.Minute
 
-// admit finds the route and the workspace and reads the body.
+// admit finds the route and the workspace, sets the deadline and reads the body.
 func (e *exchange) admit() error {
 	v := e.g.node.View()
 	if v.Routing == nil {
@@ -27,20 +26,20 @@
 	known := false
 	e.route, known = v.Routing.Match(e.r.Host, e.r.URL.EscapedPath())
 	if !known {
-		if !e.g.current(v, e.g.cfg.ConfigBound) {
-			return errStaleKeys
+		if !e.g.isCurrent(v, e.g.cfg.ConfigBound) {
+			return errStaleConfig
 		}
 		return errNoRoute
 	}
 	if err := e.authorize(v); err != nil {
 		return err
 	}
-	e.until = e.began.Add(noDeadline)
+	e.deadline = e.started.Add(defaultTimeout)
 	if e.route.Timeout > 0 {
-		e.until = e.began.Add(e.route.Timeout)
+		e.deadline = e.started.Add(e.route.Timeout)
 	}
-	if d := e.head.Deadline; d > 0 && e.began.Add(d).Before(e.until) {
-		e.until = e.began.Add(d)
+	if d := e.head.Deadline; d > 0 && e.started.Add(d).Before(e.deadline) {
+		e.deadline = e.started.Add(d)
 	}
 	h := fnv.New64a()
 	h.Write([]byte(e.head.ID))
@@ -48,47 +47,47 @@
 	return e.readBody(v.Routing.Limits.BodyBytes)
 }
 
-// authorize finds the workspace that the key belongs to. A key that is not
-// known is refused as such only by a configuration that is fresh.
+// authorize finds the workspace that the key belongs to. An unknown key is refused as such only if
+// the configuration is current, since a newer one may contain it.
 func (e *exchange) authorize(v *cluster.View) error {
 	if !v.Routing.Keyed || e.route.Open {
 		return nil
 	}
-	if !e.g.current(v, e.g.cfg.KeysBound) {
-		return errStaleKeys
+	if !e.g.isCurrent(v, e.g.cfg.KeysBound) {
+		return errStaleConfig
 	}
 	holder, known := v.Routing.Keys[e.head.Key]
 	switch {
 	case known:
 		e.holder = holder
 		return nil
-	case e.g.current(v, e.g.cfg.ConfigBound):
-		return errBadKey
+	case e.g.isCurrent(v, e.g.cfg.ConfigBound):
+		return errUnknownKey
 	default:
-		return errStaleKeys
+		return errStaleConfig
 	}
 }
 
-// readBody reads the body whole, since it may have to be sent again.
+// readBody reads the whole body, since it may have to be sent again.
 func (e *exchange) readBody(limit int64) error {
 	if limit <= 0 {
-		limit = bodyDefault
+		limit = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(e.w, e.r.Body, limit))
 	var tooLong *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLong):
-		return errTooLarge
+		return errBodyTooLong
 	case err != nil:
-		return errors.Join(errBody, err)
+		return errors.Join(errBodyIncomplete, err)
 	}
 	e.body = body
 	return nil
 }
 
-// pickService picks one of a route's services by weight, the same one for
-// every try of a request.
-func pickService(route models.Route, point uint64) models.ServiceName {
+// pickService picks one of a route's services by weight. The hash makes it the same service for
+// every attempt of a request.
+func pickService(route models.Route, hash uint64) models.ServiceName {
 	total := 0
 	for _, t := range route.Targets {
 		total += max(0, t.Weight)
@@ -96,9 +95,9 @@
 	if total == 0 {
 		return route.Targets[0].Service
 	}
-	at := int(point % uint64(total))
+	offset := int(hash % uint64(total))
 	for _, t := range route.Targets {
-		if at -= max(0, t.Weight); at < 0 {
+		if offset -= max(0, t.Weight); offset < 0 {
 			return t.Service
 		}
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -11,64 +11,64 @@
 	"github.com/lupinkeel/lupinkeel/quarantine"
 )
 
-// standing is what is held against the request, by all that daemons have told each other.
+// standing returns the crashes that all daemons know the request to have caused.
 func (e *exchange) standing() quarantine.Standing {
-	held := e.g.node.Quarantine()
-	if !held.Holds() {
+	quarantined := e.g.node.Quarantine()
+	if !quarantined.Holds() {
 		return quarantine.Standing{}
 	}
-	return held.Standing(e.digest())
+	return quarantined.Standing(e.digest())
 }
 
 const (
-	// verdictWait is how long a repeat waits to learn whether the instance that cut the
-	// request off has crashed: the way there and back within a region.
-	verdictWait = 20 * time.Millisecond
-	// lastSpared is for how long after a crash requests that were on the instance are kept
-	// from the last one left: others are back by then.
-	lastSpared = 10 * time.Second
+	// probeWait is how long a retry waits for the probe of the instance that disconnected: a round
+	// trip within a region.
+	probeWait = 20 * time.Millisecond
+	// lastInstanceHold is for how long after a crash the requests that were on the instance are not
+	// sent to the last one left: others are back by then.
+	lastInstanceHold = 10 * time.Second
 )
 
-// mayBeSent returns an error if the request is known to crash the instances that run it. It
-// is asked before each send: where each daemon forgot what a request had done one caller
-// ended nineteen instances, and the requests of all others on them. A request that may have
-// crashed an instance just now is not sent to the last one either, which all others need;
-// a stream that its caller has seen the beginning of is, unless it is on trial.
-func (e *exchange) mayBeSent() error {
-	e.awaitVerdict()
+// checkQuarantine returns an error if the request is known to crash the instances that execute it.
+// It is called before each send: without shared knowledge of crashes, one caller's request crashed
+// nineteen instances and failed all other requests on them. A request that may have just crashed an
+// instance is not sent to the last one either, which all others need. A stream whose beginning the
+// caller has received is, unless it is on trial.
+func (e *exchange) checkQuarantine() error {
+	e.awaitProbe()
 	s := e.standing()
-	suspect := s.Crashes > 0 && (!e.answering || s.OnTrial())
+	suspect := s.Crashes > 0 && (!e.headSent || s.OnTrial())
 	switch {
 	case s.Quarantined:
 		return errQuarantined
-	case suspect && time.Since(s.Last) < lastSpared && e.choices() < 2:
-		return errLastSpared
+	case suspect && time.Since(s.Last) < lastInstanceHold && e.countAvailable() < 2:
+		return errLastInstance
 	default:
 		return nil
 	}
 }
 
-// awaitVerdict waits until it is known whether the instance that cut the request off last
+// awaitProbe waits until it is known whether the instance that last disconnected during the request
 // has crashed.
-func (e *exchange) awaitVerdict() {
-	asked := e.cut.Load()
-	if asked == nil {
+func (e *exchange) awaitProbe() {
+	probed := e.probed.Load()
+	if probed == nil {
 		return
 	}
 	select {
-	case <-*asked:
-	case <-time.After(verdictWait):
+	case <-*probed:
+	case <-time.After(probeWait):
 	case <-e.r.Context().Done():
 	}
 }
 
-// choices is how many instances or groups could take the request that are not known to
-// have crashed, to rest, or to leave.
-func (e *exchange) choices() int {
-	v, held := e.g.node.View(), e.g.node.Quarantine()
+// countAvailable returns how many instances or groups could take the request that are not known to
+// have crashed, back off or be leaving.
+func (e *exchange) countAvailable() int {
+	v, quarantined := e.g.node.View(), e.g.node.Quarantine()
 	n := 0
 	count := func(i models.UpstreamInstance) {
-		if !held.HasCrashed(i) && e.g.node.Breakers().Blocks(i) == nil {
+		if !quarantined.HasCrashed(i) && e.g.node.Breakers().Blocks(i) == nil {
 			n++
 		}
 	}
@@ -81,31 +81,32 @@
 	return n
 }
 
-// place tells where a request goes that is on trial, nil for others.
-func (e *exchange) place() func(int) int {
+// trialPlace returns the function that places a request on trial: the same instance at all daemons.
+// It is nil for requests that are not on trial.
+func (e *exchange) trialPlace() func(int) int {
 	if !e.standing().OnTrial() {
 		return nil
 	}
 	return func(places int) int { return e.g.node.Quarantine().Place(e.digest(), places) }
 }
 
-// clear takes back what is held against a request that has ended well.
+// clear clears the crashes of a request that has ended well.
 func (e *exchange) clear() {
 	if e.standing().Crashes > 0 {
 		e.g.node.Quarantine().EndedWell(e.digest())
 	}
 }
 
-// listQuarantine tells an operator which requests are refused, a line each.
+// listQuarantine lists the quarantined requests for an operator, one per line.
 func (g *Gateway) listQuarantine(w http.ResponseWriter, _ *http.Request) {
 	for d, s := range g.node.Quarantine().Refused() {
-		// An operator who is gone needs no answer.
+		// A write error means that the operator has disconnected.
 		_, _ = fmt.Fprintf(w, "digest=%x crashes=%d age=%s\n", d[:], s.Crashes, time.Since(s.Last).Round(time.Second))
 	}
 }
 
-// releaseQuarantine has a request sent again, whose digest begins with what the path tells,
-// at all daemons. The crashes that were held against it are forgotten.
+// releaseQuarantine releases the request whose digest begins with the path's prefix, at all
+// daemons. Its crashes are forgotten.
 func (g *Gateway) releaseQuarantine(w http.ResponseWriter, r *http.Request) {
 	prefix := r.PathValue("digest")
 	for d := range g.node.Quarantine().Refused() {
