--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -29,12 +29,12 @@
 		if rank == 0 {
 			m.State = models.MemberOpen
 		}
-		o.noteEntry(models.UpstreamInstance{ID: models.InstanceID(fmt.Sprintf("i-%08d", i)), Group: m, Loaded: "m", Service: "s"}, now)
+		o.applyEntry(models.UpstreamInstance{ID: models.InstanceID(fmt.Sprintf("i-%08d", i)), Group: m, Loaded: "m", Service: "s"}, now)
 	}
 	return o
 }
 
-func BenchmarkShowFleet(b *testing.B) {
+func BenchmarkUpdateFleetView(b *testing.B) {
 	for _, instances := range []int{766, 3000} {
 		b.Run(fmt.Sprint(instances), func(b *testing.B) {
 			o := largeOwner(b, instances)
@@ -52,9 +52,9 @@
 	now := time.Now()
 	for b.Loop() {
 		now = now.Add(50 * time.Millisecond)
-		o.dropSilent(now)
-		o.arrange(now)
-		o.answerMissed(now)
-		o.watchUnlisted(now)
+		o.removeTimedOutPeers(now)
+		o.updateTopology(now)
+		o.answerSnapshotRequests(now)
+		o.checkUnlisted(now)
 	}
 }
--- a/cluster/breakers.go
+++ b/cluster/breakers.go
@@ -16,12 +16,12 @@
 // Breakers holds what all daemons heard that instances ask for in their answers. It is safe
 // for use by several goroutines.
 type Breakers struct {
-	log             zerolog.Logger
-	rests, leavings *metrics.Counter
+	log           zerolog.Logger
+	rests, leaves *metrics.Counter
 	// known tells that any instance asked for anything.
-	known atomic.Bool
+	nonEmpty atomic.Bool
 	// found is called when there is something that others are to be told.
-	found func()
+	onChange func()
 
 	mu       sync.Mutex
 	breakers *breaker.Breakers
@@ -31,8 +31,8 @@
 // called when there is something to tell other daemons.
 func NewBreakers(found func(), set *metrics.Set, log zerolog.Logger) *Breakers {
 	b := &Breakers{
-		log: log, found: found, rests: set.NewCounter("lupinkeel_instance_rests_total"),
-		leavings: set.NewCounter("lupinkeel_instances_leaving_total"),
+		log: log, onChange: found, rests: set.NewCounter("lupinkeel_instance_rests_total"),
+		leaves:   set.NewCounter("lupinkeel_instances_leaving_total"),
 		breakers: breaker.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 	}
 	set.NewGauge("lupinkeel_resting_instances", func() float64 {
@@ -46,7 +46,7 @@
 // Heard notes what an answer told of its instance.
 func (b *Breakers) Heard(s breaker.Signal) {
 	if b.Note(s, "") {
-		b.found()
+		b.onChange()
 	}
 }
 
@@ -64,7 +64,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change := b.breakers.Note(s, from)
-	b.known.Store(!b.breakers.Empty())
+	b.nonEmpty.Store(!b.breakers.Empty())
 	event := func() *zerolog.Event {
 		return b.log.Info().Str("instance", string(s.Instance)).Str("from", string(from)).Dur("age", time.Since(s.Heard))
 	}
@@ -76,7 +76,7 @@
 		event().Dur("for", s.Rest).Msg("rest-lengthened")
 	}
 	if change.Leaving {
-		b.leavings.Inc()
+		b.leaves.Inc()
 		event().Msg("leaving-heard")
 	}
 	return change.Tell
@@ -84,7 +84,7 @@
 
 // Any reports whether any instance asked for anything. Where none did, none need be looked
 // up.
-func (b *Breakers) Any() bool { return b.known.Load() }
+func (b *Breakers) Any() bool { return b.nonEmpty.Load() }
 
 // Blocks returns why nothing may be sent to an instance at all, nil if something may.
 func (b *Breakers) Blocks(i models.UpstreamInstance) error {
@@ -150,7 +150,7 @@
 }
 
 // admitReport reports whether an instance may be asked for a report now.
-func (b *Breakers) admitReport(i models.UpstreamInstance) bool {
+func (b *Breakers) admitProbe(i models.UpstreamInstance) bool {
 	if !b.Any() {
 		return true
 	}
@@ -173,11 +173,11 @@
 	for _, id := range ended {
 		b.log.Info().Str("instance", string(id)).Msg("rest-ended")
 	}
-	b.known.Store(!b.breakers.Empty())
+	b.nonEmpty.Store(!b.breakers.Empty())
 }
 
 // leaving lists the instances that said in answers that they leave.
-func (b *Breakers) leaving() []breaker.Signal {
+func (b *Breakers) leavingInstances() []breaker.Signal {
 	if !b.Any() {
 		return nil
 	}
@@ -187,7 +187,7 @@
 }
 
 // SignalNews is what a daemon tells others that an instance asked for.
-type SignalNews struct {
+type SignalUpdate struct {
 	Instance models.InstanceID `msgpack:"i"`
 	Born     time.Time         `msgpack:"b,omitempty"`
 	// Age is how long ago it did.
@@ -198,7 +198,7 @@
 
 // since is what another daemon is to be told that was learned after a change, and the newest
 // change.
-func (b *Breakers) since(seen uint64, tells func(breaker.Source) bool) ([]SignalNews, uint64) {
+func (b *Breakers) changesSince(seen uint64, tells func(breaker.Source) bool) ([]SignalUpdate, uint64) {
 	if !b.Any() {
 		return nil, seen
 	}
@@ -206,30 +206,30 @@
 	defer b.mu.Unlock()
 	now := time.Now()
 	signals, last := b.breakers.Since(seen, tells, now)
-	out := make([]SignalNews, len(signals))
+	out := make([]SignalUpdate, len(signals))
 	for n, s := range signals {
-		out[n] = SignalNews{Instance: s.Instance, Born: s.Born, Age: now.Sub(s.Heard), Rest: s.Rest, Leaving: s.Leaving}
+		out[n] = SignalUpdate{Instance: s.Instance, Born: s.Born, Age: now.Sub(s.Heard), Rest: s.Rest, Leaving: s.Leaving}
 	}
 	return out, last
 }
 
 // takeSignals takes in what another daemon tells, and has those told who rely on this one.
-func (n *Node) takeSignals(news []SignalNews, from models.DaemonID) {
-	now, tell := time.Now(), false
-	for _, told := range news {
-		tell = n.breakers.Note(breaker.Signal{
-			Instance: told.Instance, Born: told.Born, Heard: now.Add(-told.Age), Rest: told.Rest, Leaving: told.Leaving,
-		}, from) || tell
+func (n *Node) handleSignals(updates []SignalUpdate, from models.DaemonID) {
+	now, changed := time.Now(), false
+	for _, u := range updates {
+		changed = n.breakers.Note(breaker.Signal{
+			Instance: u.Instance, Born: u.Born, Heard: now.Add(-u.Age), Rest: u.Rest, Leaving: u.Leaving,
+		}, from) || changed
 	}
-	if tell {
-		n.tellSignals()
+	if changed {
+		n.notifySignals()
 	}
 }
 
 // tellSignals has all daemons that this one is linked to told what is new of what instances
 // ask for, and the owner look at those that leave.
-func (n *Node) tellSignals() {
-	n.links.wakeAll()
+func (n *Node) notifySignals() {
+	n.links.notifyAll()
 	select {
 	case n.inbox <- signalsChanged{}:
 	default:
@@ -242,11 +242,11 @@
 
 // noteSaidLeaving has the instances leave that said so in answers. Entries may tell it later,
 // never, or the contrary.
-func (o *owner) noteSaidLeaving(now time.Time) {
-	for _, w := range o.n.breakers.leaving() {
-		k, known := o.fleet.instances[w.Instance]
-		if known && k.LifeOf(w.Born) == models.SameLife && !k.Draining {
-			o.noteLeaving(k, true, now.Sub(w.Heard))
+func (o *owner) applyLeavingSignals(now time.Time) {
+	for _, signal := range o.n.breakers.leavingInstances() {
+		k, known := o.fleet.instances[signal.Instance]
+		if known && k.LifeOf(signal.Born) == models.SameLife && !k.Draining {
+			o.markLeaving(k, true, now.Sub(signal.Heard))
 			o.fleetStale = true
 		}
 	}
--- a/cluster/breakers_test.go
+++ b/cluster/breakers_test.go
@@ -14,7 +14,7 @@
 // An instance says to one daemon that it leaves, and asks it for rest. All know soon that it
 // leaves, also those that start later; the rest binds the one alone, and the others take the
 // instance for busy.
-func TestSignalsAreTold(t *testing.T) {
+func TestSignalPropagation(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		daemons int
@@ -23,26 +23,26 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			peers := startPeers(t, test.daemons, test.zones)
-			rests, leaves := models.UpstreamInstance{ID: "i1"}, models.UpstreamInstance{ID: "i2"}
-			heard := peers[test.daemons-1]
-			heard.breakers.Heard(breaker.Signal{Instance: rests.ID, Heard: time.Now(), Rest: time.Minute})
-			heard.breakers.Heard(breaker.Signal{Instance: leaves.ID, Heard: time.Now(), Leaving: true})
-			knows := func(p *peerNode) bool {
-				return errors.Is(p.breakers.Blocks(leaves), breaker.ErrLeaving) && p.breakers.IsBusy(rests)
+			backingOff, leaving := models.UpstreamInstance{ID: "i1"}, models.UpstreamInstance{ID: "i2"}
+			observer := peers[test.daemons-1]
+			observer.breakers.Heard(breaker.Signal{Instance: backingOff.ID, Heard: time.Now(), Rest: time.Minute})
+			observer.breakers.Heard(breaker.Signal{Instance: leaving.ID, Heard: time.Now(), Leaving: true})
+			knows := func(p *testPeer) bool {
+				return errors.Is(p.breakers.Blocks(leaving), breaker.ErrLeaving) && p.breakers.IsBusy(backingOff)
 			}
-			took := waitAll(c, peers, toldWithin, "told", knows)
+			took := waitAll(c, peers, propagationTimeout, "told", knows)
 			t.Logf("all %d know after %v", test.daemons, took.Round(time.Millisecond))
 			late := startNth(t, test.daemons, test.zones, peers)
-			waitAll(c, []*peerNode{late}, met, "told at its start", knows)
+			waitAll(c, []*testPeer{late}, discoveryTimeout, "told at its start", knows)
 			for _, p := range append(peers, late) {
-				c.Assert(p.breakers.Blocks(rests) == nil, qt.Equals, p != heard)
+				c.Assert(p.breakers.Blocks(backingOff) == nil, qt.Equals, p != observer)
 			}
 		})
 	}
 }
 
 // The planner does not take groups whose heads rest for idle, nor for lost.
-func TestPlacesOfRestingGroups(t *testing.T) {
+func TestWithheldSlotsDuringBackoff(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	for _, id := range []models.InstanceID{"i1", "i2"} {
@@ -62,19 +62,19 @@
 }
 
 // An instance that rests is asked for one report, and for more after the rest.
-func TestReportsDuringRest(t *testing.T) {
+func TestProbesDuringBackoff(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	i := models.UpstreamInstance{ID: "i1"}
-	asked := func() int {
+	probesSent := func() int {
 		before := o.n.stats.reports.Get()
-		o.n.askReport(o.ctx, i, time.Millisecond)
+		o.n.sendProbe(o.ctx, i, time.Millisecond)
 		return int(o.n.stats.reports.Get() - before)
 	}
-	c.Assert(asked(), qt.Equals, 1)
+	c.Assert(probesSent(), qt.Equals, 1)
 	o.n.breakers.Heard(breaker.Signal{Instance: i.ID, Heard: time.Now(), Rest: 30 * time.Millisecond})
-	c.Assert(asked(), qt.Equals, 1)
-	c.Assert(asked(), qt.Equals, 0)
+	c.Assert(probesSent(), qt.Equals, 1)
+	c.Assert(probesSent(), qt.Equals, 0)
 	time.Sleep(30 * time.Millisecond)
-	c.Assert(asked(), qt.Equals, 1)
+	c.Assert(probesSent(), qt.Equals, 1)
 }
--- a/cluster/config_test.go
+++ b/cluster/config_test.go
@@ -12,39 +12,39 @@
 // TestConfigIsHandedOverOnDemand checks that a daemon asks one other for a
 // newer configuration, once its own reading had time to bring it. Handed over
 // unasked, every version went from each of 61 daemons to each other one.
-func TestConfigIsHandedOverOnDemand(t *testing.T) {
+func TestConfigSentOnRequest(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	now := time.Now()
-	beat := func(id models.DaemonID, version int64, wants models.DaemonID) {
-		o.handleHeartbeat(heartbeatSeen{beat: Heartbeat{From: id, ConfigVersion: version, Wants: wants}, at: now})
+	receive := func(id models.DaemonID, version int64, configSource models.DaemonID) {
+		o.handleHeartbeat(heartbeatReceived{heartbeat: Heartbeat{From: id, ConfigVersion: version, ConfigSource: configSource}, receivedAt: now})
 	}
-	beat("d2", 7, "")
-	o.catchUp(now)
-	c.Assert(o.peers.wants, qt.Equals, models.DaemonID(""))
-	o.catchUp(now.Add(2 * behindFor))
-	c.Assert(o.peers.wants, qt.Equals, models.DaemonID("d2"))
-	o.handleConfig([]byte(`{"Version":7}`), now, "peer")
-	o.catchUp(now.Add(3 * behindFor))
-	c.Assert(o.peers.wants, qt.Equals, models.DaemonID(""))
+	receive("d2", 7, "")
+	o.requestNewerConfig(now)
+	c.Assert(o.peers.configSource, qt.Equals, models.DaemonID(""))
+	o.requestNewerConfig(now.Add(2 * configFetchDelay))
+	c.Assert(o.peers.configSource, qt.Equals, models.DaemonID("d2"))
+	o.applyConfig([]byte(`{"Version":7}`), now, "peer")
+	o.requestNewerConfig(now.Add(3 * configFetchDelay))
+	c.Assert(o.peers.configSource, qt.Equals, models.DaemonID(""))
 	o.publish()
-	c.Assert(o.n.View().wantedBy["d2"], qt.IsFalse)
-	beat("d2", 6, "d1")
+	c.Assert(o.n.View().configRequesters["d2"], qt.IsFalse)
+	receive("d2", 6, "d1")
 	o.publish()
-	c.Assert(o.n.View().wantedBy["d2"], qt.IsTrue)
+	c.Assert(o.n.View().configRequesters["d2"], qt.IsTrue)
 }
 
 // TestConfigNeverGoesBack checks that an older or unreadable configuration
 // changes nothing.
-func TestConfigNeverGoesBack(t *testing.T) {
+func TestConfigNeverRegresses(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	now := time.Now()
-	o.handleConfig([]byte(`{"Version":7}`), now, "store")
-	o.handleConfig([]byte(`{"Version":6}`), now.Add(time.Second), "peer")
-	o.handleConfig([]byte(`{"Version":`), now.Add(time.Second), "peer")
+	o.applyConfig([]byte(`{"Version":7}`), now, "store")
+	o.applyConfig([]byte(`{"Version":6}`), now.Add(time.Second), "peer")
+	o.applyConfig([]byte(`{"Version":`), now.Add(time.Second), "peer")
 	c.Assert(o.config.routing.Version, qt.Equals, int64(7))
-	c.Assert(o.config.proven.Equal(now), qt.IsTrue)
-	o.handleConfig(nil, now.Add(2*time.Second), "store")
-	c.Assert(o.config.proven.Equal(now.Add(2*time.Second)), qt.IsTrue)
+	c.Assert(o.config.confirmedAt.Equal(now), qt.IsTrue)
+	o.applyConfig(nil, now.Add(2*time.Second), "store")
+	c.Assert(o.config.confirmedAt.Equal(now.Add(2*time.Second)), qt.IsTrue)
 }
--- a/cluster/entries.go
+++ b/cluster/entries.go
@@ -19,48 +19,48 @@
 	// sparseEntriesEvery takes the place of instancesEvery for those that rely
 	// on others; it stays well below the time within which an instance that
 	// leaves must get nothing new.
-	instancesEvery     = 500 * time.Millisecond
-	sparseEntriesEvery = 1500 * time.Millisecond
-	planEntriesEvery   = 250 * time.Millisecond
-	fedEntriesEvery    = 20 * time.Second
+	entriesInterval        = 500 * time.Millisecond
+	relayedEntriesInterval = 1500 * time.Millisecond
+	plannerEntriesInterval = 250 * time.Millisecond
+	updatedEntriesInterval = 20 * time.Second
 	// aliveWrites is after how many writes of its entry an instance that was found
 	// lost counts as alive again at a daemon that does not ask for itself: the
 	// first may have been on its way when it was lost.
-	aliveWrites = 2
+	writesToRecover = 2
 )
 
 // followInstances reads the entries of instances from the store.
 func (n *Node) followInstances(ctx context.Context) error {
-	if err := n.awaitPart(ctx); err != nil {
+	if err := n.awaitRoster(ctx); err != nil {
 		return err
 	}
-	f := follower{n: n, topic: platform.InstancesTopic, every: n.entriesEvery}
-	f.due = func() bool { return !n.awaitsRelay() }
+	f := topicReader{n: n, topic: platform.InstancesTopic, interval: n.entriesReadInterval}
+	f.shouldRead = func() bool { return !n.waitsForRelay() }
 	// What is missed while a reading is under way needs another one.
-	var noted int64
-	f.begin = func() { noted = n.missed.noted.Load() }
-	f.done = func() { n.missed.makeGood(noted) }
-	f.known = n.knownEnd
-	f.wait = func() time.Duration { return 0 }
-	f.whole = func(r reading) message { return instancesRead{r} }
-	f.added = func(r reading) message { return instancesChanged{r} }
+	var recorded int64
+	f.beforeRead = func() { recorded = n.missedUpdates.recorded.Load() }
+	f.afterRead = func() { n.missedUpdates.recoverTo(recorded) }
+	f.knownEnd = n.knownEnd
+	f.holdTime = func() time.Duration { return 0 }
+	f.onSnapshot = func(r readResult) message { return instancesSnapshot{r} }
+	f.onDelta = func(r readResult) message { return instancesDelta{r} }
 	return f.run(ctx)
 }
 
 // entriesEvery is the pause between two readings of entries. Missed news are
 // read at once: those that come next do not bring them.
-func (n *Node) entriesEvery() time.Duration {
+func (n *Node) entriesReadInterval() time.Duration {
 	switch {
-	case n.missed.pending() && !n.awaitsRelay():
+	case n.missedUpdates.pending() && !n.waitsForRelay():
 		return 0
 	case n.planning.Load():
-		return planEntriesEvery
-	case n.fedLately(), n.relies() && n.fedWithin(feedPatience):
-		return fedEntriesEvery
-	case n.relies():
-		return sparseEntriesEvery
+		return plannerEntriesInterval
+	case n.hasFreshUpdates(), n.usesRelay() && n.updatedWithin(relayedUpdateTimeout):
+		return updatedEntriesInterval
+	case n.usesRelay():
+		return relayedEntriesInterval
 	default:
-		return instancesEvery
+		return entriesInterval
 	}
 }
 
@@ -70,24 +70,24 @@
 	// With the time of a reading it stays within that in which a leaving instance must get
 	// nothing new. 300 daemons that read 0.6 s after a planner had changed, though all of
 	// them knew what was 0.6 s old, kept the store from answering for 6 s.
-	relayBound = feedPatience + 600*time.Millisecond
+	maxRelayWait = relayedUpdateTimeout + 600*time.Millisecond
 	// startBound is the same at the start: it takes 0.5 s until one plans and 0.3 s until
 	// the relays hear from it.
-	startBound = time.Second
+	maxStartupRelayWait = time.Second
 	// startPatience is how long a daemon that starts waits to learn its part: the
 	// roster is read within some ms, and a store that is away tells nothing else
 	// either.
-	startPatience = 300 * time.Millisecond
+	rosterTimeout = 300 * time.Millisecond
 )
 
 // awaitPart waits until the node knows its part among the daemons, but not for long.
-func (n *Node) awaitPart(ctx context.Context) error {
-	late := time.NewTimer(startPatience)
+func (n *Node) awaitRoster(ctx context.Context) error {
+	late := time.NewTimer(rosterTimeout)
 	defer late.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-n.partKnown:
+	case <-n.rosterReady:
 	case <-late.C:
 	}
 	return nil
@@ -96,24 +96,24 @@
 // awaitsRelay reports whether what this daemon does not know of instances is to
 // come from its relay rather than from the store. 295 daemons that all read 766
 // entries at their start made 900 calls and moved 0.1 GB.
-func (n *Node) awaitsRelay() bool {
-	if !n.relies() {
+func (n *Node) waitsForRelay() bool {
+	if !n.usesRelay() {
 		return false
 	}
-	if !n.missed.pending() {
-		return n.fedWithin(feedPatience)
+	if !n.missedUpdates.pending() {
+		return n.updatedWithin(relayedUpdateTimeout)
 	}
-	bound := relayBound
+	bound := maxRelayWait
 	if n.entriesAt.Load() == 0 {
-		bound = startBound
+		bound = maxStartupRelayWait
 	}
-	return *n.asked.Load() != "" && n.entriesAge() < bound
+	return *n.snapshotRelay.Load() != "" && n.entriesAge() < bound
 }
 
 // handleInstances takes in entries read from the store: all of them if whole,
 // else those that were written since the last reading.
-func (o *owner) handleInstances(read reading, whole bool) {
-	o.beginEra(read.end.Era, time.Now())
+func (o *owner) handleEntries(read readResult, snapshot bool) {
+	o.advanceEra(read.end.Era, time.Now())
 	if read.end.Era < o.fleet.entries.end.Era {
 		// The store has forgotten since what it answered then.
 		return
@@ -121,31 +121,31 @@
 	listed := map[models.InstanceID]bool{}
 	for _, r := range read.records {
 		listed[models.InstanceID(r.Key)] = len(r.Value) > 0
-		o.handleRecord(r, read.asked)
+		o.handleEntryRecord(r, read.requestedAt)
 	}
 	switch before := o.fleet.entries.end; {
-	case !whole || read.end.Compare(before) < 0:
+	case !snapshot || read.end.Compare(before) < 0:
 	case read.end.Era > before.Era:
 		o.markMissing(listed, time.Now())
 	default:
-		o.dropUnlisted(listed, read.asked)
+		o.removeUnlisted(listed, read.requestedAt)
 	}
-	complete := read.asked
+	complete := read.requestedAt
 	if read.more {
 		// What stands behind the part that was read is not known.
-		complete = o.fleet.entries.at
+		complete = o.fleet.entries.currentAt
 	}
-	o.fleet.entries.reach(read.end, complete)
-	if whole {
+	o.fleet.entries.advance(read.end, complete)
+	if snapshot {
 		// What came and went between is in no whole reading, and can't be told.
-		o.fleet.toldTo = o.fleet.entries.end
+		o.fleet.broadcastEnd = o.fleet.entries.end
 	}
-	o.showEntriesAge()
-	o.noteKnownAnew(time.Now())
+	o.publishProgress()
+	o.markResynced(time.Now())
 	// Even without news the others learn that this one still reads.
-	o.spread(o.fleet.changedEntries(read.records, read.asked)...)
-	if o.fleet.planner != nil && len(o.fleet.news) == 0 {
-		o.sendFeed()
+	o.queueUpdates(o.fleet.updatesFor(read.records, read.requestedAt)...)
+	if o.fleet.planner != nil && len(o.fleet.pendingUpdates) == 0 {
+		o.broadcastUpdates()
 	}
 	o.fleetStale = o.fleetStale || len(read.records) > 0
 }
@@ -153,65 +153,65 @@
 // handleRecord takes in one record, unless what it tells is known already, by others'
 // word, with all that followed: a reading that was overtaken would bring back an instance
 // that is gone.
-func (o *owner) handleRecord(r platform.KeyedRecord, asked time.Time) {
+func (o *owner) handleEntryRecord(r platform.KeyedRecord, requestedAt time.Time) {
 	if r.At.Compare(o.fleet.entries.end) < 0 {
 		return
 	}
 	id := models.InstanceID(r.Key)
 	if len(r.Value) == 0 {
 		delete(o.fleet.unreadable, id)
-		o.dropInstance(id)
+		o.handleEntryGone(id)
 		return
 	}
 	i, err := platform.DecodeInstance(r.Key, r.Value)
 	if err != nil {
 		// Another writer's: it names no instance, also where one was named before.
-		o.noteUnreadable(id, r.Value, err)
-		o.dropInstance(id)
+		o.reportUnreadable(id, r.Value, err)
+		o.handleEntryGone(id)
 		return
 	}
 	delete(o.fleet.unreadable, id)
-	o.noteEntry(i, asked)
-	o.fleet.noteListed(id, models.Position{Era: r.At.Era, Offset: r.At.Offset + 1}, time.Time{})
+	o.applyEntry(i, requestedAt)
+	o.fleet.markListed(id, models.Position{Era: r.At.Era, Offset: r.At.Offset + 1}, time.Time{})
 }
 
 // dropUnlisted drops the instances that a whole reading does not list, and tells the
 // others: no record does.
-func (o *owner) dropUnlisted(listed map[models.InstanceID]bool, asked time.Time) {
+func (o *owner) removeUnlisted(listed map[models.InstanceID]bool, requestedAt time.Time) {
 	for id := range o.fleet.instances {
 		if !listed[id] {
-			o.dropInstance(id)
-			o.spread(o.fleet.goneNews(id, asked))
+			o.handleEntryGone(id)
+			o.queueUpdates(o.fleet.goneUpdate(id, requestedAt))
 		}
 	}
 	maps.DeleteFunc(o.fleet.unreadable, func(id models.InstanceID, _ uint64) bool { return !listed[id] })
 }
 
 // goneNews tells that an instance's entry was gone at a time, and what its last one was.
-func (f *fleetState) goneNews(id models.InstanceID, at time.Time) InstanceNews {
+func (f *fleetState) goneUpdate(id models.InstanceID, at time.Time) InstanceUpdate {
 	last := models.UpstreamInstance{ID: id}
 	if e, ended := f.ended[id]; ended {
 		last.Born, last.Heartbeat = e.born, e.heartbeat
 	}
-	return InstanceNews{Instance: last, Age: time.Since(at), Gone: true}
+	return InstanceUpdate{Instance: last, Age: time.Since(at), Gone: true}
 }
 
 // noteUnreadable tells of an entry that can't be read, once for each change of it.
-func (o *owner) noteUnreadable(id models.InstanceID, value []byte, err error) {
-	sum := maphash.Bytes(entrySeed, value)
+func (o *owner) reportUnreadable(id models.InstanceID, value []byte, err error) {
+	sum := maphash.Bytes(entryHashSeed, value)
 	if before, known := o.fleet.unreadable[id]; known && before == sum {
 		return
 	}
 	o.fleet.unreadable[id] = sum
-	o.n.stats.foreign.Inc()
+	o.n.stats.unreadable.Inc()
 	o.n.log.Error().Err(err).Msg("instance-unreadable")
 }
 
 // entrySeed is that of the sums by which changes of unreadable entries are told.
-var entrySeed = maphash.MakeSeed()
+var entryHashSeed = maphash.MakeSeed()
 
 // noteEntry takes in one entry, as it stood in the store when it was asked for.
-func (o *owner) noteEntry(i models.UpstreamInstance, asked time.Time) {
+func (o *owner) applyEntry(i models.UpstreamInstance, requestedAt time.Time) {
 	now := time.Now()
 	k, known := o.fleet.instances[i.ID]
 	if !known && o.fleet.hasEnded(i) {
@@ -219,10 +219,10 @@
 	}
 	if !known {
 		k = &knownInstance{}
-		o.fleet.instances[i.ID], o.fleet.listed = k, true
+		o.fleet.instances[i.ID], o.fleet.listStale = k, true
 	}
-	if !o.noteLife(k, i.Born, asked) {
-		o.askAsPlanner(k, now)
+	if !o.observeIncarnation(k, i.Born, requestedAt) {
+		o.probeIfPlanner(k, now)
 		return
 	}
 	if known && (k.Draining != i.Draining || k.Group != i.Group) {
@@ -232,23 +232,23 @@
 	// Who leaves does not come back in this life: a reading that was overtaken by the
 	// word of it would have it get requests again.
 	i.Draining = i.Draining || k.Draining
-	o.fleet.listed = o.fleet.listed || i.Draining != k.Draining
-	stale := known && o.goesBack(k, i, asked)
+	o.fleet.listStale = o.fleet.listStale || i.Draining != k.Draining
+	stale := known && o.hasOutdatedGroup(k, i, requestedAt)
 	if stale {
 		i.Group, i.Loaded, i.Staged = k.Group, k.Loaded, k.Staged
 	}
-	if o.fleet.planner == nil && i.Heartbeat >= k.Heartbeat+aliveWrites {
+	if o.fleet.planner == nil && i.Heartbeat >= k.Heartbeat+writesToRecover {
 		// The word that it is back was missed.
-		k.lost = time.Time{}
+		k.lostSince = time.Time{}
 	}
-	if k.lost.IsZero() {
-		k.takeIn(i)
+	if k.lostSince.IsZero() {
+		k.merge(i)
 	} else {
-		k.takeInLost(i)
+		k.mergeLost(i)
 	}
-	k.written, k.unlisted = now, false
-	if stale || (!k.lost.IsZero() && now.Sub(k.lost) > askAgain) {
-		o.askAsPlanner(k, now)
+	k.entrySeenAt, k.unlisted = now, false
+	if stale || (!k.lostSince.IsZero() && now.Sub(k.lostSince) > minProbeInterval) {
+		o.probeIfPlanner(k, now)
 	}
 }
 
@@ -256,16 +256,16 @@
 // and what the instance itself told is newer than the entry may be. The one
 // that plans takes any such entry for old and asks: it would use a member that
 // seems to be free.
-func (o *owner) goesBack(k *knownInstance, i models.UpstreamInstance, asked time.Time) bool {
+func (o *owner) hasOutdatedGroup(k *knownInstance, i models.UpstreamInstance, requestedAt time.Time) bool {
 	if i.Group == k.Group || i.Group.Follows(k.Group) {
 		return false
 	}
-	return o.fleet.planner != nil || asked.Before(k.told.Add(entryLag))
+	return o.fleet.planner != nil || requestedAt.Before(k.stateAt.Add(entryLag))
 }
 
 // takeIn replaces what is known of the instance in this life, but for the model that
 // it ran last: an instance in no group tells none.
-func (k *knownInstance) takeIn(i models.UpstreamInstance) {
+func (k *knownInstance) merge(i models.UpstreamInstance) {
 	i.Loaded = cmp.Or(i.Loaded, k.Loaded)
 	if i.Born.IsZero() {
 		i.Born = k.Born
@@ -275,51 +275,53 @@
 
 // takeInLost is takeIn for an instance that was found lost. It keeps the count
 // of writes at that time, against which later ones tell that it lives.
-func (k *knownInstance) takeInLost(i models.UpstreamInstance) {
+func (k *knownInstance) mergeLost(i models.UpstreamInstance) {
 	i.Heartbeat = k.Heartbeat
-	k.takeIn(i)
+	k.merge(i)
 }
 
 // changedEntries are the instances of these records of which the others have
 // not been told as they are now.
-func (f *fleetState) changedEntries(records []platform.KeyedRecord, asked time.Time) []InstanceNews {
+func (f *fleetState) updatesFor(records []platform.KeyedRecord, requestedAt time.Time) []InstanceUpdate {
 	if f.planner == nil {
 		return nil
 	}
-	var out []InstanceNews
-	told := map[models.InstanceID]bool{}
+	var out []InstanceUpdate
+	seen := map[models.InstanceID]bool{}
 	for _, r := range records {
 		id := models.InstanceID(r.Key)
-		if told[id] {
+		if seen[id] {
 			continue
 		}
-		told[id] = true
+		seen[id] = true
 		k, known := f.instances[id]
 		if !known || k.unlisted {
-			out = append(out, f.goneNews(id, asked))
+			out = append(out, f.goneUpdate(id, requestedAt))
 			continue
 		}
-		if k.differs() {
-			k.spread = k.shown()
-			out = append(out, k.news(asked))
+		if k.needsBroadcast() {
+			k.lastBroadcast = k.broadcastState()
+			out = append(out, k.toUpdate(requestedAt))
 		}
 	}
 	return out
 }
 
 // shown is what the other daemons are told of the instance.
-func (k *knownInstance) shown() models.UpstreamInstance {
+func (k *knownInstance) broadcastState() models.UpstreamInstance {
 	shown := k.UpstreamInstance
 	shown.Heartbeat = 0
 	return shown
 }
 
 // differs reports whether the others were not told of the instance as it is now.
-func (k *knownInstance) differs() bool { return !reflect.DeepEqual(k.shown(), k.spread) }
+func (k *knownInstance) needsBroadcast() bool {
+	return !reflect.DeepEqual(k.broadcastState(), k.lastBroadcast)
+}
 
 // news is what the other daemons are told of the instance, as it was at a time.
-func (k *knownInstance) news(at time.Time) InstanceNews {
-	return InstanceNews{
-		Instance: k.UpstreamInstance, Age: time.Since(at), Lost: !k.lost.IsZero(), Missing: k.missingFor(time.Now()),
+func (k *knownInstance) toUpdate(at time.Time) InstanceUpdate {
+	return InstanceUpdate{
+		Instance: k.UpstreamInstance, Age: time.Since(at), Lost: !k.lostSince.IsZero(), Missing: k.missingFor(time.Now()),
 	}
 }
--- a/cluster/known_property_test.go
+++ b/cluster/entries_progress_property_test.go
@@ -16,12 +16,12 @@
 // knownSeeds are how many histories TestKnownEntriesHold makes up, knownSteps how many
 // steps each has.
 const (
-	knownSeeds = 2000
-	knownSteps = 60
+	historySeeds = 2000
+	historySteps = 60
 )
 
 // knownRegressions are later seeds that once failed, with the cause.
-var knownRegressions = []uint64{
+var regressionSeeds = []uint64{
 	2438,  // what was to be told in an earlier term was told in the next
 	4171,  // word that an entry went lost against a reading asked earlier and handled later
 	60915, // what came and went between two whole readings of a planner was never told
@@ -32,67 +32,67 @@
 // as of the time that it claims, it uses no instance that had said that it leaves by then,
 // and none whose entry had gone. News are lost, held up and overtaken, readings come late,
 // and the store comes back from copies.
-func TestKnownEntriesHold(t *testing.T) {
-	seeds := knownRegressions
-	for seed := range uint64(knownSeeds) {
+func TestEntriesProgressProperty(t *testing.T) {
+	seeds := regressionSeeds
+	for seed := range uint64(historySeeds) {
 		seeds = append(seeds, seed)
 	}
 	for _, seed := range seeds {
-		synctest.Test(t, func(t *testing.T) { playKnownHistory(t, seed) })
+		synctest.Test(t, func(t *testing.T) { playHistory(t, seed) })
 	}
 }
 
-func playKnownHistory(t *testing.T, seed uint64) {
+func playHistory(t *testing.T, seed uint64) {
 	c := qt.New(t)
-	h := &knownHistory{knownScript: newKnownScript(c, t), random: rand.New(rand.NewPCG(seed, 3)), ended: map[string]time.Time{}}
+	h := &randomHistory{progressScript: newProgressScript(c, t), random: rand.New(rand.NewPCG(seed, 3)), ended: map[string]time.Time{}}
 	h.step("daemons a b c d")
 	for _, name := range []string{"a", "b", "c", "d"} {
 		h.step("read " + name)
 	}
-	for range knownSteps {
-		h.step(h.next())
+	for range historySteps {
+		h.step(h.nextStep())
 		if problem := h.check(); problem != "" {
-			t.Fatalf("seed %d: %s after\n%s", seed, problem, strings.Join(h.done, "\n"))
+			t.Fatalf("seed %d: %s after\n%s", seed, problem, strings.Join(h.steps, "\n"))
 		}
 	}
 }
 
 // knownHistory is a script that is made up.
-type knownHistory struct {
-	*knownScript
+type randomHistory struct {
+	*progressScript
 	random *rand.Rand
-	done   []string
+	steps  []string
 	// made counts the instances, term the terms, planner is who plans.
-	made    int
-	term    int
-	planner string
+	instances int
+	term      int
+	planner   string
 	// ended is when an instance said that it leaves, or its entry went, in this era.
 	ended map[string]time.Time
 	// savedEnded are those of the copy.
 	savedEnded map[string]time.Time
 }
 
-func (h *knownHistory) step(line string) {
-	h.done = append(h.done, line)
+func (h *randomHistory) step(line string) {
+	h.steps = append(h.steps, line)
 	h.comment = qt.Commentf("%s", line)
-	h.do(strings.Fields(line))
+	h.run(strings.Fields(line))
 	h.deliver()
 	time.Sleep(time.Millisecond)
 }
 
-func (h *knownHistory) daemon() string { return string("abcd"[h.random.IntN(4)]) }
+func (h *randomHistory) daemon() string { return string("abcd"[h.random.IntN(4)]) }
 
 // next makes up a step.
-func (h *knownHistory) next() string {
+func (h *randomHistory) nextStep() string {
 	d := h.daemon()
 	switch h.random.IntN(14) {
 	case 0:
-		h.made++
-		return fmt.Sprintf("put i-%d ready", h.made)
+		h.instances++
+		return fmt.Sprintf("put i-%d ready", h.instances)
 	case 1:
-		return h.end("put %s leaving")
+		return h.endInstance("put %s leaving")
 	case 2:
-		return h.end("gone %s")
+		return h.endInstance("gone %s")
 	case 3:
 		return fmt.Sprintf("wait %dms", 1+h.random.IntN(700))
 	case 4, 5:
@@ -125,18 +125,18 @@
 }
 
 // end has an instance leave or be gone.
-func (h *knownHistory) end(format string) string {
-	if h.made == 0 {
+func (h *randomHistory) endInstance(format string) string {
+	if h.instances == 0 {
 		return "wait 1ms"
 	}
-	id := fmt.Sprintf("i-%d", 1+h.random.IntN(h.made))
+	id := fmt.Sprintf("i-%d", 1+h.random.IntN(h.instances))
 	if _, ended := h.ended[id]; !ended {
 		h.ended[id] = time.Now()
 	}
 	return fmt.Sprintf(format, id)
 }
 
-func (h *knownHistory) copyOrRestore() string {
+func (h *randomHistory) copyOrRestore() string {
 	if h.savedEnded == nil || h.random.IntN(3) > 0 {
 		h.savedEnded = map[string]time.Time{}
 		for id, at := range h.ended {
@@ -152,19 +152,19 @@
 }
 
 // check returns what a daemon uses though it claims to know better.
-func (h *knownHistory) check() string {
+func (h *randomHistory) check() string {
 	for name, o := range h.owners {
 		if o.fleet.entries.end.Era < h.era {
 			continue
 		}
 		for id, at := range h.ended {
 			k := o.fleet.instances[models.InstanceID(id)]
-			if k != nil && !k.missing.IsZero() {
+			if k != nil && !k.missingSince.IsZero() {
 				// A store that came back lacks it: it is kept for a while on purpose.
 				continue
 			}
-			if k != nil && k.usable() && o.fleet.entries.at.After(at) {
-				return fmt.Sprintf("%s uses %s, ended %v before what it claims to know", name, id, o.fleet.entries.at.Sub(at))
+			if k != nil && k.usable() && o.fleet.entries.currentAt.After(at) {
+				return fmt.Sprintf("%s uses %s, ended %v before what it claims to know", name, id, o.fleet.entries.currentAt.Sub(at))
 			}
 		}
 	}
--- a/cluster/known_test.go
+++ b/cluster/entries_progress_test.go
@@ -58,29 +58,29 @@
 //	known DAEMON ID BOOL      checks whether it knows the instance
 //	usable DAEMON ID BOOL     checks whether requests may go to the instance
 //	complete DAEMON BOOL      checks whether it knows all entries as of late
-func TestKnownEntries(t *testing.T) {
+func TestEntriesProgress(t *testing.T) {
 	files, err := filepath.Glob("testdata/known/*.txt")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, files, qt.Not(qt.HasLen), 0)
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { runKnownScript(t, file) })
+			synctest.Test(t, func(t *testing.T) { runProgressScript(t, file) })
 		})
 	}
 }
 
-func runKnownScript(t *testing.T, file string) {
+func runProgressScript(t *testing.T, file string) {
 	c := qt.New(t)
 	f, err := os.Open(file)
 	c.Assert(err, qt.IsNil)
 	defer f.Close()
-	s := newKnownScript(c, t)
+	s := newProgressScript(c, t)
 	lines := bufio.NewScanner(f)
 	for n := 1; lines.Scan(); n++ {
 		line, _, _ := strings.Cut(lines.Text(), "#")
 		if words := strings.Fields(line); len(words) > 0 {
 			s.comment = qt.Commentf("%s:%d: %s", filepath.Base(file), n, line)
-			s.do(words)
+			s.run(words)
 			s.deliver()
 			time.Sleep(time.Millisecond)
 		}
@@ -88,7 +88,7 @@
 	c.Assert(lines.Err(), qt.IsNil)
 }
 
-type knownScript struct {
+type progressScript struct {
 	c       *qt.C
 	t       *testing.T
 	comment qt.Comment
@@ -97,23 +97,23 @@
 	// it each daemon has read.
 	log, saved []platform.KeyedRecord
 	// wrote is when each record of the log was written.
-	wrote []time.Time
-	era   int64
-	read  map[models.DaemonID]models.Position
-	lost  map[models.DaemonID]bool
-	held  map[models.DaemonID][]sharedFrame
+	writtenAt []time.Time
+	era       int64
+	read      map[models.DaemonID]models.Position
+	dropNext  map[models.DaemonID]bool
+	held      map[models.DaemonID][]sharedFrame
 	// writes counts the writes of each instance.
 	writes map[string]int
 }
 
-func newKnownScript(c *qt.C, t *testing.T) *knownScript {
-	return &knownScript{
+func newProgressScript(c *qt.C, t *testing.T) *progressScript {
+	return &progressScript{
 		c: c, t: t, owners: map[models.DaemonID]*owner{}, read: map[models.DaemonID]models.Position{},
-		lost: map[models.DaemonID]bool{}, held: map[models.DaemonID][]sharedFrame{}, writes: map[string]int{},
+		dropNext: map[models.DaemonID]bool{}, held: map[models.DaemonID][]sharedFrame{}, writes: map[string]int{},
 	}
 }
 
-func (s *knownScript) do(words []string) {
+func (s *progressScript) run(words []string) {
 	verb, words := words[0], append(words[1:], "")
 	name := models.DaemonID(words[0])
 	o, now := s.owners[name], time.Now()
@@ -134,9 +134,9 @@
 		s.scan(words[1], &end)
 		asked := time.Now()
 		if end < len(s.log) {
-			asked = s.wrote[end]
+			asked = s.writtenAt[end]
 		}
-		s.handle(o, s.log[:end], s.position(end), asked, false)
+		s.applyRead(o, s.log[:end], s.position(end), asked, false)
 	case "plan":
 		var term int64
 		s.scan(words[1], &term)
@@ -144,24 +144,24 @@
 	case "stop":
 		o.stopPlanning("test")
 	case "feed":
-		o.sendFeed()
+		o.broadcastUpdates()
 	case "report":
 		k := o.fleet.instances[models.InstanceID(words[1])]
-		o.tellOthers(k, now)
-		o.sendFeed()
+		o.broadcastInstance(k, now)
+		o.broadcastUpdates()
 	case "ask":
-		o.noteMissed(now)
-		s.owners[models.DaemonID(words[1])].tellWhole(name, now)
+		o.requestMissed(now)
+		s.owners[models.DaemonID(words[1])].sendSnapshot(name, now)
 	case "beat":
 		to := s.owners[models.DaemonID(words[1])]
-		to.handleHeartbeat(heartbeatSeen{beat: o.n.heartbeat("", membership.Link{}), at: now})
+		to.handleHeartbeat(heartbeatReceived{heartbeat: o.n.heartbeat("", membership.Link{}), receivedAt: now})
 	case "says", "tell":
-		s.hearWords(verb, o, words[1])
+		s.signalLeaving(verb, o, words[1])
 	case "tick":
-		o.dropMissing(now)
-		o.noteSaidLeaving(now)
+		o.removeMissing(now)
+		o.applyLeavingSignals(now)
 	case "lose":
-		s.lost[name] = true
+		s.dropNext[name] = true
 	case "hold":
 		s.held[name] = []sharedFrame{}
 	case "release":
@@ -177,48 +177,48 @@
 		k := o.fleet.instances[models.InstanceID(words[1])]
 		s.c.Assert(fmt.Sprint(k != nil && k.usable()), qt.Equals, words[2], s.comment)
 	case "complete":
-		s.c.Assert(fmt.Sprint(o.n.fedWithin(feedPatience) && !o.n.missed.pending()), qt.Equals, words[1], s.comment)
+		s.c.Assert(fmt.Sprint(o.n.updatedWithin(relayedUpdateTimeout) && !o.n.missedUpdates.pending()), qt.Equals, words[1], s.comment)
 	default:
 		s.c.Fatalf("%s: no such command", s.comment)
 	}
 }
 
 // release hands a daemon the news that were held back from it.
-func (s *knownScript) release(name models.DaemonID) {
+func (s *progressScript) release(name models.DaemonID) {
 	held := s.held[name]
 	delete(s.held, name)
 	for _, f := range held {
-		s.hand(name, f)
+		s.deliverTo(name, f)
 	}
 }
 
 // hearWords has a daemon hear that an instance says it leaves, or tell another daemon.
-func (s *knownScript) hearWords(verb string, o *owner, of string) {
+func (s *progressScript) signalLeaving(verb string, o *owner, of string) {
 	if verb == "says" {
 		o.n.breakers.Heard(breaker.Signal{Instance: models.InstanceID(of), Heard: time.Now(), Leaving: true})
-		o.handleWaiting()
+		o.drainInbox()
 		return
 	}
 	to := s.owners[models.DaemonID(of)]
-	news, _ := o.n.breakers.since(0, func(models.DaemonID) bool { return true })
-	to.n.takeSignals(news, o.n.cfg.ID)
-	to.handleWaiting()
+	news, _ := o.n.breakers.changesSince(0, func(models.DaemonID) bool { return true })
+	to.n.handleSignals(news, o.n.cfg.ID)
+	to.drainInbox()
 }
 
-func (s *knownScript) scan(text string, out any) {
+func (s *progressScript) scan(text string, out any) {
 	_, err := fmt.Sscan(text, out)
 	s.c.Assert(err, qt.IsNil, s.comment)
 }
 
 // start makes daemons that hear of each other all that is sent.
-func (s *knownScript) start(names []string) {
+func (s *progressScript) start(names []string) {
 	for _, name := range names {
 		o := newTestOwner(s.t)
 		o.n.cfg.ID = models.DaemonID(name)
 		o.config.routing = &models.Routing{}
 		for _, other := range names {
 			if other != name {
-				o.n.links.known[models.DaemonID(other)] = &linkEnd{frames: make(chan sharedFrame, newsLen)}
+				o.n.links.peers[models.DaemonID(other)] = &peerLink{frames: make(chan sharedFrame, linkQueueLen)}
 			}
 		}
 		s.owners[o.n.cfg.ID] = o
@@ -226,35 +226,35 @@
 }
 
 // deliver hands over what was sent.
-func (s *knownScript) deliver() {
+func (s *progressScript) deliver() {
 	for _, from := range s.owners {
-		for to, end := range from.n.links.known {
+		for to, end := range from.n.links.peers {
 			for len(end.frames) > 0 {
-				s.hand(to, <-end.frames)
+				s.deliverTo(to, <-end.frames)
 			}
 		}
 	}
 }
 
-func (s *knownScript) hand(to models.DaemonID, f sharedFrame) {
+func (s *progressScript) deliverTo(to models.DaemonID, f sharedFrame) {
 	kind, body, err := frame.Read(bytes.NewReader(f.plain.Bytes))
 	s.c.Assert(err, qt.IsNil)
 	if held, late := s.held[to]; late {
 		s.held[to] = append(held, f)
 		return
 	}
-	if s.lost[to] {
-		s.lost[to] = false
+	if s.dropNext[to] {
+		s.dropNext[to] = false
 		return
 	}
 	o := s.owners[to]
-	_, err = (&peerServer{n: o.n}).take(o.ctx, kind, body, Heartbeat{})
+	_, err = (&peerServer{n: o.n}).handleFrame(o.ctx, kind, body, Heartbeat{})
 	s.c.Assert(err, qt.IsNil)
-	o.handleWaiting()
+	o.drainInbox()
 }
 
 // write changes what the store holds.
-func (s *knownScript) write(verb string, words []string) {
+func (s *progressScript) write(verb string, words []string) {
 	switch verb {
 	case "put":
 		s.put(words[0], words[1])
@@ -264,34 +264,34 @@
 		s.saved = slices.Clone(s.log)
 	case "restore":
 		s.log, s.era = slices.Clone(s.saved), s.era+1
-		s.wrote = s.wrote[:len(s.log)]
+		s.writtenAt = s.writtenAt[:len(s.log)]
 	}
 }
 
 // put has an instance write its entry.
-func (s *knownScript) put(id, state string) {
+func (s *progressScript) put(id, state string) {
 	s.writes[id]++
 	word := map[string]string{"ready": "ready", "leaving": "draining"}[state]
 	value := fmt.Sprintf(`{"Service":"plain","Address":"10.0.0.1:80","Zone":"z","Slots":4,"State":%q,"Sequence":%d}`, word, s.writes[id])
 	s.append(id, []byte(value))
 }
 
-func (s *knownScript) append(id string, value []byte) {
+func (s *progressScript) append(id string, value []byte) {
 	s.log = append(s.log, platform.KeyedRecord{Key: id, Value: value, At: s.position(len(s.log))})
-	s.wrote = append(s.wrote, time.Now())
+	s.writtenAt = append(s.writtenAt, time.Now())
 }
 
-func (s *knownScript) position(offset int) models.Position {
+func (s *progressScript) position(offset int) models.Position {
 	return models.Position{Era: s.era, Offset: int64(offset)}
 }
 
 // readNew has a daemon read what it has not read in this era: the newest record of each
 // key if it has read nothing.
-func (s *knownScript) readNew(o *owner) {
+func (s *progressScript) readNew(o *owner) {
 	from, end := s.read[o.n.cfg.ID], s.position(len(s.log))
 	s.read[o.n.cfg.ID] = end
 	if from.Era == s.era {
-		s.handle(o, s.log[from.Offset:], end, time.Now(), false)
+		s.applyRead(o, s.log[from.Offset:], end, time.Now(), false)
 		return
 	}
 	newest := map[string]platform.KeyedRecord{}
@@ -300,11 +300,11 @@
 		newest[r.Key] = r
 	}
 	maps.DeleteFunc(newest, func(_ string, r platform.KeyedRecord) bool { return r.Value == nil })
-	s.handle(o, slices.Collect(maps.Values(newest)), end, time.Now(), true)
+	s.applyRead(o, slices.Collect(maps.Values(newest)), end, time.Now(), true)
 }
 
 // handle has a daemon take in records of the store.
-func (s *knownScript) handle(o *owner, records []platform.KeyedRecord, end models.Position, asked time.Time, whole bool) {
-	o.handleInstances(reading{records: records, end: end, asked: asked}, whole)
-	o.n.missed.makeGood(o.n.missed.noted.Load())
+func (s *progressScript) applyRead(o *owner, records []platform.KeyedRecord, end models.Position, asked time.Time, whole bool) {
+	o.handleEntries(readResult{records: records, end: end, requestedAt: asked}, whole)
+	o.n.missedUpdates.recoverTo(o.n.missedUpdates.recorded.Load())
 }
--- a/cluster/fleet.go
+++ b/cluster/fleet.go
@@ -13,51 +13,51 @@
 type fleetState struct {
 	instances map[models.InstanceID]*knownInstance
 	// entries is how far they are known, toldTo how far the others were told of them.
-	entries entriesKnown
-	toldTo  models.Position
+	entries      entriesProgress
+	broadcastEnd models.Position
 	// services are those of the configuration, nil until there is one.
 	services map[models.ServiceName]models.UpstreamService
 	// restarted are the members of groups that started again since: such a group
 	// stands still.
 	restarted map[models.GroupKey][]models.InstanceID
 	// ended are instances whose entries went, and not long ago.
-	ended map[models.InstanceID]endedLife
+	ended map[models.InstanceID]endedInstance
 	// restored is when the store came back, if not all is known since.
-	restored time.Time
+	restoredAt time.Time
 	// unreadable holds a sum of each entry that can't be read.
 	unreadable map[models.InstanceID]uint64
 	// listed tells that instances came or went since the last view.
-	listed bool
+	listStale bool
 	// planner is set while this node plans, which its lease lets it until.
-	planner *fleet.Planner
-	until   time.Time
+	planner    *fleet.Planner
+	leaseUntil time.Time
 	// heldTerm is the term of the lease.
 	heldTerm int64
 	// began is when this node began to plan in the term.
-	began time.Time
+	termBegan time.Time
 	// orders are those that are due and not given yet, underWay counts those that were
 	// given and not answered. questions and asking are the same of reports.
-	orders    []types.GroupOrder
-	underWay  int
-	questions []question
-	asking    int
+	orders         []types.GroupOrder
+	ordersInFlight int
+	probes         []queuedProbe
+	probesInFlight int
 	// calls bounds how many of both are under way.
-	calls *inflight.Limit
+	callLimit *inflight.Limit
 	// planned is when orders were last planned.
-	planned spacing
+	lastPlan throttle
 	// suspects are stalled heads, until when.
 	suspects map[models.InstanceID]suspicion
 	// traffic tells that requests have come to any daemon.
-	traffic bool
+	hasTraffic bool
 	// due are instances to be asked for a report, and when.
-	due map[models.InstanceID]time.Time
+	probeAt map[models.InstanceID]time.Time
 	// news is what is to be told to the other daemons.
-	news []InstanceNews
+	pendingUpdates []InstanceUpdate
 	// feed counts what was sent of it, fedOthers is when that was last.
-	feed      int64
-	fedOthers time.Time
+	updateSeq       int64
+	lastBroadcastAt time.Time
 	// supplyLogged is when the supply was last told in the log.
-	supplyLogged time.Time
+	supplyLoggedAt time.Time
 	// demand is the part of all instances that each model needs, busy how many
 	// requests its groups have, withheld how many of their places limits withhold, all
 	// averaged.
@@ -70,39 +70,39 @@
 type knownInstance struct {
 	models.UpstreamInstance
 	// bornKnown is when that was asked for which told its birth.
-	bornKnown time.Time
+	bornKnownAt time.Time
 	// told is when the newest entry or report was asked for.
-	told time.Time
+	stateAt time.Time
 	// written is when a new entry was last seen.
-	written time.Time
+	entrySeenAt time.Time
 	// lost is since when it does not answer; zero while it does.
-	lost time.Time
+	lostSince time.Time
 	// failed is when a question was asked that went unanswered, if the one
 	// before was answered.
-	failed time.Time
+	probeFailedAt time.Time
 	// unlisted tells that its entry is gone and its group still serves.
 	unlisted bool
 	// listed is how far who told of the instance last knew the store's records of entries,
 	// this one's among them.
-	listed models.Position
+	knownThrough models.Position
 	// missing is since when a store that came back from a copy lacks its entry.
-	missing time.Time
+	missingSince time.Time
 	// asked is when it was last asked for a report, waits tells that it is to be.
-	asked time.Time
-	waits bool
+	probedAt    time.Time
+	probeQueued bool
 	// spread is what the other daemons were told last.
-	spread models.UpstreamInstance
+	lastBroadcast models.UpstreamInstance
 }
 
 func newFleetState() fleetState {
 	return fleetState{
 		instances:  map[models.InstanceID]*knownInstance{},
 		restarted:  map[models.GroupKey][]models.InstanceID{},
-		ended:      map[models.InstanceID]endedLife{},
+		ended:      map[models.InstanceID]endedInstance{},
 		unreadable: map[models.InstanceID]uint64{},
 		suspects:   map[models.InstanceID]suspicion{},
-		due:        map[models.InstanceID]time.Time{},
-		calls:      inflight.New(leastCalls, mostCalls, callsWait),
+		probeAt:    map[models.InstanceID]time.Time{},
+		callLimit:  inflight.New(minCalls, maxCalls, maxCallQueueing),
 	}
 }
 
@@ -115,7 +115,7 @@
 }
 
 // shown copies the instances for those who do not own the state.
-func (f *fleetState) shown() map[models.InstanceID]models.UpstreamInstance {
+func (f *fleetState) copyInstances() map[models.InstanceID]models.UpstreamInstance {
 	out := make(map[models.InstanceID]models.UpstreamInstance, len(f.instances))
 	for id, i := range f.instances {
 		out[id] = i.UpstreamInstance
@@ -138,13 +138,13 @@
 
 // serving lists the groups that take requests, by model.
 func (f *fleetState) serving(now time.Time) map[models.ModelName][]Group {
-	groups := f.sound()
-	return trusted(groups, f.suspected(groups, now))
+	groups := f.healthyGroups()
+	return withoutSuspects(groups, f.suspectedHeads(groups, now))
 }
 
 // sound lists the groups that serve and of which no member is known to be lost or to
 // have started again, by model.
-func (f *fleetState) sound() map[models.ModelName][]Group {
+func (f *fleetState) healthyGroups() map[models.ModelName][]Group {
 	groups := map[models.ModelName][]Group{}
 	for _, g := range fleet.GroupsOf(f.memberships) {
 		head, there := f.instances[g.Head]
@@ -152,12 +152,12 @@
 			continue
 		}
 		members := make([]models.InstanceID, 0, len(g.Members))
-		sound := !f.lacksRestarted(g.Key)
+		healthy := !f.hasRestartedMember(g.Key)
 		for _, id := range g.Members {
 			members = append(members, id)
-			sound = sound && f.instances[id].lost.IsZero()
+			healthy = healthy && f.instances[id].lostSince.IsZero()
 		}
-		if sound {
+		if healthy {
 			groups[g.Model] = append(groups[g.Model], Group{
 				Key: g.Key, Model: g.Model, Service: head.Service, Head: head.UpstreamInstance, Members: members,
 			})
@@ -167,7 +167,7 @@
 }
 
 // plain lists the instances of plain services that take requests.
-func (f *fleetState) plain(routing *models.Routing) map[models.ServiceName][]models.UpstreamInstance {
+func (f *fleetState) plainInstances(routing *models.Routing) map[models.ServiceName][]models.UpstreamInstance {
 	services := map[models.ServiceName][]models.UpstreamInstance{}
 	for _, i := range f.instances {
 		if s := routing.Services[i.Service]; s.Engine == nil && i.usable() {
@@ -178,4 +178,4 @@
 }
 
 // usable reports whether requests may be sent to the instance.
-func (i *knownInstance) usable() bool { return !i.Draining && !i.unlisted && i.lost.IsZero() }
+func (i *knownInstance) usable() bool { return !i.Draining && !i.unlisted && i.lostSince.IsZero() }
--- a/cluster/lives.go
+++ b/cluster/incarnations.go
@@ -22,31 +22,31 @@
 
 // noteLife begins a new life of the instance if an entry or news, as of some time,
 // tell of one. It reports false if they tell of an earlier life: then they say nothing.
-func (o *owner) noteLife(k *knownInstance, born, at time.Time) bool {
+func (o *owner) observeIncarnation(k *knownInstance, born, at time.Time) bool {
 	switch k.LifeOf(born) {
 	case models.EarlierLife:
 		return false
 	case models.LaterLife:
-		o.beginLife(k, born, at)
+		o.beginIncarnation(k, born, at)
 	case models.SameLife:
-		o.learnBirth(k, born, at)
+		o.learnBorn(k, born, at)
 	}
 	return true
 }
 
 // noteReportedLife is noteLife for the answer of the instance itself.
-func (o *owner) noteReportedLife(k *knownInstance, born, asked time.Time) bool {
-	if k.LifeOf(born) == models.EarlierLife && asked.After(k.bornKnown) {
-		o.beginLife(k, born, asked)
+func (o *owner) observeReportedIncarnation(k *knownInstance, born, asked time.Time) bool {
+	if k.LifeOf(born) == models.EarlierLife && asked.After(k.bornKnownAt) {
+		o.beginIncarnation(k, born, asked)
 		return true
 	}
-	return o.noteLife(k, born, asked)
+	return o.observeIncarnation(k, born, asked)
 }
 
 // learnBirth notes the birth of an instance of which none was known.
-func (o *owner) learnBirth(k *knownInstance, born, at time.Time) {
+func (o *owner) learnBorn(k *knownInstance, born, at time.Time) {
 	if k.Born.IsZero() && !born.IsZero() {
-		k.Born, k.bornKnown = born, at
+		k.Born, k.bornKnownAt = born, at
 	}
 }
 
@@ -54,23 +54,23 @@
 // that did is lost to its group at once, however soon it is back: the group would
 // stand still until its head finds that out by itself, six seconds later where the
 // users' engines are.
-func (o *owner) beginLife(k *knownInstance, born, at time.Time) {
-	o.n.stats.reborn.Inc()
+func (o *owner) beginIncarnation(k *knownInstance, born, at time.Time) {
+	o.n.stats.restarted.Inc()
 	o.n.log.Info().Str("instance", string(k.ID)).Time("born", born).Str("group", string(k.Group.Key.Name)).Msg("instance-restarted")
 	delete(o.fleet.suspects, k.ID)
-	delete(o.fleet.due, k.ID)
+	delete(o.fleet.probeAt, k.ID)
 	if k.Group.State != models.MemberNone {
 		o.fleet.restarted[k.Group.Key] = append(o.fleet.restarted[k.Group.Key], k.ID)
 	}
 	i := k.UpstreamInstance
 	i.Born, i.Group, i.Loaded, i.Heartbeat, i.Draining = born, models.Membership{}, "", 0, false
-	*k = knownInstance{UpstreamInstance: i, bornKnown: at, unlisted: k.unlisted, spread: k.spread}
-	o.fleetStale, o.fleet.listed = true, true
+	*k = knownInstance{UpstreamInstance: i, bornKnownAt: at, unlisted: k.unlisted, lastBroadcast: k.lastBroadcast}
+	o.fleetStale, o.fleet.listStale = true, true
 }
 
 // lacksRestarted reports whether a member of the group started again and has not
 // joined it anew.
-func (f *fleetState) lacksRestarted(key models.GroupKey) bool {
+func (f *fleetState) hasRestartedMember(key models.GroupKey) bool {
 	return slices.ContainsFunc(f.restarted[key], func(id models.InstanceID) bool {
 		k, there := f.instances[id]
 		return !there || k.Group.Key != key
@@ -79,23 +79,23 @@
 
 // forgetRestarted forgets those that were members of groups of which nobody tells any
 // more.
-func (f *fleetState) forgetRestarted() {
+func (f *fleetState) pruneRestarted() {
 	if len(f.restarted) == 0 {
 		return
 	}
-	told := map[models.GroupKey]bool{}
+	current := map[models.GroupKey]bool{}
 	for _, i := range f.instances {
-		told[i.Group.Key] = true
+		current[i.Group.Key] = true
 	}
-	maps.DeleteFunc(f.restarted, func(key models.GroupKey, _ []models.InstanceID) bool { return !told[key] })
+	maps.DeleteFunc(f.restarted, func(key models.GroupKey, _ []models.InstanceID) bool { return !current[key] })
 }
 
 // endedKept is for how long it is remembered that an instance's entry went: longer than
 // a copy of the store is old.
-const endedKept = time.Minute
+const endedRetention = time.Minute
 
 // endedLife is what is remembered of an instance whose entry went.
-type endedLife struct {
+type endedInstance struct {
 	born time.Time
 	// heartbeat counts the writes of its entry, zero if nobody told.
 	heartbeat int64
@@ -115,12 +115,12 @@
 }
 
 // noteEnded takes in how often an instance that is gone had written its entry.
-func (f *fleetState) noteEnded(i models.UpstreamInstance, now time.Time) {
+func (f *fleetState) markEnded(i models.UpstreamInstance, now time.Time) {
 	e := f.ended[i.ID]
-	f.ended[i.ID] = endedLife{born: i.Born, heartbeat: max(e.heartbeat, i.Heartbeat), at: now}
+	f.ended[i.ID] = endedInstance{born: i.Born, heartbeat: max(e.heartbeat, i.Heartbeat), at: now}
 }
 
 // forgetEnded forgets those that ended long ago.
-func (f *fleetState) forgetEnded(now time.Time) {
-	maps.DeleteFunc(f.ended, func(_ models.InstanceID, e endedLife) bool { return now.Sub(e.at) > endedKept })
+func (f *fleetState) pruneEnded(now time.Time) {
+	maps.DeleteFunc(f.ended, func(_ models.InstanceID, e endedInstance) bool { return now.Sub(e.at) > endedRetention })
 }
--- a/cluster/lives_test.go
+++ b/cluster/incarnations_test.go
@@ -33,29 +33,29 @@
 //
 // FIELDS are service=NAME, born=SECOND, group=NAME, rank=N, state=STATE,
 // asked=DURATION (from now) and outcome=OUTCOME.
-func TestLives(t *testing.T) {
+func TestInstanceIncarnations(t *testing.T) {
 	c := qt.New(t)
 	f, err := os.Open("testdata/lives.txt")
 	c.Assert(err, qt.IsNil)
 	defer f.Close()
-	s := &livesScript{c: c, o: newTestOwner(t), reset: func() *owner { return newTestOwner(t) }}
+	s := &incarnationScript{c: c, o: newTestOwner(t), reset: func() *owner { return newTestOwner(t) }}
 	lines := bufio.NewScanner(f)
 	for n := 1; lines.Scan(); n++ {
 		line, _, _ := strings.Cut(lines.Text(), "#")
 		if words := strings.Fields(line); len(words) > 0 {
 			s.line = fmt.Sprintf("lives.txt:%d: %s", n, line)
-			s.do(words)
+			s.run(words)
 		}
 	}
 	c.Assert(lines.Err(), qt.IsNil)
 }
 
-type livesScript struct {
+type incarnationScript struct {
 	c     *qt.C
 	o     *owner
 	reset func() *owner
 	line  string
-	feed  int64
+	seq   int64
 }
 
 // fields are what a line tells of an instance.
@@ -65,7 +65,7 @@
 	outcome  types.OrderOutcome
 }
 
-func (s *livesScript) parse(words []string) fields {
+func (s *incarnationScript) parse(words []string) fields {
 	f := fields{instance: models.UpstreamInstance{ID: models.InstanceID(words[0])}}
 	for _, word := range words[1:] {
 		name, value, _ := strings.Cut(word, "=")
@@ -95,11 +95,11 @@
 	return f
 }
 
-func (s *livesScript) do(words []string) {
+func (s *incarnationScript) run(words []string) {
 	now, comment := time.Now(), qt.Commentf("%s", s.line)
 	switch words[0] {
 	case "reset":
-		s.o, s.feed = s.reset(), 0
+		s.o, s.seq = s.reset(), 0
 		s.o.config.routing = &models.Routing{}
 		return
 	case "plan":
@@ -113,7 +113,7 @@
 		s.o.fleet.services = map[models.ServiceName]models.UpstreamService{models.ServiceName(words[1]): {}}
 		return
 	case "serving":
-		s.c.Assert(fmt.Sprint(len(s.o.fleet.sound()["m"])), qt.Equals, words[1], comment)
+		s.c.Assert(fmt.Sprint(len(s.o.fleet.healthyGroups()["m"])), qt.Equals, words[1], comment)
 		return
 	}
 	f := s.parse(words[1:2])
@@ -123,21 +123,21 @@
 	id := f.instance.ID
 	switch words[0] {
 	case "entry":
-		s.o.noteEntry(f.instance, now)
+		s.o.applyEntry(f.instance, now)
 	case "news", "lose":
-		s.feed++
-		news := InstanceNews{Instance: f.instance, Lost: words[0] == "lose"}
+		s.seq++
+		news := InstanceUpdate{Instance: f.instance, Lost: words[0] == "lose"}
 		if news.Lost {
 			news.Instance = s.o.fleet.instances[id].UpstreamInstance
 		}
-		s.o.handleNews(newsSeen{term: 1, feed: s.feed, at: now.Add(time.Millisecond), instances: []InstanceNews{news}})
+		s.o.handleUpdate(updateReceived{term: 1, seq: s.seq, receivedAt: now.Add(time.Millisecond), instances: []InstanceUpdate{news}})
 	case "report":
-		s.o.handleReport(reportEnded{instance: f.instance, asked: now.Add(f.asked)})
+		s.o.handleProbeResult(probeFinished{instance: f.instance, sentAt: now.Add(f.asked)})
 	case "silence":
-		s.o.handleReport(reportEnded{instance: f.instance, asked: now.Add(f.asked), err: platform.ErrInstance})
+		s.o.handleProbeResult(probeFinished{instance: f.instance, sentAt: now.Add(f.asked), err: platform.ErrInstance})
 	case "ended":
 		order := types.GroupOrder{Kind: types.GroupJoin, Instance: id, Born: f.instance.Born}
-		s.o.handleOrderEnded(orderEnded{order: order, outcome: f.outcome, at: now})
+		s.o.handleOrderResult(orderFinished{order: order, outcome: f.outcome, finishedAt: now})
 	case "expect":
 		got := s.o.fleet.instances[id]
 		s.c.Assert(got, qt.IsNotNil, comment)
@@ -145,9 +145,9 @@
 		s.c.Assert(got.Group.Key, qt.Equals, f.instance.Group.Key, comment)
 	case "due":
 		k := s.o.fleet.instances[id]
-		s.c.Assert(fmt.Sprint(!k.asked.IsZero()), qt.Equals, words[2], comment)
+		s.c.Assert(fmt.Sprint(!k.probedAt.IsZero()), qt.Equals, words[2], comment)
 	case "unproven":
-		s.c.Assert(fmt.Sprint(s.o.fleet.unproven(s.o.fleet.instances[id])), qt.Equals, words[2], comment)
+		s.c.Assert(fmt.Sprint(s.o.fleet.unconfirmed(s.o.fleet.instances[id])), qt.Equals, words[2], comment)
 	default:
 		s.c.Fatalf("%s: no such command", s.line)
 	}
--- a/cluster/lease.go
+++ b/cluster/lease.go
@@ -23,13 +23,13 @@
 	termEraBits = 20
 	// renewDiv is how many times a lease is renewed while it lasts. It lasts
 	// as short as the store grants, so that another takes over soon.
-	renewDiv = 4
+	renewalsPerLease = 4
 	// leaseMargin is how much sooner than the store a holder takes its lease
 	// for ended.
 	leaseMargin = 100 * time.Millisecond
 	// meetOthers is how long a daemon waits at its start to hear of others
 	// before it asks for the lease.
-	meetOthers = 350 * time.Millisecond
+	peerDiscoveryDelay = 350 * time.Millisecond
 	// renewTimeout bounds one renewal.
 	renewTimeout = 400 * time.Millisecond
 )
@@ -38,23 +38,23 @@
 // candidate for it.
 func (n *Node) holdLease(ctx context.Context) error {
 	h := leaseHolder{n: n, member: string(n.cfg.ID) + "-" + time.Unix(0, n.started).UTC().Format("150405.000")}
-	defer n.leaveLease(ctx, h.member)
-	if err := pause(ctx, meetOthers); err != nil {
+	defer n.releaseLease(ctx, h.member)
+	if err := sleep(ctx, peerDiscoveryDelay); err != nil {
 		return err
 	}
 	for {
-		wait := askPause
+		wait := candidacyCheckInterval
 		if n.View().candidate {
 			asked := time.Now()
-			if err := h.ask(ctx); err != nil {
+			if err := h.acquire(ctx); err != nil {
 				return err
 			}
 			// The wait for the answer counts: where it is long the lease would end else.
-			wait = n.cfg.LeaseMin/renewDiv - time.Since(asked)
+			wait = n.cfg.LeaseMin/renewalsPerLease - time.Since(asked)
 		} else {
-			h.standAside(ctx)
+			h.release(ctx)
 		}
-		if err := pause(ctx, wait); err != nil {
+		if err := sleep(ctx, wait); err != nil {
 			return err
 		}
 	}
@@ -71,14 +71,14 @@
 	// era is the store's in which the term began.
 	era int64
 	// told is the term that the owner was told last.
-	told int64
+	postedTerm int64
 }
 
 // ask asks for the lease, or for more of it, and tells the owner what came of
 // that. It fails only if the context ended.
-func (h *leaseHolder) ask(ctx context.Context) error {
+func (h *leaseHolder) acquire(ctx context.Context) error {
 	n, ttl := h.n, h.n.cfg.LeaseMin
-	n.leasing.Store(true)
+	n.inLeaseGroup.Store(true)
 	asked := time.Now()
 	held, lease, err := n.renew(ctx, h.member, ttl, h.generation)
 	switch {
@@ -86,7 +86,7 @@
 		return ctx.Err()
 	case err != nil:
 		n.stats.storeErrors.Inc()
-		n.tell(ctx, storeAway{what: plannerGroup, err: err})
+		n.post(ctx, storeCallFailed{what: plannerGroup, err: err})
 		return nil
 	}
 	h.generation = lease.Generation
@@ -95,13 +95,13 @@
 		h.endTerm(ctx, "dealt to another")
 		return nil
 	}
-	if h.term == 0 || h.term == n.spentTerm.Load() || h.era < era {
+	if h.term == 0 || h.term == n.lastEndedTerm.Load() || h.era < era {
 		// The store forgets terms that were begun shortly before it came back from a copy;
 		// one that it has forgotten may be another's now.
 		h.term, h.era = n.beginTerm(ctx)
 	}
 	if h.term != 0 {
-		h.tellHeld(ctx, leaseHeld{term: h.term, until: asked.Add(ttl - leaseMargin)})
+		h.postHeld(ctx, leaseHeld{term: h.term, until: asked.Add(ttl - leaseMargin)})
 	}
 	return nil
 }
@@ -109,19 +109,19 @@
 // tellHeld tells the owner of a new term. That a lease was renewed it reads itself:
 // with 3,000 instances 256 messages waited for the owner, and the word of the
 // renewal, as well as the renewal after it, came after the lease had ended.
-func (h *leaseHolder) tellHeld(ctx context.Context, l leaseHeld) {
+func (h *leaseHolder) postHeld(ctx context.Context, l leaseHeld) {
 	h.n.lease.Store(&l)
-	if h.told != l.term {
-		h.n.tell(ctx, l)
+	if h.postedTerm != l.term {
+		h.n.post(ctx, l)
 	}
-	h.told = l.term
+	h.postedTerm = l.term
 }
 
 // standAside leaves the lease to other candidates.
-func (h *leaseHolder) standAside(ctx context.Context) {
+func (h *leaseHolder) release(ctx context.Context) {
 	h.endTerm(ctx, "others come before this one")
-	if h.n.leasing.Load() {
-		h.n.leaveLease(ctx, h.member)
+	if h.n.inLeaseGroup.Load() {
+		h.n.releaseLease(ctx, h.member)
 	}
 	h.generation = 0
 }
@@ -129,7 +129,7 @@
 // endTerm tells the owner, if the node held the lease, that it does no more.
 func (h *leaseHolder) endTerm(ctx context.Context, reason string) {
 	if h.term != 0 {
-		h.n.tell(ctx, leaseLost{reason: reason})
+		h.n.post(ctx, leaseLost{reason: reason})
 	}
 	h.term = 0
 }
@@ -162,8 +162,8 @@
 }
 
 // leaveLease lets another take over at once.
-func (n *Node) leaveLease(ctx context.Context, member string) {
-	n.leasing.Store(false)
+func (n *Node) releaseLease(ctx context.Context, member string) {
+	n.inLeaseGroup.Store(false)
 	n.stats.storeCalls(plannerGroup).Inc()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), renewTimeout)
 	defer cancel()
--- a/cluster/lease_test.go
+++ b/cluster/lease_test.go
@@ -38,7 +38,7 @@
 	o.stopPlanning("the lease ended")
 	o.handleLease(leaseHeld{term: 5, until: until})
 	c.Assert(o.fleet.planner, qt.IsNil)
-	c.Assert(o.n.spentTerm.Load(), qt.Equals, int64(5))
+	c.Assert(o.n.lastEndedTerm.Load(), qt.Equals, int64(5))
 	o.handleLease(leaseHeld{term: 6, until: until})
 	c.Assert(o.fleet.planner, qt.IsNotNil)
 }
@@ -46,19 +46,19 @@
 // TestPlannerWithoutLease checks that a planner whose lease could not be renewed stops as
 // soon as it hears that the store has served another daemon since: all had the proof of
 // their configuration from it, so that it went on for 1.6 s, and nobody read entries.
-func TestPlannerWithoutLease(t *testing.T) {
+func TestPlannerStopsWithoutLease(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	now := time.Now()
 	o.handleLease(leaseHeld{term: 5, until: now.Add(-time.Second)})
-	hear := func(age time.Duration) {
+	receive := func(age time.Duration) {
 		beat := Heartbeat{From: "d2", Addr: "127.0.0.1:9", ConfigAge: time.Minute, EntriesAge: age}
-		o.peers.seen["d2"] = seenPeer{beat: beat, at: now}
+		o.peers.seen["d2"] = peerStatus{heartbeat: beat, receivedAt: now}
 	}
-	hear(0)
-	c.Assert(o.mayOutlast(now), qt.IsTrue, qt.Commentf("an older program does not tell"))
-	hear(1100 * time.Millisecond)
-	c.Assert(o.mayOutlast(now), qt.IsTrue, qt.Commentf("what it knows is of before"))
-	hear(500 * time.Millisecond)
-	c.Assert(o.mayOutlast(now), qt.IsFalse)
+	receive(0)
+	c.Assert(o.mayOutliveLease(now), qt.IsTrue, qt.Commentf("an older program does not tell"))
+	receive(1100 * time.Millisecond)
+	c.Assert(o.mayOutliveLease(now), qt.IsTrue, qt.Commentf("what it knows is of before"))
+	receive(500 * time.Millisecond)
+	c.Assert(o.mayOutliveLease(now), qt.IsFalse)
 }
--- a/cluster/limits.go
+++ b/cluster/limits.go
@@ -21,9 +21,9 @@
 	log     zerolog.Logger
 	changes *metrics.Counter
 	// known tells that any limit is known at all.
-	known atomic.Bool
+	nonEmpty atomic.Bool
 	// found is called when this daemon heard something that others are to be told.
-	found func()
+	onChange func()
 
 	mu     sync.Mutex
 	limits ratelimit.Limits
@@ -32,7 +32,7 @@
 // NewLimits returns what is known before any instance named a limit. The function is called
 // when there is something to tell other daemons.
 func NewLimits(self models.DaemonID, found func(), set *metrics.Set, log zerolog.Logger) *Limits {
-	l := &Limits{self: self, began: time.Now(), log: log, found: found, changes: set.NewCounter("lupinkeel_instance_limit_changes_total")}
+	l := &Limits{self: self, began: time.Now(), log: log, onChange: found, changes: set.NewCounter("lupinkeel_instance_limit_changes_total")}
 	set.NewGauge("lupinkeel_limited_instances", func() float64 {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -48,14 +48,14 @@
 	}
 	// The steady clock is read for what is added: the time of day may go back.
 	s.By, s.Number = l.self, l.began.UnixNano()+int64(time.Since(l.began))
-	if l.add(s, "") {
-		l.found()
+	if l.record(s, "") {
+		l.onChange()
 	}
 }
 
 // Any reports whether any limit is known. Where none is, answers and instances need not be
 // looked up.
-func (l *Limits) Any() bool { return l.known.Load() }
+func (l *Limits) Any() bool { return l.nonEmpty.Load() }
 
 // Rate is how many requests a second an instance may get from all daemons together.
 func (l *Limits) Rate(i models.UpstreamInstance, now time.Time) float64 {
@@ -69,14 +69,14 @@
 
 // add takes in a sighting, tells in the log what it changed, and reports whether there is
 // something to tell others.
-func (l *Limits) add(s ratelimit.Sighting, from ratelimit.Source) bool {
+func (l *Limits) record(s ratelimit.Sighting, from ratelimit.Source) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before := l.limits.Named(s.Instance)
-	change, tell := l.limits.Note(s, from)
-	l.known.Store(!l.limits.Empty())
+	change, changed := l.limits.Note(s, from)
+	l.nonEmpty.Store(!l.limits.Empty())
 	if change == ratelimit.Unchanged {
-		return tell
+		return changed
 	}
 	l.changes.Inc()
 	event := l.log.Info().Str("instance", string(s.Instance)).Str("from", string(from)).Dur("age", time.Since(s.Heard))
@@ -88,7 +88,7 @@
 	default:
 		event.Float64("before", before).Msg("limit-ended")
 	}
-	return tell
+	return changed
 }
 
 // Prune forgets limits that ended long ago, and those of instances that are not there.
@@ -103,66 +103,66 @@
 		_, known := there[id]
 		return !known
 	}, now)
-	l.known.Store(!l.limits.Empty())
+	l.nonEmpty.Store(!l.limits.Empty())
 }
 
 // LimitNews is what a daemon tells others of an instance's limit.
-type LimitNews struct {
+type LimitUpdate struct {
 	Instance models.InstanceID `msgpack:"i"`
 	Born     time.Time         `msgpack:"b,omitempty"`
 	Rate     float64           `msgpack:"r"`
 	// Asked and Heard are how long ago the request was sent, and the head of its answer
 	// came.
-	Asked time.Duration `msgpack:"q"`
-	Heard time.Duration `msgpack:"h"`
+	RequestAge time.Duration `msgpack:"q"`
+	AnswerAge  time.Duration `msgpack:"h"`
 	// By is the daemon that heard the answer, Number rises with what it hears.
-	By     models.DaemonID `msgpack:"d"`
-	Number int64           `msgpack:"n"`
+	Observer models.DaemonID `msgpack:"d"`
+	Seq      int64           `msgpack:"n"`
 }
 
 // sighting is what the news tell, received at some time.
-func (n LimitNews) sighting(at time.Time) ratelimit.Sighting {
+func (n LimitUpdate) toSighting(at time.Time) ratelimit.Sighting {
 	return ratelimit.Sighting{
-		Instance: n.Instance, Born: n.Born, Rate: n.Rate, Asked: at.Add(-n.Asked), Heard: at.Add(-n.Heard), By: n.By, Number: n.Number,
+		Instance: n.Instance, Born: n.Born, Rate: n.Rate, Asked: at.Add(-n.RequestAge), Heard: at.Add(-n.AnswerAge), By: n.Observer, Number: n.Seq,
 	}
 }
 
 // since is what another daemon is to be told that was learned after a change, and the
 // newest change.
-func (l *Limits) since(seen uint64, to models.DaemonID, which tells) ([]LimitNews, uint64) {
+func (l *Limits) changesSince(seen uint64, to models.DaemonID, scope findingScope) ([]LimitUpdate, uint64) {
 	if !l.Any() {
 		return nil, seen
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sightings, last := l.limits.Since(seen, func(from ratelimit.Source) bool {
-		return from == "" || (which == tellAll && from != to)
+		return from == "" || (scope == allFindings && from != to)
 	})
 	now := time.Now()
-	out := make([]LimitNews, len(sightings))
+	out := make([]LimitUpdate, len(sightings))
 	for n, s := range sightings {
-		out[n] = LimitNews{
-			Instance: s.Instance, Born: s.Born, Rate: s.Rate, Asked: now.Sub(s.Asked), Heard: now.Sub(s.Heard), By: s.By, Number: s.Number,
+		out[n] = LimitUpdate{
+			Instance: s.Instance, Born: s.Born, Rate: s.Rate, RequestAge: now.Sub(s.Asked), AnswerAge: now.Sub(s.Heard), Observer: s.By, Seq: s.Number,
 		}
 	}
 	return out, last
 }
 
 // takeLimits takes in what another daemon tells, and has those told who rely on this one.
-func (n *Node) takeLimits(news []LimitNews, from models.DaemonID) {
-	now, tell := time.Now(), false
-	for _, told := range news {
-		tell = n.limits.add(told.sighting(now), from) || tell
+func (n *Node) handleLimits(updates []LimitUpdate, from models.DaemonID) {
+	now, changed := time.Now(), false
+	for _, u := range updates {
+		changed = n.limits.record(u.toSighting(now), from) || changed
 	}
-	if tell {
-		n.tellLimits()
+	if changed {
+		n.notifyLimits()
 	}
 }
 
 // tellLimits has all daemons that this one is linked to told what is new of limits, and whom
 // this one asks for permits.
-func (n *Node) tellLimits() {
-	n.links.wakeAll()
+func (n *Node) notifyLimits() {
+	n.links.notifyAll()
 	select {
 	case n.inbox <- limitsChanged{}:
 	default:
--- a/cluster/limits_test.go
+++ b/cluster/limits_test.go
@@ -12,7 +12,7 @@
 
 // An instance names a limit to one daemon only. All know it long before a limit must be kept,
 // also those that start later; and all know when it changes and ends, at whatever daemon.
-func TestLimitsAreTold(t *testing.T) {
+func TestLimitPropagation(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		daemons int
@@ -21,26 +21,26 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			peers := startPeers(t, test.daemons, test.zones)
-			hear := func(p *peerNode, rate float64) {
+			observe := func(p *testPeer, rate float64) {
 				p.limits.Heard(ratelimit.Sighting{Instance: "i1", Rate: rate, Asked: time.Now().Add(-time.Millisecond), Heard: time.Now()})
 				time.Sleep(5 * time.Millisecond)
 			}
-			believes := func(rate float64) func(*peerNode) bool {
-				return func(p *peerNode) bool {
+			hasLimit := func(rate float64) func(*testPeer) bool {
+				return func(p *testPeer) bool {
 					p.limits.mu.Lock()
 					defer p.limits.mu.Unlock()
 					return p.limits.limits.Named("i1") == rate
 				}
 			}
-			hear(peers[test.daemons-1], 2)
-			took := waitAll(c, peers, toldWithin, "told of a limit", believes(2))
+			observe(peers[test.daemons-1], 2)
+			took := waitAll(c, peers, propagationTimeout, "told of a limit", hasLimit(2))
 			t.Logf("all %d know of a limit after %v", test.daemons, took.Round(time.Millisecond))
-			hear(peers[test.daemons/2], 1.5)
-			waitAll(c, peers, toldWithin, "told of a lower one", believes(1.5))
+			observe(peers[test.daemons/2], 1.5)
+			waitAll(c, peers, propagationTimeout, "told of a lower one", hasLimit(1.5))
 			late := startNth(t, test.daemons, test.zones, peers)
-			waitAll(c, []*peerNode{late}, met, "told at its start", believes(1.5))
-			hear(peers[1], models.NoLimit)
-			waitAll(c, append(peers, late), toldWithin, "told of its end", believes(models.NoLimit))
+			waitAll(c, []*testPeer{late}, discoveryTimeout, "told at its start", hasLimit(1.5))
+			observe(peers[1], models.NoLimit)
+			waitAll(c, append(peers, late), propagationTimeout, "told of its end", hasLimit(models.NoLimit))
 		})
 	}
 }
--- a/cluster/links.go
+++ b/cluster/links.go
@@ -17,35 +17,35 @@
 	n *Node
 
 	mu    sync.Mutex
-	ended []task.Task
-	known map[models.DaemonID]*linkEnd
+	tasks []task.Task
+	peers map[models.DaemonID]*peerLink
 	// relay tells that this node is a relay of its zone, first that it is the first
 	// one, mesh that there are none.
-	relay, first, mesh bool
+	relay, primary, mesh bool
 }
 
 // target is the run of a daemon that is to be told of this one.
 type target struct {
 	peerAddr
-	link membership.Link
+	role membership.Link
 }
 
 // linkEnd is the other end of a link.
-type linkEnd struct {
+type peerLink struct {
 	target
 	cancel context.CancelFunc
 	// attrs is what the link's goroutine reads of the target's link.
-	attrs atomic.Pointer[membership.Link]
+	sharedRole atomic.Pointer[membership.Link]
 	// packs tells the link's goroutine to send what is compressed as it is, since the
 	// target reads that.
-	packs atomic.Bool
+	compress atomic.Bool
 	// frames, woken, beat and back outlast a change of address. woken has a place
 	// for the word that loads, crashes and limits are to be told at once, beat for the word
 	// that a heartbeat is, back for the word that the daemon was heard of anew.
-	frames chan sharedFrame
-	woken  chan struct{}
-	beat   chan struct{}
-	back   chan struct{}
+	frames        chan sharedFrame
+	updatesReady  chan struct{}
+	heartbeatDue  chan struct{}
+	peerRestarted chan struct{}
 	// synced tells that the other end was told all loads of several daemons on
 	// this connection, and that none were left out since.
 	synced bool
@@ -55,9 +55,9 @@
 // whether it did. What is left out comes otherwise: a daemon tells its own loads
 // and stalled heads with its heartbeats, one that missed news of instances reads
 // the store, and loads of several daemons are told whole again.
-func (e *linkEnd) offer(f sharedFrame) bool {
+func (p *peerLink) enqueue(f sharedFrame) bool {
 	select {
-	case e.frames <- f:
+	case p.frames <- f:
 		return true
 	default:
 		return false
@@ -65,14 +65,14 @@
 }
 
 // stop ends the link, if one was begun.
-func (e *linkEnd) stop() {
-	if e.cancel != nil {
-		e.cancel()
+func (p *peerLink) stop() {
+	if p.cancel != nil {
+		p.cancel()
 	}
 }
 
 // signal leaves a word in a channel that has a place for one.
-func signal(c chan<- struct{}) {
+func notify(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -80,88 +80,88 @@
 }
 
 func newLinks(n *Node) *links {
-	return &links{n: n, known: map[models.DaemonID]*linkEnd{}, mesh: true}
+	return &links{n: n, peers: map[models.DaemonID]*peerLink{}, mesh: true}
 }
 
 // arrange has links to these daemons and no others.
-func (l *links) arrange(ctx context.Context, a *membership.Arrangement, targets map[models.DaemonID]target) {
+func (l *links) reconcile(ctx context.Context, a *membership.Arrangement, targets map[models.DaemonID]target) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.relay, l.first, l.mesh = a.Relay, a.First == l.n.cfg.ID, a.Mesh
-	for id, end := range l.known {
+	l.relay, l.primary, l.mesh = a.Relay, a.First == l.n.cfg.ID, a.Mesh
+	for id, peer := range l.peers {
 		if _, wanted := targets[id]; !wanted {
-			end.stop()
-			delete(l.known, id)
+			peer.stop()
+			delete(l.peers, id)
 		}
 	}
 	for id, t := range targets {
 		l.connect(ctx, id, t)
 	}
-	l.forgetEnded()
+	l.pruneEnded()
 }
 
 // forgetEnded drops the links that have ended. The links must be locked.
-func (l *links) forgetEnded() {
-	kept := l.ended[:0]
-	for _, t := range l.ended {
+func (l *links) pruneEnded() {
+	running := l.tasks[:0]
+	for _, t := range l.tasks {
 		select {
 		case <-t.Done:
 		default:
-			kept = append(kept, t)
+			running = append(running, t)
 		}
 	}
-	l.ended = kept
+	l.tasks = running
 }
 
 // connect begins a link to a run of a daemon, in the place of one to an
 // earlier run at another address. The links must be locked.
 func (l *links) connect(ctx context.Context, id models.DaemonID, t target) {
-	end := l.known[id]
-	if end == nil {
-		end = &linkEnd{
-			frames: make(chan sharedFrame, newsLen), woken: make(chan struct{}, 1), beat: make(chan struct{}, 1), back: make(chan struct{}, 1),
+	peer := l.peers[id]
+	if peer == nil {
+		peer = &peerLink{
+			frames: make(chan sharedFrame, linkQueueLen), updatesReady: make(chan struct{}, 1), heartbeatDue: make(chan struct{}, 1), peerRestarted: make(chan struct{}, 1),
 		}
-		l.known[id] = end
+		l.peers[id] = peer
 	}
-	before := end.target
-	end.target = t
-	end.packs.Store(t.unpacks)
-	if before.link != t.link || end.attrs.Load() == nil {
-		link := t.link
-		end.attrs.Store(&link)
-		end.synced = end.synced && before.link.Totals == t.link.Totals
+	before := peer.target
+	peer.target = t
+	peer.compress.Store(t.acceptsCompressed)
+	if before.role != t.role || peer.sharedRole.Load() == nil {
+		link := t.role
+		peer.sharedRole.Store(&link)
+		peer.synced = peer.synced && before.role.Totals == t.role.Totals
 		// The other one is to know at once what it is to this daemon.
-		signal(end.beat)
+		notify(peer.heartbeatDue)
 	}
 	if t.incarnation > before.incarnation {
-		signal(end.back)
+		notify(peer.peerRestarted)
 	}
 	if before.addr == t.addr || ctx.Err() != nil {
 		return
 	}
-	end.stop()
+	peer.stop()
 	linkCtx, cancel := context.WithCancel(ctx)
-	end.cancel = cancel
-	made := link{id: id, addr: t.addr, zone: "other", end: end}
+	peer.cancel = cancel
+	made := linkConfig{id: id, addr: t.addr, zone: "other", peer: peer}
 	if t.zone == l.n.cfg.Zone {
 		made.zone = "own"
 	}
-	l.ended = append(l.ended, task.Start(linkCtx, "link", func(ctx context.Context) error { return l.n.keepLink(ctx, made) }))
+	l.tasks = append(l.tasks, task.Start(linkCtx, "link", func(ctx context.Context) error { return l.n.maintainLink(ctx, made) }))
 }
 
 // send has every other daemon told: each one in a mesh, else those that this one
 // is linked to, which pass it on.
-func (l *links) send(news News) {
+func (l *links) broadcast(update Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	news.Spread = !l.relay && !l.mesh
-	f, ok := l.encode(frameNews, news)
+	update.Forward = !l.relay && !l.mesh
+	f, ok := l.encode(frameUpdate, update)
 	if !ok {
 		return
 	}
-	for _, end := range l.known {
-		if !news.Spread || end.link.RelaysFirst {
-			end.offer(f)
+	for _, peer := range l.peers {
+		if !update.Forward || peer.role.RelaysFirst {
+			peer.enqueue(f)
 		}
 	}
 }
@@ -169,21 +169,21 @@
 // passOn passes on news that a daemon of a zone told: to those who rely on this
 // one what comes from other zones, and everywhere what comes from one that is no
 // relay.
-func (l *links) passOn(from models.DaemonID, zone models.Zone, news News) {
+func (l *links) forward(from models.DaemonID, zone models.Zone, update Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.mesh || (zone == l.n.cfg.Zone && !news.Spread) {
+	if l.mesh || (zone == l.n.cfg.Zone && !update.Forward) {
 		return
 	}
-	across := news.Spread
-	news.Spread = false
-	f, ok := l.encode(frameNews, news)
+	toOtherZones := update.Forward
+	update.Forward = false
+	f, ok := l.encode(frameUpdate, update)
 	if !ok {
 		return
 	}
-	for id, end := range l.known {
-		if id != from && (end.link.Member || (across && end.link.Across)) {
-			end.offer(f)
+	for id, peer := range l.peers {
+		if id != from && (peer.role.Member || (toOtherZones && peer.role.Across)) {
+			peer.enqueue(f)
 		}
 	}
 }
@@ -191,13 +191,13 @@
 // sharedFrame is a frame for several links, of which those take the compressed
 // form whose other end reads it.
 type sharedFrame struct {
-	plain, packed frame.Frame
+	plain, compressed frame.Frame
 }
 
 // forEnd is the form that the other end of a link reads.
-func (f sharedFrame) forEnd(e *linkEnd) frame.Frame {
-	if e.packs.Load() {
-		return f.packed
+func (f sharedFrame) forPeer(p *peerLink) frame.Frame {
+	if p.compress.Load() {
+		return f.compressed
 	}
 	return f.plain
 }
@@ -213,36 +213,36 @@
 		l.n.log.Error().Err(err).Msg("news-not-encoded")
 		return sharedFrame{}, false
 	}
-	return sharedFrame{plain: f, packed: f.Packed()}, true
+	return sharedFrame{plain: f, compressed: f.Packed()}, true
 }
 
 // wake has the daemons that are told of this one's loads told at once.
-func (l *links) wake() {
+func (l *links) notifyLoads() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, end := range l.known {
-		if l.mesh || end.link.RelaysFirst {
-			signal(end.woken)
+	for _, peer := range l.peers {
+		if l.mesh || peer.role.RelaysFirst {
+			notify(peer.updatesReady)
 		}
 	}
 }
 
 // wakeAll has all daemons that this one is linked to told what is new.
-func (l *links) wakeAll() {
+func (l *links) notifyAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, end := range l.known {
-		signal(end.woken)
+	for _, peer := range l.peers {
+		notify(peer.updatesReady)
 	}
 }
 
 // beat has a heartbeat sent at once: to one daemon, or to all if none is named.
-func (l *links) beat(to models.DaemonID) {
+func (l *links) sendHeartbeat(to models.DaemonID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, end := range l.known {
+	for id, peer := range l.peers {
 		if to == "" || id == to {
-			signal(end.beat)
+			notify(peer.heartbeatDue)
 		}
 	}
 }
@@ -250,46 +250,46 @@
 // listeners are the daemons that use this one's word of the loads of all daemons,
 // and the relays that use its word of those of its zone. These are there only for
 // the first relay of a zone.
-func (l *links) listeners() (members, relays []*linkEnd) {
+func (l *links) totalsReceivers() (members, relays []*peerLink) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, end := range l.known {
+	for _, peer := range l.peers {
 		switch {
-		case end.link.Totals:
-			members = append(members, end)
-		case l.first && end.link.Across:
-			relays = append(relays, end)
+		case peer.role.Totals:
+			members = append(members, peer)
+		case l.primary && peer.role.Across:
+			relays = append(relays, peer)
 		}
 	}
 	return members, relays
 }
 
 // tell hands a frame to the link to one daemon, and reports whether it did.
-func (l *links) tell(to models.DaemonID, f sharedFrame) bool {
+func (l *links) sendTo(to models.DaemonID, f sharedFrame) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	end := l.known[to]
-	return end != nil && end.offer(f)
+	peer := l.peers[to]
+	return peer != nil && peer.enqueue(f)
 }
 
 // unsync notes that a link begins anew, and drops what waited for it.
-func (l *links) unsync(end *linkEnd) {
+func (l *links) resetQueue(peer *peerLink) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	end.synced = false
-	for len(end.frames) > 0 {
-		<-end.frames
+	peer.synced = false
+	for len(peer.frames) > 0 {
+		<-peer.frames
 	}
 }
 
 // wait ends all links and waits for their ends.
-func (l *links) wait() error {
+func (l *links) stopAndWait() error {
 	l.mu.Lock()
-	for _, end := range l.known {
-		end.stop()
+	for _, peer := range l.peers {
+		peer.stop()
 	}
-	ended := l.ended
-	l.ended = nil
+	tasks := l.tasks
+	l.tasks = nil
 	l.mu.Unlock()
-	return task.Wait(ended...)
+	return task.Wait(tasks...)
 }
--- a/cluster/links_test.go
+++ b/cluster/links_test.go
@@ -18,7 +18,7 @@
 )
 
 // listen is a daemon's address that a test listens at.
-func listen(t *testing.T) *net.TCPListener {
+func listenTCP(t *testing.T) *net.TCPListener {
 	l, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -30,17 +30,17 @@
 // TestDaemonIsMet checks that a daemon answers one that it hears of for the
 // first time, without asking the store for the roster: with 61 daemons that
 // start at once, each followed the roster by up to 61 readings.
-func TestDaemonIsMet(t *testing.T) {
+func TestLinkToNewDaemon(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	o.n.cfg.Peer = netip.MustParseAddrPort("127.0.0.1:7340")
-	t.Cleanup(func() { c.Check(o.n.links.wait(), qt.IsNil) })
-	old, moved := listen(t), listen(t)
-	hear := func(incarnation int64, l net.Listener) {
-		o.handleHeartbeat(heartbeatSeen{beat: Heartbeat{From: "d2", Incarnation: incarnation, Addr: l.Addr().String()}, at: time.Now()})
-		o.arrange(time.Now())
+	t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
+	old, moved := listenTCP(t), listenTCP(t)
+	receive := func(incarnation int64, l net.Listener) {
+		o.handleHeartbeat(heartbeatReceived{heartbeat: Heartbeat{From: "d2", Incarnation: incarnation, Addr: l.Addr().String()}, receivedAt: time.Now()})
+		o.updateTopology(time.Now())
 	}
-	told := func(l *net.TCPListener) (Heartbeat, error) {
+	acceptHeartbeat := func(l *net.TCPListener) (Heartbeat, error) {
 		if err := l.SetDeadline(time.Now().Add(3 * time.Second)); err != nil {
 			return Heartbeat{}, err
 		}
@@ -57,18 +57,18 @@
 		return b, frame.Decode(body, &b)
 	}
 
-	hear(1, old)
-	beat, err := told(old)
+	receive(1, old)
+	beat, err := acceptHeartbeat(old)
 	c.Assert(err, qt.IsNil)
 	c.Assert(beat.From, qt.Equals, models.DaemonID("d1"))
 	c.Assert(beat.Addr, qt.Equals, "127.0.0.1:7340")
 
-	hear(2, moved)
-	_, err = told(moved)
+	receive(2, moved)
+	_, err = acceptHeartbeat(moved)
 	c.Assert(err, qt.IsNil)
 
-	hear(1, old)
-	c.Assert(o.n.links.known["d2"].addr.String(), qt.Equals, moved.Addr().String(), qt.Commentf("an earlier run tells late"))
+	receive(1, old)
+	c.Assert(o.n.links.peers["d2"].addr.String(), qt.Equals, moved.Addr().String(), qt.Commentf("an earlier run tells late"))
 }
 
 // TestStartOfManyDaemons replays how 97 daemons of a zone start and ask their relay
@@ -76,7 +76,7 @@
 // after which a relay that is not heard counts as silent, on 200 Mbit/s. They take
 // 0.34 s; uncompressed they took 2.5 s, the daemons asked the next relay, and so on
 // without an end. An older program, which reads no compressed frames, gets none.
-func TestStartOfManyDaemons(t *testing.T) {
+func TestSnapshotsAtMassStart(t *testing.T) {
 	c := qt.New(t)
 	const (
 		members      = 97
@@ -84,59 +84,59 @@
 		bound        = 500 * time.Millisecond
 	)
 	o := newTestOwner(t)
-	t.Cleanup(func() { c.Check(o.n.links.wait(), qt.IsNil) })
-	news := News{From: "d1", Term: 1, Feed: 7, Whole: true, Instances: manyNews(3000)}
-	f, ok := o.n.links.encode(frameNews, news)
+	t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
+	update := Update{From: "d1", Term: 1, Seq: 7, Snapshot: true, Instances: manyInstances(3000)}
+	f, ok := o.n.links.encode(frameUpdate, update)
 	c.Assert(ok, qt.IsTrue)
 	for id, unpacks := range map[models.DaemonID]bool{"older": false, "d2": true} {
-		l := listen(t)
-		c.Assert(o.enter(id, rosterEntry{Addr: l.Addr().String(), Incarnation: 1, Unpacks: unpacks}), qt.IsNil)
-		o.arrange(time.Now())
-		sent := sentOn(c, l, func() { c.Assert(o.n.links.tell(id, f), qt.IsTrue) })
+		l := listenTCP(t)
+		c.Assert(o.addPeer(id, rosterEntry{Addr: l.Addr().String(), Incarnation: 1, AcceptsCompressed: unpacks}), qt.IsNil)
+		o.updateTopology(time.Now())
+		sent := firstUpdateOn(c, l, func() { c.Assert(o.n.links.sendTo(id, f), qt.IsTrue) })
 
-		c.Assert(frame.Kind(sent[kindAt]) == frameNews, qt.Equals, !unpacks, qt.Commentf("an older program knows this kind alone"))
+		c.Assert(frame.Kind(sent[kindOffset]) == frameUpdate, qt.Equals, !unpacks, qt.Commentf("an older program knows this kind alone"))
 		took := time.Duration(float64(members*len(sent)) / bytesASecond * float64(time.Second))
 		c.Assert(took < bound, qt.Equals, unpacks, qt.Commentf("%s: %v", id, took))
 		kind, body, err := frame.Read(bytes.NewReader(sent))
 		c.Assert(err, qt.IsNil)
-		c.Assert(kind, qt.Equals, frameNews)
-		var got News
+		c.Assert(kind, qt.Equals, frameUpdate)
+		var got Update
 		c.Assert(frame.Decode(body, &got), qt.IsNil)
-		c.Assert(got.Instances, qt.HasLen, len(news.Instances))
-		c.Assert(got.Instances[2999].Instance.ID, qt.Equals, news.Instances[2999].Instance.ID)
+		c.Assert(got.Instances, qt.HasLen, len(update.Instances))
+		c.Assert(got.Instances[2999].Instance.ID, qt.Equals, update.Instances[2999].Instance.ID)
 	}
 }
 
 // kindAt is where in a frame its kind stands.
-const kindAt = 4
+const kindOffset = 4
 
 // sentOn returns the bytes of the first frame that is no heartbeat on the link to a
 // listener. What is to be sent is handed over once the link has begun.
-func sentOn(c *qt.C, l *net.TCPListener, tell func()) []byte {
+func firstUpdateOn(c *qt.C, l *net.TCPListener, send func()) []byte {
 	conn, err := l.Accept()
 	c.Assert(err, qt.IsNil)
 	defer conn.Close()
 	c.Assert(conn.SetDeadline(time.Now().Add(3*time.Second)), qt.IsNil)
-	for told := false; ; told = true {
+	for sent := false; ; sent = true {
 		var bytesOf bytes.Buffer
 		kind, _, err := frame.Read(io.TeeReader(conn, &bytesOf))
 		c.Assert(err, qt.IsNil)
-		if kind == frameNews {
+		if kind == frameUpdate {
 			return bytesOf.Bytes()
 		}
-		if !told {
-			tell()
+		if !sent {
+			send()
 		}
 	}
 }
 
 // manyNews are news of instances in groups of four.
-func manyNews(n int) []InstanceNews {
+func manyInstances(n int) []InstanceUpdate {
 	r := rand.New(rand.NewSource(int64(n)))
-	news := make([]InstanceNews, 0, n)
+	updates := make([]InstanceUpdate, 0, n)
 	for i := range n {
 		group := i / 4
-		news = append(news, InstanceNews{Age: time.Duration(r.Int63n(1e9)), Instance: models.UpstreamInstance{
+		updates = append(updates, InstanceUpdate{Age: time.Duration(r.Int63n(1e9)), Instance: models.UpstreamInstance{
 			ID: models.InstanceID(fmt.Sprintf("i-%010x", r.Int63n(1<<40))), Service: "engines", Slots: 30,
 			Zone:   models.Zone(fmt.Sprintf("zone-%d", i%3)),
 			Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(r.Intn(256)), byte(r.Intn(256))}), uint16(8000+r.Intn(500))),
@@ -148,5 +148,5 @@
 			},
 		}})
 	}
-	return news
+	return updates
 }
--- a/cluster/loads.go
+++ b/cluster/loads.go
@@ -11,77 +11,77 @@
 // peerLoads sums what other daemons tell of the loads that they cause. It is
 // safe for use by several goroutines.
 type peerLoads struct {
-	mu  sync.Mutex
-	by  map[models.DaemonID]*toldLoads
-	sum map[models.InstanceID]Load
+	mu       sync.Mutex
+	byDaemon map[models.DaemonID]*daemonLoads
+	sum      map[models.InstanceID]Load
 }
 
 // toldLoads is what one daemon told of its loads, or of those of several.
-type toldLoads struct {
+type daemonLoads struct {
 	loads map[models.InstanceID]Load
 	// of tells whose loads they are, zone the zone of the daemon that told them.
-	of   loadsOf
-	zone models.Zone
+	scope loadScope
+	zone  models.Zone
 	// incarnation is the run of the daemon that told, change numbers what it told
 	// last.
 	incarnation int64
-	change      uint64
+	version     uint64
 	// heard is when something came last.
-	heard time.Time
+	receivedAt time.Time
 }
 
 func newPeerLoads() *peerLoads {
-	return &peerLoads{by: map[models.DaemonID]*toldLoads{}, sum: map[models.InstanceID]Load{}}
+	return &peerLoads{byDaemon: map[models.DaemonID]*daemonLoads{}, sum: map[models.InstanceID]Load{}}
 }
 
 // take takes in what a daemon of a zone tells of loads, unless it told something
 // newer before. Of the loads of all daemons this one's own are left out.
-func (p *peerLoads) take(news News, zone models.Zone, own func() map[models.InstanceID]Load) {
-	if len(news.Loads) == 0 && !news.All {
+func (p *peerLoads) apply(update Update, zone models.Zone, own func() map[models.InstanceID]Load) {
+	if len(update.Loads) == 0 && !update.Full {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	told := p.by[news.From]
-	if told != nil && (news.Incarnation < told.incarnation || (news.Incarnation == told.incarnation && news.Change < told.change)) {
+	known := p.byDaemon[update.From]
+	if known != nil && (update.Incarnation < known.incarnation || (update.Incarnation == known.incarnation && update.LoadsVersion < known.version)) {
 		return
 	}
-	if told == nil || told.incarnation != news.Incarnation || told.of != news.Of {
-		if !news.All {
+	if known == nil || known.incarnation != update.Incarnation || known.scope != update.Scope {
+		if !update.Full {
 			// Changes of what was not told say nothing.
 			return
 		}
-		p.replace(news.From, news.Of, zone)
-		told = &toldLoads{loads: map[models.InstanceID]Load{}, of: news.Of, zone: zone, incarnation: news.Incarnation}
-		p.by[news.From] = told
-	}
-	told.change, told.heard = news.Change, time.Now()
-	if news.All {
-		for id := range told.loads {
-			if _, still := news.Loads[id]; !still {
-				p.set(told, id, Load{})
+		p.replace(update.From, update.Scope, zone)
+		known = &daemonLoads{loads: map[models.InstanceID]Load{}, scope: update.Scope, zone: zone, incarnation: update.Incarnation}
+		p.byDaemon[update.From] = known
+	}
+	known.version, known.receivedAt = update.LoadsVersion, time.Now()
+	if update.Full {
+		for id := range known.loads {
+			if _, still := update.Loads[id]; !still {
+				p.set(known, id, Load{})
 			}
 		}
 	}
 	var mine map[models.InstanceID]Load
-	if news.Of == loadsOfAll {
+	if update.Scope == scopeCluster {
 		mine = own()
 	}
-	for id, load := range news.Loads {
-		p.set(told, id, load.without(mine[id]))
+	for id, load := range update.Loads {
+		p.set(known, id, load.without(mine[id]))
 	}
 }
 
 // replace forgets what a new word of the loads of several daemons takes the place
 // of: another relay of the same zone told it before, or this daemon was told
 // zone by zone. The loads must be locked.
-func (p *peerLoads) replace(from models.DaemonID, of loadsOf, zone models.Zone) {
-	p.forget(from)
-	for id, told := range p.by {
+func (p *peerLoads) replace(from models.DaemonID, of loadScope, zone models.Zone) {
+	p.removeLocked(from)
+	for id, known := range p.byDaemon {
 		switch {
-		case of == loadsOfOne, told.of == loadsOfOne:
-		case of == loadsOfAll, told.of == loadsOfAll, told.zone == zone:
-			p.forget(id)
+		case of == scopeDaemon, known.scope == scopeDaemon:
+		case of == scopeCluster, known.scope == scopeCluster, known.zone == zone:
+			p.removeLocked(id)
 		}
 	}
 }
@@ -93,13 +93,13 @@
 
 // set puts one load in the place of what the daemon told before. The loads
 // must be locked.
-func (p *peerLoads) set(told *toldLoads, id models.InstanceID, load Load) {
-	sum, before := p.sum[id], told.loads[id]
+func (p *peerLoads) set(from *daemonLoads, id models.InstanceID, load Load) {
+	sum, before := p.sum[id], from.loads[id]
 	sum.Requests += load.Requests - before.Requests
 	sum.Unread += load.Unread - before.Unread
-	p.sum[id], told.loads[id] = sum, load
+	p.sum[id], from.loads[id] = sum, load
 	if load == (Load{}) {
-		delete(told.loads, id)
+		delete(from.loads, id)
 	}
 	if sum == (Load{}) {
 		delete(p.sum, id)
@@ -107,59 +107,59 @@
 }
 
 // drop forgets what a daemon that is gone told.
-func (p *peerLoads) drop(id models.DaemonID) {
+func (p *peerLoads) remove(id models.DaemonID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forget(id)
+	p.removeLocked(id)
 }
 
 // forget is drop for loads that are locked.
-func (p *peerLoads) forget(id models.DaemonID) {
-	told := p.by[id]
-	if told == nil {
+func (p *peerLoads) removeLocked(id models.DaemonID) {
+	known := p.byDaemon[id]
+	if known == nil {
 		return
 	}
-	for instance := range told.loads {
-		p.set(told, instance, Load{})
+	for instance := range known.loads {
+		p.set(known, instance, Load{})
 	}
-	delete(p.by, id)
+	delete(p.byDaemon, id)
 }
 
 // dropSums forgets the loads of several daemons, whoever told them: this daemon
 // relies on another relay from now on.
-func (p *peerLoads) dropSums() {
+func (p *peerLoads) removeAggregates() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, told := range p.by {
-		if told.of != loadsOfOne {
-			p.forget(id)
+	for id, known := range p.byDaemon {
+		if known.scope != scopeDaemon {
+			p.removeLocked(id)
 		}
 	}
 }
 
 // staleSums is for how long no loads of several daemons may come until what was
 // told before counts for nothing: requests last a second or so.
-const staleSums = time.Second
+const aggregateTimeout = time.Second
 
 // prune forgets sums that are old.
 func (p *peerLoads) prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, told := range p.by {
-		if told.of != loadsOfOne && now.Sub(told.heard) > staleSums {
-			p.forget(id)
+	for id, known := range p.byDaemon {
+		if known.scope != scopeDaemon && now.Sub(known.receivedAt) > aggregateTimeout {
+			p.removeLocked(id)
 		}
 	}
 }
 
 // age is how old the newest word of several daemons' loads is, 0 if there is none.
-func (p *peerLoads) age(now time.Time) time.Duration {
+func (p *peerLoads) aggregateAge(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var newest time.Time
-	for _, told := range p.by {
-		if told.of != loadsOfOne && told.heard.After(newest) {
-			newest = told.heard
+	for _, known := range p.byDaemon {
+		if known.scope != scopeDaemon && known.receivedAt.After(newest) {
+			newest = known.receivedAt
 		}
 	}
 	if newest.IsZero() {
@@ -168,7 +168,7 @@
 	return now.Sub(newest)
 }
 
-func (p *peerLoads) at(id models.InstanceID) Load {
+func (p *peerLoads) total(id models.InstanceID) Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sum[id]
@@ -179,23 +179,23 @@
 func (p *peerLoads) totals(own map[models.InstanceID]Load) (all, zone map[models.InstanceID]Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all, zone = sumOf(own, p.sum), sumOf(own, nil)
-	for _, told := range p.by {
-		if told.of == loadsOfOne {
-			addTo(zone, told.loads)
+	all, zone = sumLoads(own, p.sum), sumLoads(own, nil)
+	for _, known := range p.byDaemon {
+		if known.scope == scopeDaemon {
+			addLoads(zone, known.loads)
 		}
 	}
 	return all, zone
 }
 
-func sumOf(a, b map[models.InstanceID]Load) map[models.InstanceID]Load {
+func sumLoads(a, b map[models.InstanceID]Load) map[models.InstanceID]Load {
 	out := make(map[models.InstanceID]Load, len(a)+len(b))
-	addTo(out, a)
-	addTo(out, b)
+	addLoads(out, a)
+	addLoads(out, b)
 	return out
 }
 
-func addTo(sum, loads map[models.InstanceID]Load) {
+func addLoads(sum, loads map[models.InstanceID]Load) {
 	for id, load := range loads {
 		s := sum[id]
 		sum[id] = Load{Requests: s.Requests + load.Requests, Unread: s.Unread + load.Unread}
@@ -203,33 +203,33 @@
 }
 
 // PeersLoad is what other daemons have at an instance, as they told last.
-func (n *Node) PeersLoad(id models.InstanceID) Load { return n.peerLoads.at(id) }
+func (n *Node) PeersLoad(id models.InstanceID) Load { return n.peerLoads.total(id) }
 
 const (
 	// newsDelay is how long changes of loads are gathered before they are
 	// told: short against the time that reading a prompt takes.
-	newsDelay = 4 * time.Millisecond
+	loadsDelay = 4 * time.Millisecond
 	// sparseDelay is the same where a relay gathers them from many.
-	sparseDelay = 15 * time.Millisecond
+	relayLoadsDelay = 15 * time.Millisecond
 	// newsLen is how much news may wait for a slow daemon.
-	newsLen = 16
+	linkQueueLen = 16
 )
 
 // announce tells the other daemons at once when this one's loads change.
-func (n *Node) announce(ctx context.Context) error {
+func (n *Node) notifyLoadChanges(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-n.traffic.Changed():
 		}
-		delay := newsDelay
+		delay := loadsDelay
 		if !n.View().mesh() {
-			delay = sparseDelay
+			delay = relayLoadsDelay
 		}
-		if err := pause(ctx, delay); err != nil {
+		if err := sleep(ctx, delay); err != nil {
 			return err
 		}
-		n.links.wake()
+		n.links.notifyLoads()
 	}
 }
--- a/cluster/messages.go
+++ b/cluster/messages.go
@@ -14,19 +14,19 @@
 	// configRead: the configuration was read from the store, or proved to be
 	// unchanged if data is nil. It was current at the time asked.
 	configRead struct {
-		data  []byte
-		asked time.Time
+		data        []byte
+		requestedAt time.Time
 		// era is the store's.
 		era int64
 	}
 	// instancesRead: all entries of instances were read.
-	instancesRead struct{ reading }
+	instancesSnapshot struct{ readResult }
 	// instancesChanged: these entries were written since the last reading.
-	instancesChanged struct{ reading }
+	instancesDelta struct{ readResult }
 	// rosterRead: these entries of daemons are the newest.
-	rosterRead struct{ reading }
+	rosterRead struct{ readResult }
 	// storeAway: a reading of the store failed.
-	storeAway struct {
+	storeCallFailed struct {
 		what string
 		err  error
 	}
@@ -39,48 +39,48 @@
 	// leaseLost: another node plans, or none.
 	leaseLost struct{ reason string }
 	// heartbeatSeen: another daemon told of itself.
-	heartbeatSeen struct {
-		beat Heartbeat
-		at   time.Time
+	heartbeatReceived struct {
+		heartbeat  Heartbeat
+		receivedAt time.Time
 	}
 	// peerConfig: another daemon handed its configuration over.
-	peerConfig struct{ config ConfigCopy }
+	configReceived struct{ config ConfigCopy }
 	// peerLost: the connection to another daemon ended.
-	peerLost struct {
+	peerDisconnected struct {
 		id  models.DaemonID
 		err error
 	}
 	// newsSeen: the daemon that plans told of instances, or that it does no more;
 	// or a relay told of all instances.
-	newsSeen struct {
+	updateReceived struct {
 		term      int64
-		feed      int64
-		instances []InstanceNews
+		seq       int64
+		instances []InstanceUpdate
 		// entries is nil if an older program told.
-		entries *EntriesTold
-		whole   bool
-		ended   bool
-		at      time.Time
+		entries    *EntriesRange
+		snapshot   bool
+		termEnded  bool
+		receivedAt time.Time
 	}
 	// orderEnded: an order was answered, or was not.
-	orderEnded struct {
-		order   types.GroupOrder
-		outcome types.OrderOutcome
-		err     error
-		at      time.Time
+	orderFinished struct {
+		order      types.GroupOrder
+		outcome    types.OrderOutcome
+		err        error
+		finishedAt time.Time
 		// took is how long the answer took, or the wait for it.
 		took time.Duration
 	}
 	// reportEnded: an instance was asked how it is.
-	reportEnded struct {
+	probeFinished struct {
 		instance models.UpstreamInstance
 		err      error
-		asked    time.Time
+		sentAt   time.Time
 		took     time.Duration
 	}
 	// stalled: nothing moves at a group's head. It was found by another
 	// daemon if from is set.
-	stalled struct {
+	stallDetected struct {
 		group models.GroupKey
 		head  models.InstanceID
 		from  models.DaemonID
@@ -91,19 +91,19 @@
 	signalsChanged struct{}
 )
 
-func (limitsChanged) isMessage()    {}
-func (signalsChanged) isMessage()   {}
-func (newsSeen) isMessage()         {}
-func (configRead) isMessage()       {}
-func (instancesRead) isMessage()    {}
-func (instancesChanged) isMessage() {}
-func (rosterRead) isMessage()       {}
-func (storeAway) isMessage()        {}
-func (leaseHeld) isMessage()        {}
-func (leaseLost) isMessage()        {}
-func (heartbeatSeen) isMessage()    {}
-func (peerConfig) isMessage()       {}
-func (peerLost) isMessage()         {}
-func (orderEnded) isMessage()       {}
-func (reportEnded) isMessage()      {}
-func (stalled) isMessage()          {}
+func (limitsChanged) isMessage()     {}
+func (signalsChanged) isMessage()    {}
+func (updateReceived) isMessage()    {}
+func (configRead) isMessage()        {}
+func (instancesSnapshot) isMessage() {}
+func (instancesDelta) isMessage()    {}
+func (rosterRead) isMessage()        {}
+func (storeCallFailed) isMessage()   {}
+func (leaseHeld) isMessage()         {}
+func (leaseLost) isMessage()         {}
+func (heartbeatReceived) isMessage() {}
+func (configReceived) isMessage()    {}
+func (peerDisconnected) isMessage()  {}
+func (orderFinished) isMessage()     {}
+func (probeFinished) isMessage()     {}
+func (stallDetected) isMessage()     {}
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -63,15 +63,15 @@
 	// promptReport bounds the wait for the report of an instance whose group
 	// stands still, patientReport for one of which nothing bad is known: a
 	// small instance that plans is itself late at times.
-	promptReport  = 200 * time.Millisecond
-	patientReport = 600 * time.Millisecond
+	stalledProbeTimeout = 200 * time.Millisecond
+	probeTimeout        = 600 * time.Millisecond
 	// dialTimeout bounds the making of a connection to the store, to
 	// instances for orders, and to other daemons.
 	dialTimeout = 400 * time.Millisecond
 	// planEvery is how often the owner looks for what is due, sweepEvery how
 	// often connections that have rested for too long are closed.
-	planEvery  = 50 * time.Millisecond
-	sweepEvery = time.Second
+	tickInterval  = 50 * time.Millisecond
+	sweepInterval = time.Second
 )
 
 // Node is one daemon's part in the cluster.
@@ -96,22 +96,22 @@
 	permits    *permits
 	// leasing tells that this node is among those that the store deals the
 	// planner's lease to.
-	leasing atomic.Bool
+	inLeaseGroup atomic.Bool
 	// lease is the one that this node holds or held last, with its newest renewal.
 	lease atomic.Pointer[leaseHeld]
 	// standingAside tells that this node is to plan no more.
-	standingAside atomic.Bool
+	resigned atomic.Bool
 	// spentTerm is the last term in which this node planned and stopped: its
 	// fences and epochs must not be given a second time.
-	spentTerm atomic.Int64
+	lastEndedTerm atomic.Int64
 	// fedByPlanner is as of when the planner, or a relay, told of all instances, in Unix
 	// nanoseconds; zero once some were missed.
-	fedByPlanner atomic.Int64
+	updatesCurrentAt atomic.Int64
 	// missed tells that some were missed, or none heard yet, since entries
 	// were last read; asked is the relay that is asked for them, empty if there is none
 	// that could tell.
-	missed missedNews
-	asked  atomic.Pointer[models.DaemonID]
+	missedUpdates missedUpdates
+	snapshotRelay atomic.Pointer[models.DaemonID]
 	// entriesAt is as of when all entries of instances are known, in Unix nanoseconds;
 	// zero while they are not.
 	entriesAt atomic.Int64
@@ -121,7 +121,7 @@
 	era atomic.Int64
 	// partKnown is closed once the roster was read: this node knows its part among
 	// the daemons.
-	partKnown chan struct{}
+	rosterReady chan struct{}
 }
 
 type stats struct {
@@ -135,8 +135,8 @@
 	orderTime, reportTime *metrics.Histogram
 	// reborn counts instances that started again under their ids, foreign entries
 	// that name no instance.
-	reborn  *metrics.Counter
-	foreign *metrics.Counter
+	restarted  *metrics.Counter
+	unreadable *metrics.Counter
 	// restores counts how often the store came back from a copy.
 	restores *metrics.Counter
 }
@@ -144,20 +144,20 @@
 // showAges shows in the metrics how old what others tell is: news of the planner,
 // which come four times a second, and sums of loads, which come each totalsEvery;
 // and this node's part among the daemons.
-func (n *Node) showAges() {
+func (n *Node) registerAgeMetrics() {
 	since := func(nanos int64) float64 { return max(0, time.Since(time.Unix(0, nanos)).Seconds()) }
 	n.stats.set.NewGauge("lupinkeel_planner_news_age_seconds", func() float64 {
 		if n.planning.Load() {
 			return 0
 		}
-		return since(max(n.started, n.fedByPlanner.Load()))
+		return since(max(n.started, n.updatesCurrentAt.Load()))
 	})
 	n.stats.set.NewGauge("lupinkeel_entries_age_seconds", func() float64 { return n.entriesAge().Seconds() })
 	n.stats.set.NewGauge("lupinkeel_load_sums_age_seconds", func() float64 {
 		if n.View().mesh() {
 			return 0
 		}
-		return n.peerLoads.age(time.Now()).Seconds()
+		return n.peerLoads.aggregateAge(time.Now()).Seconds()
 	})
 	n.stats.set.NewGauge("lupinkeel_daemons", func() float64 { return float64(n.View().Daemons) })
 	n.stats.set.NewGauge("lupinkeel_relay", func() float64 {
@@ -178,7 +178,7 @@
 	now := time.Now()
 	n := &Node{
 		cfg: cfg, log: log, clock: timer.New(now), traffic: traffic, inbox: make(chan message, inboxLen),
-		started: now.UnixNano(), peerLoads: newPeerLoads(), partKnown: make(chan struct{}),
+		started: now.UnixNano(), peerLoads: newPeerLoads(), rosterReady: make(chan struct{}),
 		stats: &stats{
 			set:         set,
 			missed:      set.NewCounter("lupinkeel_news_missed_total"),
@@ -188,25 +188,25 @@
 			plans:       set.NewCounter("lupinkeel_plans_total"),
 			orderTime:   set.NewHistogram("lupinkeel_order_seconds"),
 			reportTime:  set.NewHistogram("lupinkeel_report_seconds"),
-			reborn:      set.NewCounter("lupinkeel_instance_restarts_total"),
-			foreign:     set.NewCounter("lupinkeel_unreadable_entries_total"),
+			restarted:   set.NewCounter("lupinkeel_instance_restarts_total"),
+			unreadable:  set.NewCounter("lupinkeel_unreadable_entries_total"),
 			restores:    set.NewCounter("lupinkeel_store_restores_total"),
 		},
 	}
 	n.conns = h1.NewPool(dialTimeout, nil)
 	n.store = platform.NewStore(cfg.Store, n.conns)
-	n.instances = platform.NewInstances(n.conns, n.hearInstance)
+	n.instances = platform.NewInstances(n.conns, n.recordAnswerHead)
 	n.links = newLinks(n)
-	n.quarantine = NewQuarantine(n.links.wakeAll, set, log)
-	n.limits = NewLimits(cfg.ID, n.tellLimits, set, log)
-	n.breakers = NewBreakers(n.tellSignals, set, log)
+	n.quarantine = NewQuarantine(n.links.notifyAll, set, log)
+	n.limits = NewLimits(cfg.ID, n.notifyLimits, set, log)
+	n.breakers = NewBreakers(n.notifySignals, set, log)
 	n.permits = newPermits(n, set)
 	n.view.Store(&View{})
 	n.entriesEnd.Store(&models.Position{})
-	n.missed.note()
+	n.missedUpdates.record()
 	asked := anyRelay
-	n.asked.Store(&asked)
-	n.showAges()
+	n.snapshotRelay.Store(&asked)
+	n.registerAgeMetrics()
 	return n
 }
 
@@ -219,7 +219,7 @@
 // ReportStalled tells the node that nothing moves at a group's head.
 func (n *Node) ReportStalled(group models.GroupKey, head models.InstanceID) {
 	select {
-	case n.inbox <- stalled{group: group, head: head}:
+	case n.inbox <- stallDetected{group: group, head: head}:
 	default:
 		// The owner is behind; the next stream at the head tells again.
 	}
@@ -227,7 +227,7 @@
 
 // StandAside has the node give up planning, and plan no more, before the process
 // stops: while it still runs another can be told to take over at once.
-func (n *Node) StandAside() { n.standingAside.Store(true) }
+func (n *Node) StandAside() { n.resigned.Store(true) }
 
 // Run runs the node until the context ends.
 func (n *Node) Run(ctx context.Context) error {
@@ -244,13 +244,13 @@
 		"config":     n.followConfig,
 		"instances":  n.followInstances,
 		"roster":     n.followRoster,
-		"enroll":     n.keepEnrolled,
+		"enroll":     n.keepRegistered,
 		"lease":      n.holdLease,
 		"peers":      peers.run,
 		"sweep":      n.sweep,
-		"announce":   n.announce,
-		"totals":     n.tellTotals,
-		"quarantine": n.keepQuarantine,
+		"announce":   n.notifyLoadChanges,
+		"totals":     n.broadcastTotals,
+		"quarantine": n.syncQuarantine,
 		"permits":    n.permits.run,
 	}
 	var tasks []task.Task
@@ -263,7 +263,7 @@
 }
 
 func (n *Node) sweep(ctx context.Context) error {
-	ticks := n.clock.Subscribe(sweepEvery)
+	ticks := n.clock.Subscribe(sweepInterval)
 	for {
 		select {
 		case <-ctx.Done():
@@ -275,7 +275,7 @@
 }
 
 // tell hands a message to the owner.
-func (n *Node) tell(ctx context.Context, m message) {
+func (n *Node) post(ctx context.Context, m message) {
 	select {
 	case n.inbox <- m:
 	case <-ctx.Done():
@@ -283,40 +283,40 @@
 }
 
 // giveOrder sends an order in the background and tells the owner its end.
-func (n *Node) giveOrder(ctx context.Context, addr netip.AddrPort, o types.GroupOrder) {
+func (n *Node) sendOrder(ctx context.Context, addr netip.AddrPort, o types.GroupOrder) {
 	n.stats.orders.Inc()
 	task.Start(ctx, "order", func(ctx context.Context) error {
-		given := time.Now()
+		sentAt := time.Now()
 		limited, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
 		outcome, err := n.instances.Order(limited, addr, o)
-		took := time.Since(given)
+		took := time.Since(sentAt)
 		n.stats.orderTime.Update(took.Seconds())
-		n.tell(ctx, orderEnded{order: o, outcome: outcome, err: err, at: time.Now(), took: took})
+		n.post(ctx, orderFinished{order: o, outcome: outcome, err: err, finishedAt: time.Now(), took: took})
 		return nil
 	})
 }
 
 // hearInstance notes what an answer to an order or a question told of its instance.
-func (n *Node) hearInstance(id models.InstanceID, told models.AnswerHead) {
-	n.breakers.HeardHead(id, n.View().All[id].Born, told)
+func (n *Node) recordAnswerHead(id models.InstanceID, head models.AnswerHead) {
+	n.breakers.HeardHead(id, n.View().All[id].Born, head)
 }
 
 // askReport asks an instance how it is, in the background. It returns false if the instance
 // wants nothing now.
-func (n *Node) askReport(ctx context.Context, i models.UpstreamInstance, timeout time.Duration) bool {
-	if !n.breakers.admitReport(i) {
+func (n *Node) sendProbe(ctx context.Context, i models.UpstreamInstance, timeout time.Duration) bool {
+	if !n.breakers.admitProbe(i) {
 		return false
 	}
 	n.stats.reports.Inc()
 	task.Start(ctx, "report", func(ctx context.Context) error {
-		asked := time.Now()
+		sentAt := time.Now()
 		limited, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		told, err := n.instances.Report(limited, i)
-		took := time.Since(asked)
+		report, err := n.instances.Report(limited, i)
+		took := time.Since(sentAt)
 		n.stats.reportTime.Update(took.Seconds())
-		n.tell(ctx, reportEnded{instance: told, err: err, asked: asked, took: took})
+		n.post(ctx, probeFinished{instance: report, err: err, sentAt: sentAt, took: took})
 		n.permits.charge(ctx, i)
 		return nil
 	})
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -18,36 +18,36 @@
 	fleet  fleetState
 	peers  peersState
 	// away holds since when readings of the store fail, by what was read.
-	away map[string]time.Time
+	storeFailingSince map[string]time.Time
 	// viewStale asks for a new view, fleetStale for one that shows the instances
 	// anew as well: that takes many times as long, and heartbeats come by the
 	// hundred.
-	viewStale  bool
-	fleetStale bool
-	published  spacing
+	viewStale   bool
+	fleetStale  bool
+	lastPublish throttle
 }
 
 func newOwner(n *Node) *owner {
 	return &owner{
-		n: n, fleet: newFleetState(), peers: newPeersState(n.cfg), away: map[string]time.Time{}, fleetStale: true,
+		n: n, fleet: newFleetState(), peers: newPeersState(n.cfg), storeFailingSince: map[string]time.Time{}, fleetStale: true,
 	}
 }
 
 func (o *owner) run(ctx context.Context) error {
 	o.ctx = ctx
-	plan := o.n.clock.Subscribe(planEvery)
+	plan := o.n.clock.Subscribe(tickInterval)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case m := <-o.n.inbox:
 			o.handle(m)
-			o.handleWaiting()
+			o.drainInbox()
 		case tick := <-plan:
 			o.tick(tick)
 		}
-		o.flushNews(time.Now())
-		if (o.viewStale || o.fleetStale) && o.published.due(time.Now(), publishEvery) {
+		o.flushUpdates(time.Now())
+		if (o.viewStale || o.fleetStale) && o.lastPublish.ready(time.Now(), minPublishInterval) {
 			o.publish()
 		}
 	}
@@ -55,10 +55,10 @@
 
 // publishEvery is the least time between two views: one of all instances takes
 // a millisecond or so on a small instance with many upstreams.
-const publishEvery = 15 * time.Millisecond
+const minPublishInterval = 15 * time.Millisecond
 
 // handleWaiting handles what has come already, so that one view shows it all.
-func (o *owner) handleWaiting() {
+func (o *owner) drainInbox() {
 	for range inboxLen {
 		select {
 		case m := <-o.n.inbox:
@@ -72,64 +72,64 @@
 func (o *owner) handle(m message) {
 	switch m := m.(type) {
 	case configRead:
-		o.back(platform.ConfigTopic)
-		o.takeConfig(m, time.Now())
-	case instancesRead:
-		o.back(platform.InstancesTopic)
-		o.handleInstances(m.reading, true)
-	case instancesChanged:
-		o.back(platform.InstancesTopic)
-		o.handleInstances(m.reading, false)
+		o.markStoreRecovered(platform.ConfigTopic)
+		o.handleConfigRead(m, time.Now())
+	case instancesSnapshot:
+		o.markStoreRecovered(platform.InstancesTopic)
+		o.handleEntries(m.readResult, true)
+	case instancesDelta:
+		o.markStoreRecovered(platform.InstancesTopic)
+		o.handleEntries(m.readResult, false)
 	case rosterRead:
-		o.back(rosterTopic)
-		o.noteEra(m.end.Era, time.Now())
+		o.markStoreRecovered(rosterTopic)
+		o.observeEra(m.end.Era, time.Now())
 		o.handleRoster(m.records)
-	case storeAway:
-		o.handleAway(m)
+	case storeCallFailed:
+		o.handleStoreFailure(m)
 	case leaseHeld:
 		o.handleLease(m)
 	case leaseLost:
 		o.stopPlanning(m.reason)
-	case heartbeatSeen:
+	case heartbeatReceived:
 		o.handleHeartbeat(m)
-	case peerConfig:
-		o.handleConfig(m.config.Data, time.Now().Add(-m.config.Age), "peer")
-	case peerLost:
+	case configReceived:
+		o.applyConfig(m.config.Data, time.Now().Add(-m.config.Age), "peer")
+	case peerDisconnected:
 		if o.ctx.Err() != nil {
 			return
 		}
 		o.n.log.Info().Str("peer", string(m.id)).Err(m.err).Msg("peer-lost")
-	case orderEnded:
-		o.handleOrderEnded(m)
-	case reportEnded:
-		o.handleReport(m)
-	case newsSeen:
-		o.handleNews(m)
-	case stalled:
+	case orderFinished:
+		o.handleOrderResult(m)
+	case probeFinished:
+		o.handleProbeResult(m)
+	case updateReceived:
+		o.handleUpdate(m)
+	case stallDetected:
 		o.handleStalled(m)
 	case limitsChanged:
-		o.handleLimits()
+		o.handleLimitsChanged()
 	case signalsChanged:
-		o.noteSaidLeaving(time.Now())
+		o.applyLeavingSignals(time.Now())
 	}
 }
 
 // handleAway notes since when readings of the store fail.
-func (o *owner) handleAway(m storeAway) {
-	if _, known := o.away[m.what]; known {
+func (o *owner) handleStoreFailure(m storeCallFailed) {
+	if _, known := o.storeFailingSince[m.what]; known {
 		return
 	}
-	o.away[m.what] = time.Now()
+	o.storeFailingSince[m.what] = time.Now()
 	o.n.log.Warn().Str("what", m.what).Err(m.err).Msg("store-lost")
 }
 
 // back notes that a reading of the store succeeded.
-func (o *owner) back(what string) {
-	since, away := o.away[what]
+func (o *owner) markStoreRecovered(what string) {
+	since, away := o.storeFailingSince[what]
 	if !away {
 		return
 	}
-	delete(o.away, what)
+	delete(o.storeFailingSince, what)
 	o.n.log.Info().Str("what", what).Dur("for", time.Since(since)).Msg("store-regained")
 }
 
@@ -137,24 +137,24 @@
 	if tick.Paused > 0 {
 		o.n.log.Warn().Dur("for", tick.Paused).Msg("process-paused")
 	}
-	o.dropSilent(tick.At)
-	o.arrange(tick.At)
-	o.noteSaidLeaving(tick.At)
-	if o.candidate(tick.At) != o.n.View().candidate {
+	o.removeTimedOutPeers(tick.At)
+	o.updateTopology(tick.At)
+	o.applyLeavingSignals(tick.At)
+	if o.isCandidate(tick.At) != o.n.View().candidate {
 		o.viewStale = true
 	}
-	if o.fleet.endSuspicions(tick.At) {
+	if o.fleet.expireSuspicions(tick.At) {
 		o.fleetStale = true
 	}
-	o.askUnfed(tick.At)
-	o.answerMissed(tick.At)
-	o.catchUp(tick.At)
-	o.askDue(tick.At)
-	o.watchUnlisted(tick.At)
-	o.dropMissing(tick.At)
-	o.releaseConfig(tick.At)
-	o.fleet.forgetEnded(tick.At)
-	o.fleet.forgetRestarted()
+	o.requestIfStale(tick.At)
+	o.answerSnapshotRequests(tick.At)
+	o.requestNewerConfig(tick.At)
+	o.sendDueProbes(tick.At)
+	o.checkUnlisted(tick.At)
+	o.removeMissing(tick.At)
+	o.applyPendingConfig(tick.At)
+	o.fleet.pruneEnded(tick.At)
+	o.fleet.pruneRestarted()
 	o.planGroups(tick.At)
 }
 
@@ -164,75 +164,75 @@
 	now := time.Now()
 	v := *o.n.View()
 	if o.fleetStale {
-		o.showFleet(&v, now)
+		o.updateFleetView(&v, now)
 	}
-	o.showPeers(&v, now)
+	o.updatePeersView(&v, now)
 	o.viewStale, o.fleetStale = false, false
 	o.n.view.Store(&v)
-	o.published = spacing{began: now, took: time.Since(now)}
+	o.lastPublish = throttle{started: now, took: time.Since(now)}
 }
 
 // showFleet shows the instances and what they serve.
-func (o *owner) showFleet(v *View, now time.Time) {
-	if o.fleet.listed || v.All == nil {
+func (o *owner) updateFleetView(v *View, now time.Time) {
+	if o.fleet.listStale || v.All == nil {
 		// What is shown of single instances does not change. With 766 of them a view
 		// took 1.2 ms and 1.0 MB, and comes a dozen times a second.
-		v.All, o.fleet.listed = o.fleet.shown(), false
+		v.All, o.fleet.listStale = o.fleet.copyInstances(), false
 	}
 	v.stalled = o.fleet.stalledHeads(now)
 	if o.config.routing == nil {
 		return
 	}
-	groups := o.fleet.sound()
-	v.Suspects = o.fleet.suspected(groups, now)
-	v.Groups, v.Services = trusted(groups, v.Suspects), o.fleet.plain(o.config.routing)
+	groups := o.fleet.healthyGroups()
+	v.Suspects = o.fleet.suspectedHeads(groups, now)
+	v.Groups, v.Services = withoutSuspects(groups, v.Suspects), o.fleet.plainInstances(o.config.routing)
 }
 
 // showPeers shows the configuration, the other daemons, and this one's part in
 // planning.
-func (o *owner) showPeers(v *View, now time.Time) {
-	v.Routing, v.Proven, v.config = o.config.routing, o.config.proven, o.config.data
-	v.Arranged, v.Daemons = o.peers.arranged, 0
-	if o.n.knowsPart() || v.Arranged.Size > 1 {
+func (o *owner) updatePeersView(v *View, now time.Time) {
+	v.Routing, v.Proven, v.config = o.config.routing, o.config.confirmedAt, o.config.data
+	v.Arranged, v.Daemons = o.peers.topology, 0
+	if o.n.isRosterReady() || v.Arranged.Size > 1 {
 		v.Daemons = v.Arranged.Size
 	}
-	v.zoneWork = o.shownZoneWork()
+	v.zoneWork = o.zoneWorkUpdate()
 	v.Planner, v.Term = o.fleet.planner != nil, max(o.peers.term, o.fleet.term())
-	v.mayPlan, v.candidate = o.mayPlan(), o.candidate(now)
-	v.wants, v.wantedBy = o.peers.wants, map[models.DaemonID]bool{}
+	v.eligible, v.candidate = o.isEligible(), o.isCandidate(now)
+	v.configSource, v.configRequesters = o.peers.configSource, map[models.DaemonID]bool{}
 	for id, p := range o.peers.seen {
-		if p.beat.Wants == o.n.cfg.ID {
-			v.wantedBy[id] = true
+		if p.heartbeat.ConfigSource == o.n.cfg.ID {
+			v.configRequesters[id] = true
 		}
 	}
-	v.hears = len(o.peers.seen) > 0
-	v.behind = !o.peers.behind.IsZero() && now.Sub(o.peers.behind) > behindFor
+	v.hasPeers = len(o.peers.seen) > 0
+	v.configBehind = !o.peers.configBehindSince.IsZero() && now.Sub(o.peers.configBehindSince) > configFetchDelay
 	v.granters, v.votes, v.shares = nil, nil, nil
 	if o.n.limits.Any() {
-		o.showGranters(v)
+		o.updateGrantersView(v)
 	}
 }
 
 // handleLimits has the daemons that this one asks for permits know of it at once, when the
 // first instance names a limit.
-func (o *owner) handleLimits() {
+func (o *owner) handleLimitsChanged() {
 	if o.n.View().granters == nil {
 		o.publish()
-		o.n.links.beat("")
+		o.n.links.sendHeartbeat("")
 	}
 }
 
 // showGranters shows who grants permits for instances that name a limit, and what this node
 // itself may grant. Until it knows its part among the daemons that is nothing.
-func (o *owner) showGranters(v *View) {
-	a := o.peers.arranged
+func (o *owner) updateGrantersView(v *View) {
+	a := o.peers.topology
 	v.granters, v.votes = map[models.DaemonID]netip.AddrPort{}, map[models.DaemonID]map[models.Zone]int{}
 	for _, id := range a.Granters {
-		if e, known := o.peers.entries[id]; known {
+		if e, known := o.peers.addrs[id]; known {
 			v.granters[id], v.votes[id] = e.addr, o.peers.roster.Votes(a, id)
 		}
 	}
-	if o.n.knowsPart() {
+	if o.n.isRosterReady() {
 		v.shares = o.peers.roster.Shares(a, time.Now())
 	}
 }
--- a/cluster/peerserver.go
+++ b/cluster/peerserver.go
@@ -50,7 +50,7 @@
 	defer stop()
 	// from is the last heartbeat of the daemon at the other end.
 	var from Heartbeat
-	r, answers := bufio.NewReader(conn), s.n.framed(conn, "asker")
+	r, replies := bufio.NewReader(conn), s.n.framed(conn, "asker")
 	for {
 		if err := conn.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
 			return err
@@ -58,16 +58,16 @@
 		kind, body, err := frame.Read(r)
 		switch {
 		case err != nil:
-		case kind == frameAsk:
-			err = s.n.permits.answer(answers, body)
+		case kind == framePermitRequest:
+			err = s.n.permits.handleRequest(replies, body)
 		default:
-			from, err = s.take(ctx, kind, body, from)
+			from, err = s.handleFrame(ctx, kind, body, from)
 		}
 		if err == nil {
 			continue
 		}
 		if from.From != "" {
-			s.n.tell(ctx, peerLost{id: from.From, err: err})
+			s.n.post(ctx, peerDisconnected{id: from.From, err: err})
 		}
 		return err
 	}
@@ -75,7 +75,7 @@
 
 // take hands one frame to the owner and returns the last heartbeat of the daemon
 // that it came from.
-func (s *peerServer) take(ctx context.Context, kind frame.Kind, body []byte, from Heartbeat) (Heartbeat, error) {
+func (s *peerServer) handleFrame(ctx context.Context, kind frame.Kind, body []byte, from Heartbeat) (Heartbeat, error) {
 	switch kind {
 	case frameHeartbeat:
 		var b Heartbeat
@@ -83,24 +83,24 @@
 			return from, err
 		}
 		b = b.completed(from)
-		s.n.tell(ctx, heartbeatSeen{beat: b, at: time.Now()})
+		s.n.post(ctx, heartbeatReceived{heartbeat: b, receivedAt: time.Now()})
 		return b, nil
-	case frameNews, frameLoads:
-		var news News
-		if err := frame.Decode(body, &news); err != nil {
+	case frameUpdate, frameLoads:
+		var update Update
+		if err := frame.Decode(body, &update); err != nil {
 			return from, err
 		}
-		if news.From == "" {
-			news.From, news.Incarnation = from.From, from.Incarnation
+		if update.From == "" {
+			update.From, update.Incarnation = from.From, from.Incarnation
 		}
-		s.takeNews(ctx, news, from)
+		s.handleUpdate(ctx, update, from)
 		return from, nil
 	case frameConfig:
 		var c ConfigCopy
 		if err := frame.Decode(body, &c); err != nil {
 			return from, err
 		}
-		s.n.tell(ctx, peerConfig{config: c})
+		s.n.post(ctx, configReceived{config: c})
 		return from, nil
 	default:
 		return from, fmt.Errorf("%w: kind %d", frame.ErrFormat, kind)
@@ -109,21 +109,21 @@
 
 // takeNews hands news of a daemon on: loads to those who pick groups, the rest to
 // the owner and to the daemons that rely on this one.
-func (s *peerServer) takeNews(ctx context.Context, news News, from Heartbeat) {
-	s.n.peerLoads.take(news, from.Zone, s.n.traffic.Loads)
-	if (news.Term > 0 && !news.Whole) || len(news.Stalled) > 0 {
-		s.n.links.passOn(from.From, from.Zone, news)
+func (s *peerServer) handleUpdate(ctx context.Context, update Update, from Heartbeat) {
+	s.n.peerLoads.apply(update, from.Zone, s.n.traffic.Loads)
+	if (update.Term > 0 && !update.Snapshot) || len(update.Stalled) > 0 {
+		s.n.links.forward(from.From, from.Zone, update)
 	}
-	s.n.takeCrashes(news.Crashes, from.From)
-	s.n.takeLimits(news.Limits, from.From)
-	s.n.takeSignals(news.Signals, from.From)
-	if news.Term > 0 {
-		s.n.tell(ctx, newsSeen{
-			term: news.Term, feed: news.Feed, instances: news.Instances, entries: news.Entries,
-			whole: news.Whole, ended: news.Ended, at: time.Now(),
+	s.n.handleCrashes(update.Crashes, from.From)
+	s.n.handleLimits(update.Limits, from.From)
+	s.n.handleSignals(update.Signals, from.From)
+	if update.Term > 0 {
+		s.n.post(ctx, updateReceived{
+			term: update.Term, seq: update.Seq, instances: update.Instances, entries: update.Entries,
+			snapshot: update.Snapshot, termEnded: update.TermEnded, receivedAt: time.Now(),
 		})
 	}
-	for _, head := range news.Stalled {
-		s.n.tell(ctx, stalled{group: head.Group, head: head.Head, from: news.From})
+	for _, head := range update.Stalled {
+		s.n.post(ctx, stallDetected{group: head.Group, head: head.Head, from: update.From})
 	}
 }
--- a/cluster/peerserver_test.go
+++ b/cluster/peerserver_test.go
@@ -18,7 +18,7 @@
 // change of one load takes few bytes: they are two fifths of all that daemons
 // tell each other. The message has 29 bytes and had 121 when it named its sender
 // and all that is zero, by encoding it both ways.
-func TestSenderOfNews(t *testing.T) {
+func TestUpdateSender(t *testing.T) {
 	c := qt.New(t)
 	n := newTestOwner(t).n
 	s := &peerServer{n: n}
@@ -27,42 +27,42 @@
 		c.Assert(err, qt.IsNil)
 		return body
 	}
-	from, err := s.take(context.Background(), frameHeartbeat, frameOf(Heartbeat{From: "d-2", Incarnation: 7}), Heartbeat{})
+	from, err := s.handleFrame(context.Background(), frameHeartbeat, frameOf(Heartbeat{From: "d-2", Incarnation: 7}), Heartbeat{})
 	c.Assert(err, qt.IsNil)
 	c.Assert(from.From, qt.Equals, models.DaemonID("d-2"))
 	c.Assert(from.Incarnation, qt.Equals, int64(7))
-	own := frameOf(News{Change: 12, All: true, Loads: map[models.InstanceID]Load{"i-1e5e60a8b1": {Requests: 3, Unread: 640}}})
+	own := frameOf(Update{LoadsVersion: 12, Full: true, Loads: map[models.InstanceID]Load{"i-1e5e60a8b1": {Requests: 3, Unread: 640}}})
 	c.Assert(len(own) <= 32, qt.IsTrue, qt.Commentf("%d bytes", len(own)))
-	for _, body := range [][]byte{own, frameOf(News{From: "d-3", Incarnation: 1, Change: 1, All: true, Loads: map[models.InstanceID]Load{"i-2": {Requests: 1}}})} {
-		_, err := s.take(context.Background(), frameLoads, body, from)
+	for _, body := range [][]byte{own, frameOf(Update{From: "d-3", Incarnation: 1, LoadsVersion: 1, Full: true, Loads: map[models.InstanceID]Load{"i-2": {Requests: 1}}})} {
+		_, err := s.handleFrame(context.Background(), frameLoads, body, from)
 		c.Assert(err, qt.IsNil)
 	}
-	c.Assert(n.peerLoads.at("i-1e5e60a8b1"), qt.Equals, Load{Requests: 3, Unread: 640})
-	c.Assert(n.peerLoads.by["d-2"].incarnation, qt.Equals, int64(7))
-	c.Assert(n.peerLoads.by["d-3"].loads["i-2"].Requests, qt.Equals, 1)
+	c.Assert(n.peerLoads.total("i-1e5e60a8b1"), qt.Equals, Load{Requests: 3, Unread: 640})
+	c.Assert(n.peerLoads.byDaemon["d-2"].incarnation, qt.Equals, int64(7))
+	c.Assert(n.peerLoads.byDaemon["d-3"].loads["i-2"].Requests, qt.Equals, 1)
 }
 
 // TestNewsRoundTrip checks that no field of what the planner tells of an instance
 // is lost on the way.
-func TestNewsRoundTrip(t *testing.T) {
+func TestUpdateRoundTrip(t *testing.T) {
 	c := qt.New(t)
-	news := News{From: "d-2", Term: 3, Feed: 4, Instances: []InstanceNews{{
+	update := Update{From: "d-2", Term: 3, Seq: 4, Instances: []InstanceUpdate{{
 		Age: time.Second, Instance: models.UpstreamInstance{
 			ID: "i-1", Service: "engines", Addr: netip.MustParseAddrPort("10.1.64.16:8526"), Zone: "z1", Domain: "f1", Slots: 26,
 			Loaded: "m", Staged: []models.ModelName{"m"}, Group: models.Membership{Key: models.GroupKey{Name: "m.1", Epoch: 1}, State: models.MemberOpen},
 		},
 	}}}
-	body, err := pack.Marshal(news)
+	body, err := pack.Marshal(update)
 	c.Assert(err, qt.IsNil)
-	var got News
+	var got Update
 	c.Assert(pack.Unmarshal(body, &got), qt.IsNil)
-	c.Assert(got, qt.CmpEquals(cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })), news)
+	c.Assert(got, qt.CmpEquals(cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })), update)
 }
 
 // TestShortHeartbeats checks that nothing is lost by what later heartbeats leave
 // out. They are the most of what daemons tell where there are many of them: one has
 // 51 bytes rather than 125.
-func TestShortHeartbeats(t *testing.T) {
+func TestAbbreviatedHeartbeats(t *testing.T) {
 	c := qt.New(t)
 	n := newTestOwner(t).n
 	s := &peerServer{n: n}
@@ -71,15 +71,15 @@
 		ConfigVersion: 17, ConfigAge: 400 * time.Millisecond, Term: 4, Work: map[models.ModelName]float32{"sexa3699b5": 1.5, "yeti827f2c": 0.5},
 	}
 	var from Heartbeat
-	for at, beat := range []Heartbeat{full, full.short()} {
+	for at, beat := range []Heartbeat{full, full.abbreviated()} {
 		body, err := pack.Marshal(beat)
 		c.Assert(err, qt.IsNil)
 		if at > 0 {
 			c.Assert(len(body) <= 64, qt.IsTrue, qt.Commentf("%d bytes", len(body)))
 		}
-		from, err = s.take(context.Background(), frameHeartbeat, body, from)
+		from, err = s.handleFrame(context.Background(), frameHeartbeat, body, from)
 		c.Assert(err, qt.IsNil)
-		seen := (<-n.inbox).(heartbeatSeen).beat
+		seen := (<-n.inbox).(heartbeatReceived).heartbeat
 		c.Assert(seen, qt.DeepEquals, full)
 	}
 }
--- a/cluster/permits.go
+++ b/cluster/permits.go
@@ -27,7 +27,7 @@
 	// little of the time that any request has.
 	permitTimeout = 150 * time.Millisecond
 	// granterRest is for how long a granter that did not answer is not asked.
-	granterRest = 300 * time.Millisecond
+	granterBackoff = 300 * time.Millisecond
 )
 
 // Errors of AskPermit.
@@ -35,27 +35,27 @@
 	// ErrNoGranter: no daemon is known that grants permits for the zone.
 	ErrNoGranter = errors.New("no daemon grants permits for this availability zone")
 	// ErrNoGrant: the granter did not answer.
-	ErrNoGrant = errors.New("the daemon that grants permits does not answer")
+	ErrGranterUnavailable = errors.New("the daemon that grants permits does not answer")
 )
 
 // permitAsk asks for a permit for instances of a zone, permitGrant answers it.
 type (
-	permitAsk struct {
-		Number uint64        `msgpack:"n"`
-		Zone   models.Zone   `msgpack:"z"`
-		Ask    ratelimit.Ask `msgpack:"a"`
+	permitRequest struct {
+		Seq  uint64        `msgpack:"n"`
+		Zone models.Zone   `msgpack:"z"`
+		Ask  ratelimit.Ask `msgpack:"a"`
 	}
-	permitGrant struct {
-		Number uint64          `msgpack:"n"`
-		Grant  ratelimit.Grant `msgpack:"g"`
+	permitReply struct {
+		Seq   uint64          `msgpack:"n"`
+		Grant ratelimit.Grant `msgpack:"g"`
 	}
 )
 
 // permits holds the buckets of the instances that this daemon grants permits for, and the
 // connections to daemons that grant others. It is safe for use by several goroutines.
 type permits struct {
-	n                           *Node
-	granted, refused, noAnswers *metrics.Counter
+	n                            *Node
+	granted, refused, unanswered *metrics.Counter
 
 	buckets sync.Mutex
 	granter ratelimit.Granter
@@ -69,18 +69,18 @@
 
 func newPermits(n *Node, set *metrics.Set) *permits {
 	return &permits{
-		n:         n,
-		granted:   set.NewCounter(`lupinkeel_permits_total{outcome="granted"}`),
-		refused:   set.NewCounter(`lupinkeel_permits_total{outcome="refused"}`),
-		noAnswers: set.NewCounter(`lupinkeel_permits_total{outcome="unanswered"}`),
-		conns:     map[models.DaemonID]*granterConn{},
+		n:          n,
+		granted:    set.NewCounter(`lupinkeel_permits_total{outcome="granted"}`),
+		refused:    set.NewCounter(`lupinkeel_permits_total{outcome="refused"}`),
+		unanswered: set.NewCounter(`lupinkeel_permits_total{outcome="unanswered"}`),
+		conns:      map[models.DaemonID]*granterConn{},
 	}
 }
 
 // run has connections be made until the context ends, and closes them then.
 func (p *permits) run(ctx context.Context) error {
 	p.running.Store(&ctx)
-	ticks := p.n.clock.Subscribe(sweepEvery)
+	ticks := p.n.clock.Subscribe(sweepInterval)
 	for {
 		select {
 		case <-ctx.Done():
@@ -98,7 +98,7 @@
 	p.mu.Lock()
 	var readers []task.Task
 	for _, c := range p.conns {
-		readers = append(readers, c.end()...)
+		readers = append(readers, c.close()...)
 	}
 	p.mu.Unlock()
 	return task.Wait(readers...)
@@ -106,10 +106,10 @@
 
 // AskPermit asks for a permit to send a request to one of several instances of a zone.
 func (n *Node) AskPermit(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
-	grant, err := n.permits.ask(ctx, zone, ask)
+	grant, err := n.permits.request(ctx, zone, ask)
 	switch {
 	case err != nil:
-		n.permits.noAnswers.Inc()
+		n.permits.unanswered.Inc()
 	case grant.Granted:
 		n.permits.granted.Inc()
 	default:
@@ -125,13 +125,13 @@
 	if rate == models.NoLimit {
 		return
 	}
-	_, err := p.ask(ctx, i.Zone, ratelimit.Ask{Charge: true, Wanted: []ratelimit.Wanted{{Instance: i.ID, Rate: rate}}})
+	_, err := p.request(ctx, i.Zone, ratelimit.Ask{Charge: true, Wanted: []ratelimit.Wanted{{Instance: i.ID, Rate: rate}}})
 	if err != nil {
 		p.n.log.Debug().Str("instance", string(i.ID)).Err(err).Msg("report-not-charged")
 	}
 }
 
-func (p *permits) ask(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
+func (p *permits) request(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
 	v := p.n.View()
 	if v.Arranged == nil {
 		return ratelimit.Grant{}, ErrNoGranter
@@ -146,7 +146,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	return p.conn(id, addr).ask(ctx, zone, ask)
+	return p.conn(id, addr).request(ctx, zone, ask)
 }
 
 // grant grants a permit if this daemon's share of the instances' rates allows it.
@@ -169,7 +169,7 @@
 	if share < 1 {
 		// Heartbeats of those who ask this daemon may be on their way.
 		for n := range grant.Waits {
-			grant.Waits[n] = min(grant.Waits[n], heartbeatEvery)
+			grant.Waits[n] = min(grant.Waits[n], heartbeatInterval)
 		}
 	}
 	return grant
@@ -185,7 +185,7 @@
 	}
 	if c != nil {
 		// Its reader ends with the connection.
-		c.end()
+		c.close()
 	}
 	c = &granterConn{p: p, addr: addr}
 	p.conns[id] = c
@@ -200,30 +200,30 @@
 	mu   sync.Mutex
 	conn *framedConn
 	// read ends with the reader of the connection.
-	read    task.Task
-	number  uint64
-	waiting map[uint64]chan<- ratelimit.Grant
+	reader  task.Task
+	seq     uint64
+	pending map[uint64]chan<- ratelimit.Grant
 	// rests is until when the granter is not asked.
-	rests time.Time
+	backoffUntil time.Time
 }
 
 // ask asks and waits for the answer.
-func (c *granterConn) ask(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
+func (c *granterConn) request(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
 	answer, err := c.send(ctx, zone, ask)
 	if err != nil {
-		return ratelimit.Grant{}, errors.Join(ErrNoGrant, err)
+		return ratelimit.Grant{}, errors.Join(ErrGranterUnavailable, err)
 	}
 	select {
 	case grant, ok := <-answer:
 		if ok {
 			return grant, nil
 		}
-		return ratelimit.Grant{}, ErrNoGrant
+		return ratelimit.Grant{}, ErrGranterUnavailable
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			c.rest()
+			c.backOff()
 		}
-		return ratelimit.Grant{}, errors.Join(ErrNoGrant, ctx.Err())
+		return ratelimit.Grant{}, errors.Join(ErrGranterUnavailable, ctx.Err())
 	}
 }
 
@@ -232,20 +232,20 @@
 func (c *granterConn) send(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (<-chan ratelimit.Grant, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().Before(c.rests) {
-		return nil, ErrNoGrant
+	if time.Now().Before(c.backoffUntil) {
+		return nil, ErrGranterUnavailable
 	}
 	if c.conn == nil {
 		if err := c.connect(ctx); err != nil {
-			c.rests = time.Now().Add(granterRest)
+			c.backoffUntil = time.Now().Add(granterBackoff)
 			return nil, err
 		}
 	}
-	c.number++
+	c.seq++
 	answer := make(chan ratelimit.Grant, 1)
-	c.waiting[c.number] = answer
-	if err := c.conn.send(frameAsk, permitAsk{Number: c.number, Zone: zone, Ask: ask}); err != nil {
-		c.drop(c.conn)
+	c.pending[c.seq] = answer
+	if err := c.conn.send(framePermitRequest, permitRequest{Seq: c.seq, Zone: zone, Ask: ask}); err != nil {
+		c.dropConn(c.conn)
 		return nil, err
 	}
 	return answer, nil
@@ -255,7 +255,7 @@
 func (c *granterConn) connect(ctx context.Context) error {
 	running := c.p.running.Load()
 	if running == nil || (*running).Err() != nil {
-		return ErrNoGrant
+		return ErrGranterUnavailable
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
 	dialed, err := dialer.DialContext(ctx, "tcp4", c.addr.String())
@@ -263,12 +263,12 @@
 		return err
 	}
 	conn := c.p.n.framed(dialed, "granter")
-	c.conn, c.waiting = &conn, map[uint64]chan<- ratelimit.Grant{}
-	c.read = task.Start(*running, "grants", func(context.Context) error {
-		err := c.readAll(&conn)
+	c.conn, c.pending = &conn, map[uint64]chan<- ratelimit.Grant{}
+	c.reader = task.Start(*running, "grants", func(context.Context) error {
+		err := c.readReplies(&conn)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.drop(&conn)
+		c.dropConn(&conn)
 		c.p.n.log.Debug().Stringer("granter", c.addr).Err(err).Msg("granter-left")
 		return nil
 	})
@@ -276,67 +276,67 @@
 }
 
 // readAll hands answers to those who wait for them.
-func (c *granterConn) readAll(conn *framedConn) error {
+func (c *granterConn) readReplies(conn *framedConn) error {
 	r := bufio.NewReader(conn)
 	for {
 		kind, body, err := frame.Read(r)
 		if err != nil {
 			return err
 		}
-		var told permitGrant
-		if kind != frameGrant {
+		var reply permitReply
+		if kind != framePermitReply {
 			return frame.ErrFormat
 		}
-		if err := frame.Decode(body, &told); err != nil {
+		if err := frame.Decode(body, &reply); err != nil {
 			return err
 		}
 		c.mu.Lock()
-		answer := c.waiting[told.Number]
-		delete(c.waiting, told.Number)
+		waiter := c.pending[reply.Seq]
+		delete(c.pending, reply.Seq)
 		c.mu.Unlock()
-		if answer != nil {
-			answer <- told.Grant
+		if waiter != nil {
+			waiter <- reply.Grant
 		}
 	}
 }
 
 // rest has the granter not be asked for a while.
-func (c *granterConn) rest() {
+func (c *granterConn) backOff() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rests = time.Now().Add(granterRest)
-	c.drop(c.conn)
+	c.backoffUntil = time.Now().Add(granterBackoff)
+	c.dropConn(c.conn)
 }
 
 // drop closes a connection, if it is still the one in use. It must be locked.
-func (c *granterConn) drop(conn *framedConn) {
+func (c *granterConn) dropConn(conn *framedConn) {
 	if conn == nil || c.conn != conn {
 		return
 	}
 	// It is of no use any more, whether it closes well or not.
 	_ = conn.Close()
-	for _, answer := range c.waiting {
+	for _, answer := range c.pending {
 		close(answer)
 	}
-	c.conn, c.waiting = nil, nil
+	c.conn, c.pending = nil, nil
 }
 
 // end closes the connection and returns its reader, to be waited for.
-func (c *granterConn) end() []task.Task {
+func (c *granterConn) close() []task.Task {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn == nil {
 		return nil
 	}
-	c.drop(c.conn)
-	return []task.Task{c.read}
+	c.dropConn(c.conn)
+	return []task.Task{c.reader}
 }
 
 // answer grants a permit, or none, to the daemon at the other end of a connection.
-func (p *permits) answer(conn framedConn, body []byte) error {
-	var ask permitAsk
+func (p *permits) handleRequest(conn framedConn, body []byte) error {
+	var ask permitRequest
 	if err := frame.Decode(body, &ask); err != nil {
 		return err
 	}
-	return conn.send(frameGrant, permitGrant{Number: ask.Number, Grant: p.grant(ask.Zone, ask.Ask)})
+	return conn.send(framePermitReply, permitReply{Seq: ask.Seq, Grant: p.grant(ask.Zone, ask.Ask)})
 }
--- a/cluster/permits_test.go
+++ b/cluster/permits_test.go
@@ -20,31 +20,31 @@
 	limitWindow = 4 * time.Second
 	limitSlack  = 5
 	// usedPart is the part of a limit that must be used where there is demand for more.
-	usedPart = 0.8
+	minUsedShare = 0.8
 )
 
 // askers are daemons that keep asking for permits for one instance.
-type askers struct {
+type permitClients struct {
 	zone models.Zone
 	rate float64
 
-	mu     sync.Mutex
-	grants []time.Time
-	asks   int
+	mu       sync.Mutex
+	grants   []time.Time
+	requests int
 }
 
 // keepAsking asks until the context ends, as a gateway does that leaves the instance alone
 // when it is told to.
-func (a *askers) keepAsking(ctx context.Context, p *peerNode, pause time.Duration) error {
+func (a *permitClients) requestUntilDone(ctx context.Context, p *testPeer, pause time.Duration) error {
 	ask := ratelimit.Ask{Wanted: []ratelimit.Wanted{{Instance: "i1", Rate: a.rate}}}
 	for ctx.Err() == nil {
 		grant, err := p.AskPermit(ctx, a.zone, ask)
 		wait := pause
 		a.mu.Lock()
-		a.asks++
+		a.requests++
 		switch {
 		case err != nil:
-			wait = granterRest
+			wait = granterBackoff
 		case grant.Granted:
 			a.grants = append(a.grants, time.Now())
 		default:
@@ -60,14 +60,14 @@
 }
 
 // count is how often permits were asked for.
-func (a *askers) count() int {
+func (a *permitClients) count() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.asks
+	return a.requests
 }
 
 // worst is the most permits in any window, used the part of the limit that they used.
-func (a *askers) worst(from, to time.Time) (worst int, used float64) {
+func (a *permitClients) maxPerWindow(from, to time.Time) (worst int, used float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	slices.SortFunc(a.grants, time.Time.Compare)
@@ -89,7 +89,7 @@
 
 // Daemons that all want an instance with a limit share it whoever of them ends, starts or
 // grants, and use most of it.
-func TestPermitsKeepALimit(t *testing.T) {
+func TestPermitsEnforceLimit(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		daemons int
@@ -101,10 +101,10 @@
 			peers := startPeers(t, test.daemons, test.zones)
 			peers[0].limits.Heard(ratelimit.Sighting{Instance: "i1", Rate: test.rate, Asked: time.Now(), Heard: time.Now()})
 			granter := func() models.DaemonID { return peers[0].View().Arranged.Granter("z1") }
-			waitAll(c, peers, met, "agreed on who grants", func(p *peerNode) bool {
+			waitAll(c, peers, discoveryTimeout, "agreed on who grants", func(p *testPeer) bool {
 				return p.View().granters != nil && p.View().Arranged.Granter("z1") == granter()
 			})
-			a := &askers{zone: "z1", rate: test.rate}
+			a := &permitClients{zone: "z1", rate: test.rate}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			var tasks []task.Task
@@ -112,30 +112,30 @@
 			for _, p := range peers {
 				of, stop := context.WithCancel(ctx)
 				stops[p.cfg.ID] = stop
-				tasks = append(tasks, task.Start(of, "ask", func(ctx context.Context) error { return a.keepAsking(ctx, p, 30*time.Millisecond) }))
+				tasks = append(tasks, task.Start(of, "ask", func(ctx context.Context) error { return a.requestUntilDone(ctx, p, 30*time.Millisecond) }))
 			}
 			began := time.Now()
 			time.Sleep(limitWindow + time.Second)
-			calm, used := a.worst(began.Add(time.Second), time.Now())
-			t.Logf("no faults: %d permits in %v at most, %.2f of the limit used, %d asks", calm, limitWindow, used, a.count())
-			c.Check(used >= usedPart, qt.IsTrue, qt.Commentf("%v used", used))
+			steadyMax, used := a.maxPerWindow(began.Add(time.Second), time.Now())
+			t.Logf("no faults: %d permits in %v at most, %.2f of the limit used, %d asks", steadyMax, limitWindow, used, a.count())
+			c.Check(used >= minUsedShare, qt.IsTrue, qt.Commentf("%v used", used))
 
 			lost := granter()
-			at := slices.IndexFunc(peers, func(p *peerNode) bool { return p.cfg.ID == lost })
+			at := slices.IndexFunc(peers, func(p *testPeer) bool { return p.cfg.ID == lost })
 			c.Assert(at > 0, qt.IsTrue, qt.Commentf("%s grants", lost))
 			stops[lost]()
 			peers[at].stop()
-			taken := waitAll(c, peers[:1], met, "another one grants", func(*peerNode) bool { return granter() != lost })
+			taken := waitAll(c, peers[:1], discoveryTimeout, "another one grants", func(*testPeer) bool { return granter() != lost })
 			t.Logf("another one grants after %v", taken.Round(time.Millisecond))
 			time.Sleep(limitWindow)
 			began = time.Now()
 			time.Sleep(limitWindow)
-			_, used = a.worst(began, time.Now())
+			_, used = a.maxPerWindow(began, time.Now())
 			cancel()
 			c.Assert(task.Wait(tasks...), qt.IsNil)
-			worst, _ := a.worst(began, time.Now())
+			worst, _ := a.maxPerWindow(began, time.Now())
 			t.Logf("over all: %d permits in %v at most; %.2f used once another one granted", worst, limitWindow, used)
-			c.Check(used >= usedPart, qt.IsTrue, qt.Commentf("%v used", used))
+			c.Check(used >= minUsedShare, qt.IsTrue, qt.Commentf("%v used", used))
 			allowed := 1.5*test.rate*limitWindow.Seconds() + limitSlack
 			c.Check(float64(worst) <= allowed, qt.IsTrue, qt.Commentf("%d permits, %v allowed", worst, allowed))
 		})
--- a/cluster/calls_test.go
+++ b/cluster/planner_calls_test.go
@@ -12,7 +12,7 @@
 )
 
 // A planner asked all instances at once, and its other calls timed out behind these.
-func TestPlannerDrownsInItsOwnCalls(t *testing.T) {
+func TestPlannerCallsAreBounded(t *testing.T) {
 	const instances = 3000
 	fill := func(o *owner) {
 		for n := range instances {
@@ -25,8 +25,8 @@
 		c := qt.New(t)
 		o := newTestOwner(t)
 		fill(o)
-		o.askDoubtful("s", time.Now())
-		c.Assert(int(o.n.stats.reports.Get()) <= mostCalls, qt.IsTrue, qt.Commentf("%d at once", o.n.stats.reports.Get()))
+		o.probeUnconfirmed("s", time.Now())
+		c.Assert(int(o.n.stats.reports.Get()) <= maxCalls, qt.IsTrue, qt.Commentf("%d at once", o.n.stats.reports.Get()))
 	})
 	t.Run("orders_are_answered_late", func(t *testing.T) {
 		c := qt.New(t)
@@ -36,13 +36,13 @@
 		for n := range instances {
 			o.fleet.orders = append(o.fleet.orders, types.GroupOrder{Instance: models.InstanceID(fmt.Sprint("i", n))})
 		}
-		o.giveOrders()
+		o.sendOrders()
 		took := 5 * time.Millisecond
 		for n := range 1000 {
 			// Answers take the longer the more calls wait for the processor.
-			took = time.Duration(5+3*o.fleet.underWay) * time.Millisecond
-			o.handleOrderEnded(orderEnded{order: types.GroupOrder{Instance: models.InstanceID(fmt.Sprint("i", n))}, outcome: types.OrderDone, at: time.Now(), took: took})
+			took = time.Duration(5+3*o.fleet.ordersInFlight) * time.Millisecond
+			o.handleOrderResult(orderFinished{order: types.GroupOrder{Instance: models.InstanceID(fmt.Sprint("i", n))}, outcome: types.OrderDone, finishedAt: time.Now(), took: took})
 		}
-		c.Assert(took < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%d orders under way, answered after %v", o.fleet.underWay, took))
+		c.Assert(took < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%d orders under way, answered after %v", o.fleet.ordersInFlight, took))
 	})
 }
--- a/cluster/asks.go
+++ b/cluster/probes.go
@@ -11,56 +11,56 @@
 
 const (
 	// askAgain is how soon an instance is asked for a report once more.
-	askAgain = 400 * time.Millisecond
+	minProbeInterval = 400 * time.Millisecond
 	// reportMargin is how much later than an order should be done the instance
 	// is asked whether it is.
-	reportMargin = 15 * time.Millisecond
+	orderProbeMargin = 15 * time.Millisecond
 	// askUnderWay is how soon an instance that should have been done is asked
 	// again.
-	askUnderWay = 100 * time.Millisecond
+	unfinishedProbeDelay = 100 * time.Millisecond
 	// askFailed is how soon an instance that did not answer is asked again.
-	askFailed = 50 * time.Millisecond
+	failedProbeDelay = 50 * time.Millisecond
 )
 
 // ask has an instance asked for a report, unless that was just done.
-func (o *owner) ask(k *knownInstance, now time.Time, timeout time.Duration) {
-	if now.Sub(k.asked) >= askAgain {
-		o.askNext(k, timeout)
+func (o *owner) probe(k *knownInstance, now time.Time, timeout time.Duration) {
+	if now.Sub(k.probedAt) >= minProbeInterval {
+		o.queueProbe(k, timeout)
 	}
 }
 
 // question is an instance that is to be asked for a report.
-type question struct {
+type queuedProbe struct {
 	id      models.InstanceID
 	timeout time.Duration
 }
 
 // askNext has an instance asked for a report as soon as one more call may be made. Where
 // something may be wrong that is before all others.
-func (o *owner) askNext(k *knownInstance, timeout time.Duration) {
-	f, q := &o.fleet, question{k.ID, timeout}
+func (o *owner) queueProbe(k *knownInstance, timeout time.Duration) {
+	f, q := &o.fleet, queuedProbe{k.ID, timeout}
 	switch {
-	case timeout < patientReport:
-		f.questions = slices.Insert(f.questions, 0, q)
-	case !k.waits:
-		f.questions = append(f.questions, q)
+	case timeout < probeTimeout:
+		f.probes = slices.Insert(f.probes, 0, q)
+	case !k.probeQueued:
+		f.probes = append(f.probes, q)
 	}
-	k.waits = true
-	o.makeCalls()
+	k.probeQueued = true
+	o.startCalls()
 }
 
 // makeCalls asks for reports and gives orders, as many at a time as leave the node time for
 // all else, the renewal of its lease among it. Neither kind keeps the other from more than half
 // of the calls.
-func (o *owner) makeCalls() {
+func (o *owner) startCalls() {
 	f := &o.fleet
-	most := f.calls.Most()
-	for f.asking+f.underWay < most {
+	limit := f.callLimit.Most()
+	for f.probesInFlight+f.ordersInFlight < limit {
 		switch {
-		case len(f.questions) > 0 && (len(f.orders) == 0 || f.asking < most/2 || f.underWay >= most/2):
-			o.askFirst()
+		case len(f.probes) > 0 && (len(f.orders) == 0 || f.probesInFlight < limit/2 || f.ordersInFlight >= limit/2):
+			o.startProbe()
 		case len(f.orders) > 0:
-			o.giveFirst()
+			o.sendFirstOrder()
 		default:
 			return
 		}
@@ -68,24 +68,24 @@
 }
 
 // askFirst asks the first instance that is to be asked.
-func (o *owner) askFirst() {
+func (o *owner) startProbe() {
 	f := &o.fleet
-	q := f.questions[0]
-	f.questions = f.questions[1:]
+	q := f.probes[0]
+	f.probes = f.probes[1:]
 	k := f.instances[q.id]
-	if k == nil || !k.waits {
+	if k == nil || !k.probeQueued {
 		// It is gone, or was asked since.
 		return
 	}
-	k.asked, k.waits = time.Now(), false
-	if o.n.askReport(o.ctx, k.UpstreamInstance, q.timeout) {
-		f.asking++
+	k.probedAt, k.probeQueued = time.Now(), false
+	if o.n.sendProbe(o.ctx, k.UpstreamInstance, q.timeout) {
+		f.probesInFlight++
 	}
 }
 
 // handleStalled passes over a head at which nothing moves, and has the
 // members asked if this node plans.
-func (o *owner) handleStalled(m stalled) {
+func (o *owner) handleStalled(m stallDetected) {
 	k, known := o.fleet.instances[m.head]
 	if !known || k.Group.Key != m.group {
 		return
@@ -93,9 +93,9 @@
 	now := time.Now()
 	if s, suspect := o.fleet.suspects[m.head]; !suspect || now.After(s.until) {
 		o.n.log.Warn().Str("group", string(m.group.Name)).Str("head", string(m.head)).Str("from", string(m.from)).Msg("group-stalled")
-		o.fleet.suspects[m.head] = suspicion{group: m.group, until: now.Add(suspectFor), own: m.from == ""}
+		o.fleet.suspects[m.head] = suspicion{group: m.group, until: now.Add(suspicionDuration), own: m.from == ""}
 		if m.from == "" {
-			o.n.links.send(News{From: o.n.cfg.ID, Stalled: []StalledHead{{Group: m.group, Head: m.head}}})
+			o.n.links.broadcast(Update{From: o.n.cfg.ID, Stalled: []StalledHead{{Group: m.group, Head: m.head}}})
 		}
 		o.fleetStale = true
 	}
@@ -103,15 +103,15 @@
 		return
 	}
 	for _, i := range o.fleet.instances {
-		if i.Group.Key == m.group && i.lost.IsZero() {
-			o.ask(i, now, promptReport)
+		if i.Group.Key == m.group && i.lostSince.IsZero() {
+			o.probe(i, now, stalledProbeTimeout)
 		}
 	}
 }
 
 // expected is how long an order that was begun takes, if the end is worth
 // asking for.
-func (o *owner) expected(order types.GroupOrder, i models.UpstreamInstance) (time.Duration, bool) {
+func (o *owner) expectedDuration(order types.GroupOrder, i models.UpstreamInstance) (time.Duration, bool) {
 	service, known := o.config.routing.Services[i.Service]
 	if !known || service.Engine == nil {
 		return 0, false
@@ -121,18 +121,18 @@
 	case !known:
 		return 0, false
 	case order.Kind == types.GroupOpen:
-		return service.Engine.FormTime + reportMargin, true
+		return service.Engine.FormTime + orderProbeMargin, true
 	case order.Kind == types.GroupJoin && i.Loaded == model.Name:
-		return fleet.Rejoin + reportMargin, true
+		return fleet.Rejoin + orderProbeMargin, true
 	case order.Kind == types.GroupJoin && slices.Contains(i.Staged, model.Name):
-		return model.Warm + reportMargin, true
+		return model.Warm + orderProbeMargin, true
 	}
 	return 0, false
 }
 
 // underWay reports whether the instance is still at an order that should be
 // done.
-func (o *owner) underWay(k *knownInstance) bool {
+func (o *owner) isOrderUnfinished(k *knownInstance) bool {
 	if o.fleet.planner == nil {
 		return false
 	}
@@ -153,14 +153,14 @@
 }
 
 // askDue asks the instances whose orders should be done by now.
-func (o *owner) askDue(now time.Time) {
-	for id, at := range o.fleet.due {
+func (o *owner) sendDueProbes(now time.Time) {
+	for id, at := range o.fleet.probeAt {
 		if now.Before(at) {
 			continue
 		}
-		delete(o.fleet.due, id)
+		delete(o.fleet.probeAt, id)
 		if k := o.fleet.instances[id]; k != nil && o.fleet.planner != nil {
-			o.askNext(k, patientReport)
+			o.queueProbe(k, probeTimeout)
 		}
 	}
 }
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -18,11 +18,11 @@
 type Quarantine struct {
 	log zerolog.Logger
 	// known tells that any crash is known at all.
-	known atomic.Bool
+	nonEmpty atomic.Bool
 	// found is called when this daemon found something that others are to be told.
-	found func()
+	onChange func()
 	// changed yields requests whose record in the store is to be written anew.
-	changed chan quarantine.Digest
+	writeQueue chan quarantine.Digest
 
 	mu   sync.Mutex
 	list quarantine.List
@@ -34,7 +34,7 @@
 // something to tell other daemons.
 func NewQuarantine(found func(), set *metrics.Set, log zerolog.Logger) *Quarantine {
 	q := &Quarantine{
-		log: log, found: found, changed: make(chan quarantine.Digest, recordsLen), refused: map[quarantine.Digest]quarantine.Standing{},
+		log: log, onChange: found, writeQueue: make(chan quarantine.Digest, writeQueueLen), refused: map[quarantine.Digest]quarantine.Standing{},
 	}
 	set.NewGauge("lupinkeel_quarantined_requests", func() float64 {
 		q.mu.Lock()
@@ -46,18 +46,18 @@
 
 // Crashed notes that an instance crashed with requests of this daemon on it.
 func (q *Quarantine) Crashed(c quarantine.Crash) {
-	if q.add(c, "") {
-		q.found()
+	if q.record(c, "") {
+		q.onChange()
 	}
 }
 
 // add takes in a crash, and reports whether anything of it was new.
-func (q *Quarantine) add(c quarantine.Crash, from quarantine.Source) bool {
+func (q *Quarantine) record(c quarantine.Crash, from quarantine.Source) bool {
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	added := q.list.Add(c, from, now)
-	q.note(now)
+	q.refresh(now)
 	return added
 }
 
@@ -66,10 +66,10 @@
 	now := time.Now()
 	q.mu.Lock()
 	cleared := q.list.Clear(d, now)
-	q.note(now)
+	q.refresh(now)
 	q.mu.Unlock()
 	if cleared {
-		q.found()
+		q.onChange()
 	}
 }
 
@@ -103,7 +103,7 @@
 
 // Holds reports whether anything is held against any request. Where nothing is, requests
 // need no digest.
-func (q *Quarantine) Holds() bool { return q.known.Load() }
+func (q *Quarantine) Holds() bool { return q.nonEmpty.Load() }
 
 // Prune forgets what is old.
 func (q *Quarantine) Prune() {
@@ -114,32 +114,32 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.list.Prune(now)
-	q.note(now)
+	q.refresh(now)
 }
 
 // note tells in the log which requests are refused from now on and which no longer, and
 // has that written into the store if this daemon found any of the crashes. The quarantine
 // must be locked.
-func (q *Quarantine) note(now time.Time) {
-	q.known.Store(!q.list.Empty())
+func (q *Quarantine) refresh(now time.Time) {
+	q.nonEmpty.Store(!q.list.Empty())
 	refused := q.list.Quarantined()
 	for d, s := range refused {
 		if _, before := q.refused[d]; !before {
 			q.log.Warn().Stringer("digest", d).Int("crashes", s.Crashes).Dur("age", now.Sub(s.Last)).Msg("request-quarantined")
-			q.recordOwn(d)
+			q.enqueueOwnWrite(d)
 		}
 	}
 	for d := range q.refused {
 		if _, still := refused[d]; !still {
 			q.log.Info().Stringer("digest", d).Msg("request-released")
-			q.recordOwn(d)
+			q.enqueueOwnWrite(d)
 		}
 	}
 	q.refused = refused
 }
 
 // CrashNews is what a daemon tells others of an instance that crashed.
-type CrashNews struct {
+type CrashUpdate struct {
 	Instance models.InstanceID `msgpack:"i"`
 	Born     time.Time         `msgpack:"b,omitempty"`
 	// Age is how long ago it crashed.
@@ -150,8 +150,8 @@
 }
 
 // newsOf is a crash as other daemons are told.
-func newsOf(c quarantine.Crash, now time.Time) CrashNews {
-	out := CrashNews{Instance: c.Instance, Born: c.Born, Age: now.Sub(c.At)}
+func crashUpdateOf(c quarantine.Crash, now time.Time) CrashUpdate {
+	out := CrashUpdate{Instance: c.Instance, Born: c.Born, Age: now.Sub(c.At)}
 	for d, cleared := range c.Requests {
 		if cleared {
 			out.Cleared = append(out.Cleared, d)
@@ -163,7 +163,7 @@
 }
 
 // crash is what the news tell, received at some time.
-func (c CrashNews) crash(at time.Time) quarantine.Crash {
+func (c CrashUpdate) toCrash(at time.Time) quarantine.Crash {
 	out := quarantine.Crash{Instance: c.Instance, Born: c.Born, At: at.Add(-c.Age), Requests: map[quarantine.Digest]bool{}}
 	for _, d := range c.Requests {
 		out.Requests[d] = false
@@ -175,36 +175,36 @@
 }
 
 // take takes in what another daemon tells, and reports whether anything was new.
-func (q *Quarantine) take(news []CrashNews, from models.DaemonID) bool {
+func (q *Quarantine) merge(updates []CrashUpdate, from models.DaemonID) bool {
 	now, added := time.Now(), false
-	for _, c := range news {
-		added = q.add(c.crash(now), from) || added
+	for _, c := range updates {
+		added = q.record(c.toCrash(now), from) || added
 	}
 	return added
 }
 
 // tells says which of what a daemon knows it tells another one.
-type tells int
+type findingScope int
 
 const (
 	// tellOwn is what it found itself.
-	tellOwn tells = iota
+	ownFindings findingScope = iota
 	// tellAll is all but what the other one told.
-	tellAll
+	allFindings
 )
 
 // since is what another daemon is to be told that was learned after a change, and the
 // newest change.
-func (q *Quarantine) since(seen uint64, to models.DaemonID, which tells) ([]CrashNews, uint64) {
+func (q *Quarantine) changesSince(seen uint64, to models.DaemonID, scope findingScope) ([]CrashUpdate, uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	crashes, last := q.list.Since(seen, func(from quarantine.Source) bool {
-		return from == "" || (which == tellAll && from != to)
+		return from == "" || (scope == allFindings && from != to)
 	})
 	now := time.Now()
-	out := make([]CrashNews, len(crashes))
+	out := make([]CrashUpdate, len(crashes))
 	for n, c := range crashes {
-		out[n] = newsOf(c, now)
+		out[n] = crashUpdateOf(c, now)
 	}
 	return out, last
 }
@@ -213,30 +213,30 @@
 // begins with all that is known, so that a daemon which starts or was cut off learns it from
 // whoever it reaches first; later on daemons that tell each other of themselves need not pass
 // on what others told.
-func (t *teller) tellFound() error {
+func (t *linkWriter) sendFindings() error {
 	v := t.n.View()
-	which := tellOwn
-	if !t.toldFound || (!v.mesh() && v.Arranged.Relay) {
-		which = tellAll
-	}
-	crashes, lastCrash := t.n.quarantine.since(t.crashes, t.link.id, which)
-	limits, lastLimit := t.n.limits.since(t.limits, t.link.id, which)
-	signals, lastSignal := t.n.breakers.since(t.signals, func(from models.DaemonID) bool {
-		return from == "" || (which == tellAll && from != t.link.id)
+	scope := ownFindings
+	if !t.sentAllFindings || (!v.mesh() && v.Arranged.Relay) {
+		scope = allFindings
+	}
+	crashes, lastCrash := t.n.quarantine.changesSince(t.sentCrashes, t.link.id, scope)
+	limits, lastLimit := t.n.limits.changesSince(t.sentLimits, t.link.id, scope)
+	signals, lastSignal := t.n.breakers.changesSince(t.sentSignals, func(from models.DaemonID) bool {
+		return from == "" || (scope == allFindings && from != t.link.id)
 	})
-	t.crashes, t.limits, t.signals, t.toldFound = lastCrash, lastLimit, lastSignal, true
-	var news []News
+	t.sentCrashes, t.sentLimits, t.sentSignals, t.sentAllFindings = lastCrash, lastLimit, lastSignal, true
+	var updates []Update
 	if len(crashes) > 0 {
-		news = append(news, News{Crashes: crashes})
+		updates = append(updates, Update{Crashes: crashes})
 	}
 	if len(limits) > 0 {
-		news = append(news, News{Limits: limits})
+		updates = append(updates, Update{Limits: limits})
 	}
 	if len(signals) > 0 {
-		news = append(news, News{Signals: signals})
+		updates = append(updates, Update{Signals: signals})
 	}
-	for _, n := range news {
-		if err := t.send(frameNews, n); err != nil {
+	for _, n := range updates {
+		if err := t.send(frameUpdate, n); err != nil {
 			return err
 		}
 	}
@@ -244,9 +244,9 @@
 }
 
 // takeCrashes takes in what another daemon tells, and has those told who rely on this one.
-func (n *Node) takeCrashes(news []CrashNews, from models.DaemonID) {
-	if len(news) > 0 && n.quarantine.take(news, from) {
-		n.links.wakeAll()
+func (n *Node) handleCrashes(updates []CrashUpdate, from models.DaemonID) {
+	if len(updates) > 0 && n.quarantine.merge(updates, from) {
+		n.links.notifyAll()
 	}
 }
 
--- a/cluster/quarantine_store.go
+++ b/cluster/quarantine_store.go
@@ -20,10 +20,10 @@
 const quarantineTopic = "quarantine"
 
 // recordsLen is how many records may wait to be written.
-const recordsLen = 64
+const writeQueueLen = 64
 
 // fromStore is the source of what was read from the store.
-const fromStore quarantine.Source = "(store)"
+const storeSource quarantine.Source = "(store)"
 
 // storedCrash is a crash that a request is held to have caused, as the store keeps it. The
 // time is that of the day: nothing else is common to the processes before and after.
@@ -35,23 +35,23 @@
 
 // recordOwn has a request's record written anew if this daemon found any of its crashes:
 // those few all do it, since any of them may be lost. The quarantine must be locked.
-func (q *Quarantine) recordOwn(d quarantine.Digest) {
+func (q *Quarantine) enqueueOwnWrite(d quarantine.Digest) {
 	if q.list.Own(d) {
-		q.record(d)
+		q.enqueueWrite(d)
 	}
 }
 
 // record has a request's record written anew.
-func (q *Quarantine) record(d quarantine.Digest) {
+func (q *Quarantine) enqueueWrite(d quarantine.Digest) {
 	select {
-	case q.changed <- d:
+	case q.writeQueue <- d:
 	default:
 		q.log.Error().Stringer("digest", d).Msg("quarantine-not-kept")
 	}
 }
 
 // stored is a request's record; it is empty if the request is not refused.
-func (q *Quarantine) stored(d quarantine.Digest) ([]byte, error) {
+func (q *Quarantine) encodeRecord(d quarantine.Digest) ([]byte, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if _, refused := q.refused[d]; !refused {
@@ -65,11 +65,11 @@
 }
 
 // restore takes in a request's record.
-func (q *Quarantine) restore(r platform.KeyedRecord) error {
+func (q *Quarantine) applyRecord(r platform.KeyedRecord) error {
 	var d quarantine.Digest
 	raw, err := hex.DecodeString(r.Key)
 	if err != nil || len(raw) != len(d) {
-		return errors.Join(errNoDigest, err)
+		return errors.Join(errBadDigestKey, err)
 	}
 	copy(d[:], raw)
 	var crashes []storedCrash
@@ -80,26 +80,26 @@
 	for _, c := range crashes {
 		// The clocks of two daemons differ; what is to come has not been.
 		at := now.Add(-max(0, now.Sub(c.At)))
-		q.add(quarantine.Crash{Instance: c.Instance, Born: c.Born, At: at, Requests: map[quarantine.Digest]bool{d: false}}, fromStore)
+		q.record(quarantine.Crash{Instance: c.Instance, Born: c.Born, At: at, Requests: map[quarantine.Digest]bool{d: false}}, storeSource)
 	}
 	if q.Standing(d).Crashes == 0 {
 		// All of it is too long ago: the record goes.
-		q.record(d)
+		q.enqueueWrite(d)
 	}
 	return nil
 }
 
 // errNoDigest: the key of a record is no digest.
-var errNoDigest = errors.New("the key is no digest of a request")
+var errBadDigestKey = errors.New("the key is no digest of a request")
 
 // keepQuarantine reads which requests are refused, unless a relay tells, and then writes
 // what this daemon finds.
-func (n *Node) keepQuarantine(ctx context.Context) error {
-	if err := n.awaitPart(ctx); err != nil {
+func (n *Node) syncQuarantine(ctx context.Context) error {
+	if err := n.awaitRoster(ctx); err != nil {
 		return err
 	}
-	if !n.relies() {
-		if err := n.persist(ctx, n.readQuarantine); err != nil {
+	if !n.usesRelay() {
+		if err := n.retryStoreCall(ctx, n.readQuarantine); err != nil {
 			return err
 		}
 	}
@@ -107,9 +107,9 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case d := <-n.quarantine.changed:
+		case d := <-n.quarantine.writeQueue:
 			write := func(ctx context.Context) error { return n.writeQuarantine(ctx, d) }
-			if err := n.persist(ctx, write); err != nil {
+			if err := n.retryStoreCall(ctx, write); err != nil {
 				return err
 			}
 		}
@@ -117,24 +117,24 @@
 }
 
 // persist makes a call about the quarantine to the store until it succeeds.
-func (n *Node) persist(ctx context.Context, call func(context.Context) error) error {
-	var lost time.Time
-	for wait := retryPause; ; wait = min(n.longestPause(), 2*wait) {
+func (n *Node) retryStoreCall(ctx context.Context, call func(context.Context) error) error {
+	var failingSince time.Time
+	for wait := minRetryBackoff; ; wait = min(n.maxBackoff(), 2*wait) {
 		err := call(ctx)
 		if err == nil {
 			break
 		}
-		if lost.IsZero() {
-			lost = time.Now()
+		if failingSince.IsZero() {
+			failingSince = time.Now()
 			n.log.Warn().Str("what", quarantineTopic).Err(err).Msg("store-lost")
 		}
 		n.stats.storeErrors.Inc()
-		if err := pause(ctx, wait); err != nil {
+		if err := sleep(ctx, wait); err != nil {
 			return err
 		}
 	}
-	if !lost.IsZero() {
-		n.log.Info().Str("what", quarantineTopic).Dur("for", time.Since(lost)).Msg("store-regained")
+	if !failingSince.IsZero() {
+		n.log.Info().Str("what", quarantineTopic).Dur("for", time.Since(failingSince)).Msg("store-regained")
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 // readQuarantine takes in what the store kept, and has those told who rely on this
 // daemon.
 func (n *Node) readQuarantine(ctx context.Context) error {
-	records, _, err := n.newest(ctx, quarantineTopic)
+	records, _, err := n.readTopic(ctx, quarantineTopic)
 	if err != nil {
 		return err
 	}
@@ -150,22 +150,22 @@
 		if len(r.Value) == 0 {
 			continue
 		}
-		if err := n.quarantine.restore(r); err != nil {
+		if err := n.quarantine.applyRecord(r); err != nil {
 			n.log.Error().Err(err).Str("key", r.Key).Msg("quarantine-unreadable")
 		}
 	}
-	n.links.wakeAll()
+	n.links.notifyAll()
 	return nil
 }
 
 // writeQuarantine writes a request's record.
 func (n *Node) writeQuarantine(ctx context.Context, d quarantine.Digest) error {
-	value, err := n.quarantine.stored(d)
+	value, err := n.quarantine.encodeRecord(d)
 	if err != nil {
 		return err
 	}
 	n.stats.storeCalls(quarantineTopic).Inc()
-	ctx, cancel := context.WithTimeout(ctx, answerSlack)
+	ctx, cancel := context.WithTimeout(ctx, responseSlack)
 	defer cancel()
 	return n.store.Put(ctx, quarantineTopic, hex.EncodeToString(d[:]), value)
 }
--- a/cluster/quarantine_test.go
+++ b/cluster/quarantine_test.go
@@ -19,33 +19,33 @@
 
 // toldWithin is how long all daemons may take to learn what one of them found: a tenth of
 // the time after which a request may hardly be sent any more.
-const toldWithin = 300 * time.Millisecond
+const propagationTimeout = 300 * time.Millisecond
 
 // met is how long daemons that start may take to find each other.
-const met = 5 * time.Second
+const discoveryTimeout = 5 * time.Second
 
 // peerNode is a daemon that only hears and tells others.
-type peerNode struct {
+type testPeer struct {
 	*Node
 	cancel context.CancelFunc
 	tasks  []task.Task
 }
 
 // startPeer starts a daemon that knows these others from the roster.
-func startPeer(t *testing.T, id models.DaemonID, zone models.Zone, others []*peerNode) *peerNode {
+func startPeer(t *testing.T, id models.DaemonID, zone models.Zone, others []*testPeer) *testPeer {
 	c := qt.New(t)
-	l := listen(t)
+	l := listenTCP(t)
 	c.Assert(l.Close(), qt.IsNil)
 	n := New(Settings{ID: id, Zone: zone, Peer: netip.MustParseAddrPort(l.Addr().String()), InstanceHeartbeat: time.Second, LeaseMin: time.Second},
 		noTraffic{}, metrics.NewSet(), zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &peerNode{Node: n, cancel: cancel}
+	p := &testPeer{Node: n, cancel: cancel}
 	server, err := listenPeers(n)
 	c.Assert(err, qt.IsNil)
 	o := newOwner(n)
-	close(n.partKnown)
+	close(n.rosterReady)
 	for _, other := range others {
-		c.Assert(o.enter(other.cfg.ID, other.entry()), qt.IsNil)
+		c.Assert(o.addPeer(other.cfg.ID, other.entry()), qt.IsNil)
 	}
 	p.tasks = []task.Task{
 		task.Start(ctx, "owner", o.run), task.Start(ctx, "clock", n.clock.Run), task.Start(ctx, "peers", server.run),
@@ -57,40 +57,40 @@
 
 // startPeers starts daemons in some zones and waits until all know of each other and have
 // agreed on relays.
-func startPeers(t *testing.T, daemons, zones int) []*peerNode {
-	var peers []*peerNode
+func startPeers(t *testing.T, daemons, zones int) []*testPeer {
+	var peers []*testPeer
 	for n := range daemons {
 		peers = append(peers, startNth(t, n, zones, peers))
 	}
-	waitAll(qt.New(t), peers, met, "met", func(p *peerNode) bool { return p.View().Daemons == daemons })
-	time.Sleep(met / 5)
+	waitAll(qt.New(t), peers, discoveryTimeout, "met", func(p *testPeer) bool { return p.View().Daemons == daemons })
+	time.Sleep(discoveryTimeout / 5)
 	return peers
 }
 
 // startNth starts one more daemon, in the zone whose turn it is.
-func startNth(t *testing.T, n, zones int, others []*peerNode) *peerNode {
+func startNth(t *testing.T, n, zones int, others []*testPeer) *testPeer {
 	return startPeer(t, models.DaemonID(fmt.Sprintf("d%02d", n)), models.Zone(fmt.Sprint("z", n%zones)), others)
 }
 
 // entry is what the daemon writes of itself into the roster.
-func (p *peerNode) entry() rosterEntry {
-	return rosterEntry{Zone: p.cfg.Zone, Addr: p.cfg.Peer.String(), Incarnation: p.started, Unpacks: true}
+func (p *testPeer) entry() rosterEntry {
+	return rosterEntry{Zone: p.cfg.Zone, Addr: p.cfg.Peer.String(), Incarnation: p.started, AcceptsCompressed: true}
 }
 
 // stop ends the daemon. Its parts end with its context.
-func (p *peerNode) stop() {
+func (p *testPeer) stop() {
 	p.cancel()
-	_ = p.links.wait()
+	_ = p.links.stopAndWait()
 	_ = task.Wait(p.tasks...)
 }
 
 // knows reports whether the daemon holds so many crashes against a request.
-func (p *peerNode) knows(d quarantine.Digest, crashes int) bool {
+func (p *testPeer) hasCrashes(d quarantine.Digest, crashes int) bool {
 	return p.quarantine.Standing(d).Crashes == crashes
 }
 
 // waitAll waits until something holds for all daemons, and returns how long that took.
-func waitAll(c *qt.C, peers []*peerNode, bound time.Duration, what string, holds func(*peerNode) bool) time.Duration {
+func waitAll(c *qt.C, peers []*testPeer, bound time.Duration, what string, holds func(*testPeer) bool) time.Duration {
 	began := time.Now()
 	for _, p := range peers {
 		for !holds(p) {
@@ -115,7 +115,7 @@
 // it long before the caller is back, in a mesh and where relays pass it on; a crash that two
 // daemons saw counts once; one that starts later, or lost all connections, learns it from
 // the first daemon that it reaches; and all take it back once it ended well at any of them.
-func TestQuarantineIsTold(t *testing.T) {
+func TestQuarantinePropagation(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		daemons int
@@ -128,26 +128,26 @@
 
 			peers[0].quarantine.Crashed(crashed("i1", guilty, other))
 			peers[1].quarantine.Crashed(crashed("i1", guilty))
-			waitAll(c, peers, toldWithin, "told of one crash", func(p *peerNode) bool { return p.knows(guilty, 1) && p.knows(other, 1) })
+			waitAll(c, peers, propagationTimeout, "told of one crash", func(p *testPeer) bool { return p.hasCrashes(guilty, 1) && p.hasCrashes(other, 1) })
 			peers[test.daemons-1].quarantine.Crashed(crashed("i2", guilty))
-			waitAll(c, peers, toldWithin, "told of two", func(p *peerNode) bool { return p.knows(guilty, 2) })
+			waitAll(c, peers, propagationTimeout, "told of two", func(p *testPeer) bool { return p.hasCrashes(guilty, 2) })
 			peers[test.daemons/2].quarantine.Crashed(crashed("i3", guilty))
-			took := waitAll(c, peers, toldWithin, "refusing", func(p *peerNode) bool { return p.quarantine.Standing(guilty).Quarantined })
+			took := waitAll(c, peers, propagationTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Standing(guilty).Quarantined })
 			t.Logf("all %d refuse the request after %v", test.daemons, took.Round(time.Millisecond))
 			peers[1].quarantine.EndedWell(other)
-			waitAll(c, peers, toldWithin, "told who ended well", func(p *peerNode) bool { return p.knows(other, 0) })
+			waitAll(c, peers, propagationTimeout, "told who ended well", func(p *testPeer) bool { return p.hasCrashes(other, 0) })
 
 			late := startNth(t, test.daemons, test.zones, peers)
-			took = waitAll(c, []*peerNode{late}, met, "refusing", func(p *peerNode) bool { return p.quarantine.Standing(guilty).Quarantined })
+			took = waitAll(c, []*testPeer{late}, discoveryTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Standing(guilty).Quarantined })
 			t.Logf("one that starts refuses it after %v", took.Round(time.Millisecond))
-			c.Assert(late.knows(other, 0), qt.IsTrue)
+			c.Assert(late.hasCrashes(other, 0), qt.IsTrue)
 		})
 	}
 }
 
 // TestCrashNewsRoundTrip checks what of a crash is told, and that it takes few bytes: all
 // daemons are told each one.
-func TestCrashNewsRoundTrip(t *testing.T) {
+func TestCrashUpdateRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
 	guilty, other := quarantine.Request{Target: "/crashes"}.Digest(), quarantine.Request{Target: "/other"}.Digest()
@@ -155,13 +155,13 @@
 		Instance: "i-1e5e60a8b1", Born: time.UnixMilli(1_780_000_000_000), At: now.Add(-time.Second),
 		Requests: map[quarantine.Digest]bool{guilty: false, other: true},
 	}
-	body, err := pack.Marshal(News{Crashes: []CrashNews{newsOf(crash, now)}})
+	body, err := pack.Marshal(Update{Crashes: []CrashUpdate{crashUpdateOf(crash, now)}})
 	c.Assert(err, qt.IsNil)
 	const most = 64 + 2*40
 	c.Assert(len(body) <= most, qt.IsTrue, qt.Commentf("%d bytes", len(body)))
-	var news News
-	c.Assert(pack.Unmarshal(body, &news), qt.IsNil)
-	got := news.Crashes[0].crash(now)
+	var update Update
+	c.Assert(pack.Unmarshal(body, &update), qt.IsNil)
+	got := update.Crashes[0].toCrash(now)
 	c.Assert(got.Born.Equal(crash.Born), qt.IsTrue)
 	got.Born = crash.Born
 	c.Assert(got, qt.DeepEquals, crash)
--- a/cluster/reports_test.go
+++ b/cluster/reports_test.go
@@ -15,7 +15,7 @@
 // plans. Where instances were slow a member of an open group seemed to be in none,
 // and was joined to another one. It was seen once; that answers overtake each other
 // is what the reading of the code left.
-func TestReportsOvertake(t *testing.T) {
+func TestOutOfOrderReports(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	o.config.routing = &models.Routing{}
@@ -24,72 +24,72 @@
 	alone := models.UpstreamInstance{ID: "i-1"}
 	group := func() models.MemberState { return o.fleet.instances["i-1"].Group.State }
 
-	o.noteEntry(alone, now)
-	o.handleReport(reportEnded{instance: member, asked: now.Add(2 * time.Second)})
-	o.handleReport(reportEnded{instance: alone, asked: now.Add(time.Second)})
+	o.applyEntry(alone, now)
+	o.handleProbeResult(probeFinished{instance: member, sentAt: now.Add(2 * time.Second)})
+	o.handleProbeResult(probeFinished{instance: alone, sentAt: now.Add(time.Second)})
 	c.Assert(group(), qt.Equals, models.MemberReady)
-	o.handleReport(reportEnded{instance: alone, err: platform.ErrInstance, asked: now.Add(time.Second)})
-	c.Assert(o.fleet.instances["i-1"].lost.IsZero(), qt.IsTrue)
+	o.handleProbeResult(probeFinished{instance: alone, err: platform.ErrInstance, sentAt: now.Add(time.Second)})
+	c.Assert(o.fleet.instances["i-1"].lostSince.IsZero(), qt.IsTrue)
 
 	o.handleLease(leaseHeld{term: 1, until: now.Add(time.Minute)})
-	o.noteEntry(alone, now.Add(10*time.Second))
+	o.applyEntry(alone, now.Add(10*time.Second))
 	c.Assert(group(), qt.Equals, models.MemberReady, qt.Commentf("a stale reading of the store"))
-	o.handleReport(reportEnded{instance: alone, asked: now.Add(11 * time.Second)})
+	o.handleProbeResult(probeFinished{instance: alone, sentAt: now.Add(11 * time.Second)})
 	c.Assert(group(), qt.Equals, models.MemberNone)
 }
 
 // TestOneMissedAnswer checks that an instance is lost when two questions in a
 // row went unanswered, or one if streams found its group to stand still.
-func TestOneMissedAnswer(t *testing.T) {
+func TestProbeFailuresBeforeLoss(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	o.config.routing = &models.Routing{}
 	now := time.Now()
 	key := models.GroupKey{Name: "m.1", Epoch: 1}
-	o.noteEntry(models.UpstreamInstance{ID: "i-1", Group: models.Membership{Key: key, State: models.MemberOpen}}, now)
+	o.applyEntry(models.UpstreamInstance{ID: "i-1", Group: models.Membership{Key: key, State: models.MemberOpen}}, now)
 	i := o.fleet.instances["i-1"]
-	miss := func(asked time.Time) {
-		o.handleReport(reportEnded{instance: i.UpstreamInstance, err: platform.ErrInstance, asked: asked})
+	failProbe := func(sentAt time.Time) {
+		o.handleProbeResult(probeFinished{instance: i.UpstreamInstance, err: platform.ErrInstance, sentAt: sentAt})
 	}
-	miss(now)
-	c.Assert(i.lost.IsZero(), qt.IsTrue)
-	c.Assert(o.fleet.due, qt.HasLen, 1, qt.Commentf("it is asked again at once"))
-	miss(now)
-	c.Assert(i.lost.IsZero(), qt.IsTrue, qt.Commentf("this one was asked before the first had failed"))
-	miss(time.Now())
-	c.Assert(i.lost.IsZero(), qt.IsFalse)
+	failProbe(now)
+	c.Assert(i.lostSince.IsZero(), qt.IsTrue)
+	c.Assert(o.fleet.probeAt, qt.HasLen, 1, qt.Commentf("it is asked again at once"))
+	failProbe(now)
+	c.Assert(i.lostSince.IsZero(), qt.IsTrue, qt.Commentf("this one was asked before the first had failed"))
+	failProbe(time.Now())
+	c.Assert(i.lostSince.IsZero(), qt.IsFalse)
 
-	o.handleReport(reportEnded{instance: i.UpstreamInstance, asked: now})
-	c.Assert(i.lost.IsZero(), qt.IsTrue)
-	o.handleStalled(stalled{group: key, head: "i-1", from: "d2"})
-	miss(now)
-	c.Assert(i.lost.IsZero(), qt.IsFalse)
+	o.handleProbeResult(probeFinished{instance: i.UpstreamInstance, sentAt: now})
+	c.Assert(i.lostSince.IsZero(), qt.IsTrue)
+	o.handleStalled(stallDetected{group: key, head: "i-1", from: "d2"})
+	failProbe(now)
+	c.Assert(i.lostSince.IsZero(), qt.IsFalse)
 }
 
 // TestReportsWithoutNews checks that a report which tells what the others know is
 // not told to them, and that one that ends a suspicion or a loss is.
-func TestReportsWithoutNews(t *testing.T) {
+func TestUnchangedReportsAreNotBroadcast(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	o.handleLease(leaseHeld{term: 5, until: time.Now().Add(time.Minute)})
 	key := models.GroupKey{Name: "m.1", Epoch: 1}
 	i := models.UpstreamInstance{ID: "i-1", Group: models.Membership{Key: key, State: models.MemberOpen}}
-	o.noteEntry(i, time.Now())
-	told := func() int {
-		o.handleReport(reportEnded{instance: i, asked: time.Now()})
-		n := len(o.fleet.news)
-		o.fleet.news = nil
+	o.applyEntry(i, time.Now())
+	broadcasts := func() int {
+		o.handleProbeResult(probeFinished{instance: i, sentAt: time.Now()})
+		n := len(o.fleet.pendingUpdates)
+		o.fleet.pendingUpdates = nil
 		return n
 	}
-	c.Assert(told(), qt.Equals, 1)
-	c.Assert(told(), qt.Equals, 0)
+	c.Assert(broadcasts(), qt.Equals, 1)
+	c.Assert(broadcasts(), qt.Equals, 0)
 	i.Group.State = models.MemberReady
-	c.Assert(told(), qt.Equals, 1)
+	c.Assert(broadcasts(), qt.Equals, 1)
 	o.fleet.suspects["i-1"] = suspicion{group: key, until: time.Now().Add(time.Minute)}
-	c.Assert(told(), qt.Equals, 1)
-	o.fleet.instances["i-1"].lost = time.Now()
-	c.Assert(told(), qt.Equals, 1)
-	c.Assert(told(), qt.Equals, 0)
+	c.Assert(broadcasts(), qt.Equals, 1)
+	o.fleet.instances["i-1"].lostSince = time.Now()
+	c.Assert(broadcasts(), qt.Equals, 1)
+	c.Assert(broadcasts(), qt.Equals, 0)
 	o.handleLease(leaseHeld{term: 6, until: time.Now().Add(time.Minute)})
-	c.Assert(told(), qt.Equals, 1, qt.Commentf("another term begins"))
+	c.Assert(broadcasts(), qt.Equals, 1, qt.Commentf("another term begins"))
 }
--- a/cluster/restored_test.go
+++ b/cluster/restored_test.go
@@ -56,42 +56,42 @@
 	c := qt.New(t)
 	n, backend := restorableNode(t)
 	h := leaseHolder{n: n, member: "m"}
-	c.Assert(h.ask(t.Context()), qt.IsNil)
+	c.Assert(h.acquire(t.Context()), qt.IsNil)
 	first := h.term
 	c.Assert(first > 0, qt.IsTrue)
 	copied := backend.Copy()
-	c.Assert(h.ask(t.Context()), qt.IsNil)
+	c.Assert(h.acquire(t.Context()), qt.IsNil)
 	c.Assert(h.term, qt.Equals, first)
 	backend.Restore(copied)
-	c.Assert(h.ask(t.Context()), qt.IsNil)
+	c.Assert(h.acquire(t.Context()), qt.IsNil)
 	c.Assert(h.term > first, qt.IsTrue)
 	c.Assert(n.lease.Load().term, qt.Equals, h.term)
 }
 
 // TestEnrolledAnew checks that a daemon enters itself again when the store came back
 // without its entry: a daemon that starts would not find it.
-func TestEnrolledAnew(t *testing.T) {
+func TestRegistersAfterRestore(t *testing.T) {
 	c := qt.New(t)
 	n, backend := restorableNode(t)
 	empty := backend.Copy()
-	c.Assert(n.enroll(t.Context()), qt.IsNil)
-	entered := func() int {
+	c.Assert(n.register(t.Context()), qt.IsNil)
+	registered := func() int {
 		records, _, err := n.store.Newest(t.Context(), rosterTopic)
 		c.Assert(err, qt.IsNil)
 		return len(records)
 	}
-	c.Assert(entered(), qt.Equals, 1)
+	c.Assert(registered(), qt.Equals, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	ended := make(chan error, 1)
-	go func() { ended <- n.keepEnrolled(ctx) }()
+	go func() { ended <- n.keepRegistered(ctx) }()
 	backend.Restore(empty)
-	c.Assert(entered(), qt.Equals, 0)
+	c.Assert(registered(), qt.Equals, 0)
 	n.era.Store(n.store.Era())
-	for end := time.Now().Add(3 * enrollCheck); entered() == 0 && time.Now().Before(end); {
-		time.Sleep(enrollCheck / 10)
+	for end := time.Now().Add(3 * registerCheckInterval); registered() == 0 && time.Now().Before(end); {
+		time.Sleep(registerCheckInterval / 10)
 	}
-	c.Assert(entered(), qt.Equals, 1)
+	c.Assert(registered(), qt.Equals, 1)
 	cancel()
 	c.Assert(<-ended, qt.ErrorIs, context.Canceled)
 }
@@ -104,7 +104,7 @@
 	c := qt.New(t)
 	config := func(version string) []byte { return []byte(`{"Version":` + version + `}`) }
 	o := newTestOwner(t)
-	t.Cleanup(func() { c.Check(o.n.links.wait(), qt.IsNil) })
+	t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
 	now := time.Now()
 	inForce := func(o *owner) int64 {
 		if o.config.routing == nil {
@@ -113,75 +113,75 @@
 		return o.config.routing.Version
 	}
 
-	o.takeConfig(configRead{data: config("7"), asked: now}, now)
+	o.handleConfigRead(configRead{data: config("7"), requestedAt: now}, now)
 	later := now.Add(time.Second)
-	o.takeConfig(configRead{data: config("5"), asked: later, era: 1}, later)
+	o.handleConfigRead(configRead{data: config("5"), requestedAt: later, era: 1}, later)
 	c.Assert(inForce(o), qt.Equals, int64(7))
-	c.Assert(o.config.proven, qt.Equals, later, qt.Commentf("good keys would be refused"))
+	c.Assert(o.config.confirmedAt, qt.Equals, later, qt.Commentf("good keys would be refused"))
 
-	starts := newTestOwner(t)
-	t.Cleanup(func() { c.Check(starts.n.links.wait(), qt.IsNil) })
-	starts.takeConfig(configRead{data: config("5"), asked: now, era: 1}, now)
-	c.Assert(inForce(starts), qt.Equals, int64(0), qt.Commentf("nobody was heard yet"))
-	starts.handleHeartbeat(heartbeatSeen{beat: Heartbeat{From: "d9", Addr: "127.0.0.1:9", ConfigVersion: 7}, at: now})
-	starts.releaseConfig(now.Add(plannerWord))
-	c.Assert(inForce(starts), qt.Equals, int64(0), qt.Commentf("another one has a newer one"))
-	starts.handleConfig(config("7"), now, "peer")
-	starts.releaseConfig(now.Add(plannerWord))
-	c.Assert(inForce(starts), qt.Equals, int64(7))
+	starting := newTestOwner(t)
+	t.Cleanup(func() { c.Check(starting.n.links.stopAndWait(), qt.IsNil) })
+	starting.handleConfigRead(configRead{data: config("5"), requestedAt: now, era: 1}, now)
+	c.Assert(inForce(starting), qt.Equals, int64(0), qt.Commentf("nobody was heard yet"))
+	starting.handleHeartbeat(heartbeatReceived{heartbeat: Heartbeat{From: "d9", Addr: "127.0.0.1:9", ConfigVersion: 7}, receivedAt: now})
+	starting.applyPendingConfig(now.Add(plannerDiscoveryTimeout))
+	c.Assert(inForce(starting), qt.Equals, int64(0), qt.Commentf("another one has a newer one"))
+	starting.applyConfig(config("7"), now, "peer")
+	starting.applyPendingConfig(now.Add(plannerDiscoveryTimeout))
+	c.Assert(inForce(starting), qt.Equals, int64(7))
 
 	alone := newTestOwner(t)
 	began := time.Now()
-	alone.takeConfig(configRead{data: config("5"), asked: began, era: 1}, began)
+	alone.handleConfigRead(configRead{data: config("5"), requestedAt: began, era: 1}, began)
 	c.Assert(inForce(alone), qt.Equals, int64(0))
-	alone.releaseConfig(began.Add(plannerWord))
+	alone.applyPendingConfig(began.Add(plannerDiscoveryTimeout))
 	c.Assert(inForce(alone), qt.Equals, int64(5), qt.Commentf("all were killed: nobody knows a newer one"))
 
 	first := newTestOwner(t)
-	first.takeConfig(configRead{data: config("5"), asked: now}, now)
+	first.handleConfigRead(configRead{data: config("5"), requestedAt: now}, now)
 	c.Assert(inForce(first), qt.Equals, int64(5), qt.Commentf("the store never came back from a copy"))
 }
 
 // TestPartOfWhatWasWritten checks that a reading which the store cut short proves nothing
 // of what stands behind it: a daemon that was 25 s behind took itself for current after
 // the first megabyte of fifteen.
-func TestPartOfWhatWasWritten(t *testing.T) {
+func TestTruncatedReadIsNotCurrent(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	now := time.Now()
-	o.handleInstances(reading{end: models.Position{Offset: 5}, asked: now, more: true}, false)
+	o.handleEntries(readResult{end: models.Position{Offset: 5}, requestedAt: now, more: true}, false)
 	c.Assert(o.fleet.entries.end.Offset, qt.Equals, int64(5))
-	c.Assert(o.fleet.entries.at.IsZero(), qt.IsTrue)
-	o.handleInstances(reading{end: models.Position{Offset: 9}, asked: now}, false)
-	c.Assert(o.fleet.entries.at, qt.Equals, now)
+	c.Assert(o.fleet.entries.currentAt.IsZero(), qt.IsTrue)
+	o.handleEntries(readResult{end: models.Position{Offset: 9}, requestedAt: now}, false)
+	c.Assert(o.fleet.entries.currentAt, qt.Equals, now)
 }
 
 // TestReadingsSkipWhatIsKnown checks that a daemon which was told of entries by others
 // reads from there on, and all anew once the store has lost that place.
-func TestReadingsSkipWhatIsKnown(t *testing.T) {
+func TestReaderSkipsKnownRecords(t *testing.T) {
 	c := qt.New(t)
 	n, backend := restorableNode(t)
 	copied := backend.Copy()
 	for range 3 {
 		backend.Put(platform.InstancesTopic, "i-1", []byte("{}"))
 	}
-	f := follower{n: n, topic: platform.InstancesTopic, known: n.knownEnd, wait: func() time.Duration { return 0 }}
-	f.whole = func(r reading) message { return instancesRead{r} }
-	f.added = func(r reading) message { return instancesChanged{r} }
+	f := topicReader{n: n, topic: platform.InstancesTopic, knownEnd: n.knownEnd, holdTime: func() time.Duration { return 0 }}
+	f.onSnapshot = func(r readResult) message { return instancesSnapshot{r} }
+	f.onDelta = func(r readResult) message { return instancesDelta{r} }
 	n.entriesEnd.Store(&models.Position{Offset: 2})
 	read := func() message {
 		c.Assert(f.readOnce(t.Context()), qt.IsNil)
 		return <-n.inbox
 	}
-	added, ok := read().(instancesChanged)
+	delta, ok := read().(instancesDelta)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(added.records, qt.HasLen, 1)
-	c.Assert(added.end.Offset, qt.Equals, int64(3))
+	c.Assert(delta.records, qt.HasLen, 1)
+	c.Assert(delta.end.Offset, qt.Equals, int64(3))
 
 	backend.Restore(copied)
 	c.Assert(f.readOnce(t.Context()), qt.ErrorIs, platform.ErrExpired)
-	f.began, f.anew = false, true
-	whole, ok := read().(instancesRead)
+	f.positioned, f.ignoreKnown = false, true
+	snapshot, ok := read().(instancesSnapshot)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(whole.end, qt.Equals, models.Position{Era: 1})
+	c.Assert(snapshot.end, qt.Equals, models.Position{Era: 1})
 }
--- a/cluster/suspicions.go
+++ b/cluster/suspicions.go
@@ -11,7 +11,7 @@
 // ends by itself, by a report of the head or by news of it.
 
 // suspectFor is how long a stalled head is passed over without news.
-const suspectFor = 800 * time.Millisecond
+const suspicionDuration = 800 * time.Millisecond
 
 // suspicion is that nothing moves at a group's head.
 type suspicion struct {
@@ -34,7 +34,7 @@
 
 // endSuspicions forgets those that have lasted long enough, and reports whether
 // there were any.
-func (f *fleetState) endSuspicions(now time.Time) bool {
+func (f *fleetState) expireSuspicions(now time.Time) bool {
 	before := len(f.suspects)
 	maps.DeleteFunc(f.suspects, func(_ models.InstanceID, s suspicion) bool { return now.After(s.until) })
 	return len(f.suspects) < before
@@ -44,11 +44,11 @@
 // stand still are used all the same: so many are not lost at once (a fabric
 // domain is a third of the groups on the smallest site), but where daemons are
 // late or groups overloaded each one passed over makes the others slower.
-const mostSuspect = 0.4
+const maxSuspectShare = 0.4
 
 // suspected lists the heads of these groups that any daemon found to stand
 // still.
-func (f *fleetState) suspected(groups map[models.ModelName][]Group, now time.Time) map[models.InstanceID]bool {
+func (f *fleetState) suspectedHeads(groups map[models.ModelName][]Group, now time.Time) map[models.InstanceID]bool {
 	out := map[models.InstanceID]bool{}
 	for _, of := range groups {
 		var heads []models.InstanceID
@@ -57,7 +57,7 @@
 				heads = append(heads, g.Head.ID)
 			}
 		}
-		if len(heads) > 1 && float64(len(heads)) > mostSuspect*float64(len(of)) {
+		if len(heads) > 1 && float64(len(heads)) > maxSuspectShare*float64(len(of)) {
 			continue
 		}
 		for _, id := range heads {
@@ -68,7 +68,7 @@
 }
 
 // trusted leaves out the groups whose heads are suspected.
-func trusted(groups map[models.ModelName][]Group, suspects map[models.InstanceID]bool) map[models.ModelName][]Group {
+func withoutSuspects(groups map[models.ModelName][]Group, suspects map[models.InstanceID]bool) map[models.ModelName][]Group {
 	if len(suspects) == 0 {
 		return groups
 	}
--- a/cluster/suspicions_test.go
+++ b/cluster/suspicions_test.go
@@ -19,7 +19,7 @@
 	c := qt.New(t)
 	o := newTestOwner(t)
 	o.config.routing = &models.Routing{}
-	t.Cleanup(func() { c.Check(o.n.links.wait(), qt.IsNil) })
+	t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
 	const groups = 10
 	key := func(n int) models.GroupKey {
 		return models.GroupKey{Name: models.GroupID(fmt.Sprintf("m.%d", n)), Epoch: int64(n)}
@@ -27,7 +27,7 @@
 	head := func(n int) models.InstanceID { return models.InstanceID(fmt.Sprintf("i-%d", n)) }
 	for n := range groups {
 		group := models.Membership{Key: key(n), State: models.MemberOpen}
-		o.noteEntry(models.UpstreamInstance{ID: head(n), Group: group}, time.Now())
+		o.applyEntry(models.UpstreamInstance{ID: head(n), Group: group}, time.Now())
 	}
 	shown := func() (serving, suspects int) {
 		o.publish()
@@ -35,12 +35,12 @@
 		return len(v.Groups["m"]), len(v.Suspects)
 	}
 	for n := range 4 {
-		o.handleStalled(stalled{group: key(n), head: head(n), from: "d2"})
+		o.handleStalled(stallDetected{group: key(n), head: head(n), from: "d2"})
 		serving, suspects := shown()
 		c.Assert(serving, qt.Equals, groups-n-1)
 		c.Assert(suspects, qt.Equals, n+1)
 	}
-	o.handleStalled(stalled{group: key(4), head: head(4), from: "d2"})
+	o.handleStalled(stallDetected{group: key(4), head: head(4), from: "d2"})
 	serving, suspects := shown()
 	c.Assert(serving, qt.Equals, groups)
 	c.Assert(suspects, qt.Equals, 0)
--- a/cluster/spacing.go
+++ b/cluster/throttle.go
@@ -8,16 +8,16 @@
 // 50 ms were logged for a view. Begun anew as soon as something came, they left no time
 // for messages: the planner's daemon learned of its own renewed lease too late and
 // planned in five terms within 9 s, others of a configuration after 5 s.
-const restFactor = 4
+const idleFactor = 4
 
 // spacing keeps a work that is done again and again from taking all time.
-type spacing struct {
-	began time.Time
-	took  time.Duration
+type throttle struct {
+	started time.Time
+	took    time.Duration
 }
 
 // due reports whether the work may be done again, which is to rest for a time at
 // least.
-func (s spacing) due(now time.Time, least time.Duration) bool {
-	return now.Sub(s.began) >= max(least, restFactor*s.took)
+func (s throttle) ready(now time.Time, least time.Duration) bool {
+	return now.Sub(s.started) >= max(least, idleFactor*s.took)
 }
