--- a/cluster/spacing_test.go
+++ b/cluster/throttle_test.go
@@ -11,36 +11,36 @@
 
 // TestSpacing checks that work which takes long rests in proportion, and that the
 // short work of small deployments rests no longer than before.
-func TestSpacing(t *testing.T) {
+func TestThrottle(t *testing.T) {
 	c := qt.New(t)
 	began := time.Now()
-	for _, test := range []struct{ took, least, rest time.Duration }{
-		{took: time.Millisecond, least: 20 * time.Millisecond, rest: 20 * time.Millisecond},
-		{took: 28 * time.Millisecond, least: 20 * time.Millisecond, rest: 112 * time.Millisecond},
+	for _, test := range []struct{ took, least, pause time.Duration }{
+		{took: time.Millisecond, least: 20 * time.Millisecond, pause: 20 * time.Millisecond},
+		{took: 28 * time.Millisecond, least: 20 * time.Millisecond, pause: 112 * time.Millisecond},
 	} {
-		s := spacing{began: began, took: test.took}
-		c.Check(s.due(began.Add(test.rest-time.Millisecond), test.least), qt.IsFalse)
-		c.Check(s.due(began.Add(test.rest), test.least), qt.IsTrue)
+		s := throttle{started: began, took: test.took}
+		c.Check(s.ready(began.Add(test.pause-time.Millisecond), test.least), qt.IsFalse)
+		c.Check(s.ready(began.Add(test.pause), test.least), qt.IsTrue)
 	}
 }
 
 // TestLongWorkRests checks that planning and views, where they took long, leave the
 // owner time for what comes.
-func TestLongWorkRests(t *testing.T) {
+func TestLongRunsAreThrottled(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	now := time.Now()
 	o.handleLease(leaseHeld{term: 1, until: now.Add(time.Minute)})
 	o.config.routing = &models.Routing{}
-	o.fleet.planned = spacing{began: now, took: 28 * time.Millisecond}
+	o.fleet.lastPlan = throttle{started: now, took: 28 * time.Millisecond}
 	o.planGroups(now.Add(100 * time.Millisecond))
-	c.Assert(o.fleet.planned.began, qt.Equals, now, qt.Commentf("it planned too soon"))
+	c.Assert(o.fleet.lastPlan.started, qt.Equals, now, qt.Commentf("it planned too soon"))
 	o.planGroups(now.Add(112 * time.Millisecond))
-	c.Assert(o.fleet.planned.began, qt.Not(qt.Equals), now)
-	c.Assert(o.fleet.planned.took > 0, qt.IsTrue)
+	c.Assert(o.fleet.lastPlan.started, qt.Not(qt.Equals), now)
+	c.Assert(o.fleet.lastPlan.took > 0, qt.IsTrue)
 
 	o.publish()
-	c.Assert(o.published.took > 0, qt.IsTrue)
+	c.Assert(o.lastPublish.took > 0, qt.IsTrue)
 }
 
 // TestLeaseRenewedWhileBusy replays a planner whose owner is behind: its inbox is
@@ -52,15 +52,15 @@
 	o := newTestOwner(t)
 	h := leaseHolder{n: o.n, term: 5}
 	now := time.Now()
-	h.tellHeld(t.Context(), leaseHeld{term: 5, until: now.Add(50 * time.Millisecond)})
+	h.postHeld(t.Context(), leaseHeld{term: 5, until: now.Add(50 * time.Millisecond)})
 	o.handle(<-o.n.inbox)
 	c.Assert(o.fleet.planner, qt.IsNotNil)
 	o.config.routing = &models.Routing{}
 
 	for range inboxLen {
-		o.n.inbox <- storeAway{what: "filler"}
+		o.n.inbox <- storeCallFailed{what: "filler"}
 	}
-	h.tellHeld(t.Context(), leaseHeld{term: 5, until: now.Add(time.Minute)})
+	h.postHeld(t.Context(), leaseHeld{term: 5, until: now.Add(time.Minute)})
 	o.planGroups(now.Add(time.Second))
 	c.Assert(o.fleet.planner, qt.IsNotNil, qt.Commentf("the lease was renewed"))
 
@@ -69,14 +69,14 @@
 }
 
 // A planner gave up a lease that was renewed while it planned a round.
-func TestLeaseRenewedDuringARound(t *testing.T) {
+func TestLeaseRenewedDuringPlanning(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	h := leaseHolder{n: o.n, term: 5}
-	h.tellHeld(t.Context(), leaseHeld{term: 5, until: time.Now().Add(20 * time.Millisecond)})
+	h.postHeld(t.Context(), leaseHeld{term: 5, until: time.Now().Add(20 * time.Millisecond)})
 	o.handle(<-o.n.inbox)
 	time.Sleep(30 * time.Millisecond)
-	h.tellHeld(t.Context(), leaseHeld{term: 5, until: time.Now().Add(time.Minute)})
-	o.giveOrders()
+	h.postHeld(t.Context(), leaseHeld{term: 5, until: time.Now().Add(time.Minute)})
+	o.sendOrders()
 	c.Assert(o.fleet.planner, qt.IsNotNil, qt.Commentf("the lease was renewed"))
 }
--- a/cluster/arrange.go
+++ b/cluster/topology.go
@@ -18,16 +18,16 @@
 
 // arrangeEvery is how often a daemon looks, without news, whether others fell
 // silent or need no longer be passed over.
-const arrangeEvery = 300 * time.Millisecond
+const topologyInterval = 300 * time.Millisecond
 
 // handleRoster takes in entries of the roster.
 func (o *owner) handleRoster(records []platform.KeyedRecord) {
-	defer o.tellPart()
+	defer o.markRosterReady()
 	for _, r := range records {
 		var entry rosterEntry
 		err := pack.Unmarshal(r.Value, &entry)
 		if err == nil {
-			err = o.enter(models.DaemonID(r.Key), entry)
+			err = o.addPeer(models.DaemonID(r.Key), entry)
 		}
 		if err != nil {
 			o.n.log.Error().Err(err).Str("peer", r.Key).Msg("roster-entry-unreadable")
@@ -37,20 +37,20 @@
 
 // tellPart has those parts of the node go on that wait to know whether it relies on
 // relays.
-func (o *owner) tellPart() {
+func (o *owner) markRosterReady() {
 	select {
-	case <-o.n.partKnown:
+	case <-o.n.rosterReady:
 	default:
-		o.arrange(time.Now())
+		o.updateTopology(time.Now())
 		o.publish()
-		close(o.n.partKnown)
+		close(o.n.rosterReady)
 	}
 }
 
 // knowsPart reports whether the roster was read.
-func (n *Node) knowsPart() bool {
+func (n *Node) isRosterReady() bool {
 	select {
-	case <-n.partKnown:
+	case <-n.rosterReady:
 		return true
 	default:
 		return false
@@ -58,53 +58,53 @@
 }
 
 // enter notes where a run of a daemon is reached, unless a later one is known.
-func (o *owner) enter(id models.DaemonID, entry rosterEntry) error {
+func (o *owner) addPeer(id models.DaemonID, entry rosterEntry) error {
 	addr, err := netip.ParseAddrPort(entry.Addr)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if id == o.n.cfg.ID || entry.Incarnation < o.peers.entries[id].incarnation {
+	if id == o.n.cfg.ID || entry.Incarnation < o.peers.addrs[id].incarnation {
 		return nil
 	}
-	if _, known := o.peers.entries[id]; !known {
-		o.peers.metAt = time.Now()
+	if _, known := o.peers.addrs[id]; !known {
+		o.peers.lastJoinAt = time.Now()
 	}
-	o.peers.entries[id] = peerAddr{addr: addr, zone: entry.Zone, incarnation: entry.Incarnation, unpacks: entry.Unpacks}
+	o.peers.addrs[id] = peerAddr{addr: addr, zone: entry.Zone, incarnation: entry.Incarnation, acceptsCompressed: entry.AcceptsCompressed}
 	o.peers.roster.Enter(membership.Daemon{ID: id, Zone: entry.Zone, Power: entry.Power})
-	o.peers.stale = true
+	o.peers.topologyStale = true
 	return nil
 }
 
 // membership is what a heartbeat tells of its sender's part among the daemons.
-func (b Heartbeat) membership() membership.Beat {
+func (b Heartbeat) membershipBeat() membership.Beat {
 	return membership.Beat{
-		Daemon: membership.Daemon{ID: b.From, Zone: b.Zone, Power: b.Power}, Every: cmp.Or(b.Every, heartbeatEvery),
-		Relies: b.Relies, RelaysFirst: b.RelaysFirst, Size: b.Size,
+		Daemon: membership.Daemon{ID: b.From, Zone: b.Zone, Power: b.Power}, Every: cmp.Or(b.Interval, heartbeatInterval),
+		Relies: b.UsesRelay, RelaysFirst: b.UsesPrimaryRelay, Size: b.Size,
 		Grants: b.Grants, Granters: b.Granters,
 	}
 }
 
 // arrange finds whom this daemon is to tell what, and has links to these.
-func (o *owner) arrange(now time.Time) {
+func (o *owner) updateTopology(now time.Time) {
 	p := &o.peers
-	if !p.stale && now.Sub(p.arrangedAt) < arrangeEvery {
+	if !p.topologyStale && now.Sub(p.topologyAt) < topologyInterval {
 		return
 	}
 	a := p.roster.Arrange(now)
-	if a.First != p.arranged.First || a.Relay != p.arranged.Relay || a.Mesh != p.arranged.Mesh {
+	if a.First != p.topology.First || a.Relay != p.topology.Relay || a.Mesh != p.topology.Mesh {
 		o.n.log.Info().Str("first", string(a.First)).Bool("relay", a.Relay).Bool("mesh", a.Mesh).Int("daemons", a.Size).Msg("arranged")
 	}
-	if a.First != p.arranged.First {
-		o.n.peerLoads.dropSums()
+	if a.First != p.topology.First {
+		o.n.peerLoads.removeAggregates()
 	}
-	p.arranged, p.arrangedAt, p.stale, o.viewStale = a, now, false, true
+	p.topology, p.topologyAt, p.topologyStale, o.viewStale = a, now, false, true
 	targets := make(map[models.DaemonID]target, len(a.Links))
 	for id, link := range a.Links {
-		e, known := p.entries[id]
+		e, known := p.addrs[id]
 		if !known {
 			continue
 		}
-		targets[id] = target{peerAddr: e, link: link}
+		targets[id] = target{peerAddr: e, role: link}
 	}
-	o.n.links.arrange(o.ctx, a, targets)
+	o.n.links.reconcile(o.ctx, a, targets)
 }
--- a/cluster/unlisted_test.go
+++ b/cluster/unlisted_test.go
@@ -22,42 +22,42 @@
 	member := func(id models.InstanceID, rank int, state models.MemberState) models.UpstreamInstance {
 		return models.UpstreamInstance{ID: id, Group: models.Membership{Key: key, Rank: rank, State: state}}
 	}
-	enter := func() {
-		o.noteEntry(member("head", 0, models.MemberOpen), now)
-		o.noteEntry(member("second", 1, models.MemberReady), now)
+	addEntries := func() {
+		o.applyEntry(member("head", 0, models.MemberOpen), now)
+		o.applyEntry(member("second", 1, models.MemberReady), now)
 	}
-	gone := func(id string) {
-		o.handleInstances(reading{records: []platform.KeyedRecord{{Key: id}}, asked: now}, false)
+	removeEntry := func(id string) {
+		o.handleEntries(readResult{records: []platform.KeyedRecord{{Key: id}}, requestedAt: now}, false)
 	}
 	serving := func() int {
 		return len(o.fleet.serving(now)["m"])
 	}
 	known := func(id models.InstanceID) bool { return o.fleet.instances[id] != nil }
 
-	enter()
-	gone("second")
+	addEntries()
+	removeEntry("second")
 	c.Assert(serving(), qt.Equals, 1)
 	c.Assert(o.fleet.instances["second"].unlisted, qt.IsTrue)
-	enter()
+	addEntries()
 	c.Assert(o.fleet.instances["second"].unlisted, qt.IsFalse)
 
-	gone("second")
+	removeEntry("second")
 	for range 2 {
-		o.handleReport(reportEnded{instance: models.UpstreamInstance{ID: "second"}, err: platform.ErrInstance, asked: time.Now()})
+		o.handleProbeResult(probeFinished{instance: models.UpstreamInstance{ID: "second"}, err: platform.ErrInstance, sentAt: time.Now()})
 	}
-	o.watchUnlisted(now)
+	o.checkUnlisted(now)
 	c.Assert(known("second"), qt.IsFalse, qt.Commentf("it does not answer"))
 
-	enter()
-	gone("second")
-	o.handleReport(reportEnded{instance: models.UpstreamInstance{ID: "second"}, asked: now})
-	o.watchUnlisted(now)
+	addEntries()
+	removeEntry("second")
+	o.handleProbeResult(probeFinished{instance: models.UpstreamInstance{ID: "second"}, sentAt: now})
+	o.checkUnlisted(now)
 	c.Assert(known("second"), qt.IsFalse, qt.Commentf("it has left the group"))
 
-	enter()
-	gone("second")
-	gone("head")
-	o.watchUnlisted(now)
+	addEntries()
+	removeEntry("second")
+	removeEntry("head")
+	o.checkUnlisted(now)
 	c.Assert(known("head"), qt.IsFalse, qt.Commentf("requests must not go to an instance without an entry"))
 	c.Assert(known("second"), qt.IsFalse)
 	c.Assert(serving(), qt.Equals, 0)
@@ -72,10 +72,10 @@
 	o.config.routing = &models.Routing{}
 	now := time.Now()
 	key, late := models.GroupKey{Name: "m.1", Epoch: 1}, models.GroupKey{Name: "m.2", Epoch: 2}
-	o.noteEntry(models.UpstreamInstance{ID: "head", Group: models.Membership{Key: key, State: models.MemberOpen}}, now)
-	o.noteEntry(models.UpstreamInstance{ID: "second", Group: models.Membership{Key: key, Rank: 1, State: models.MemberReady}}, now)
-	o.handleInstances(reading{records: []platform.KeyedRecord{{Key: "second"}}, asked: now}, false)
-	o.handleReport(reportEnded{asked: now, instance: models.UpstreamInstance{
+	o.applyEntry(models.UpstreamInstance{ID: "head", Group: models.Membership{Key: key, State: models.MemberOpen}}, now)
+	o.applyEntry(models.UpstreamInstance{ID: "second", Group: models.Membership{Key: key, Rank: 1, State: models.MemberReady}}, now)
+	o.handleEntries(readResult{records: []platform.KeyedRecord{{Key: "second"}}, requestedAt: now}, false)
+	o.handleProbeResult(probeFinished{sentAt: now, instance: models.UpstreamInstance{
 		ID: "second", Group: models.Membership{Key: late, State: models.MemberOpen},
 	}})
 	for _, g := range o.fleet.serving(now)["m"] {
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -36,18 +36,18 @@
 	config []byte
 	// wants is the daemon to be asked for its configuration, wantedBy those
 	// that ask this one.
-	wants    models.DaemonID
-	wantedBy map[models.DaemonID]bool
+	configSource     models.DaemonID
+	configRequesters map[models.DaemonID]bool
 	// zoneWork is what this node tells other zones of the work of its own, if it is
 	// a relay.
 	zoneWork map[models.ModelName]float32
 	// hears tells that the heartbeats of another daemon come.
-	hears bool
+	hasPeers bool
 	// behind tells that another daemon has had a newer configuration for long.
-	behind bool
+	configBehind bool
 	// mayPlan tells that this node is one of those that may plan, candidate
 	// that it is to ask for the planner's lease.
-	mayPlan   bool
+	eligible  bool
 	candidate bool
 	stalled   []StalledHead
 	// granters is where the daemons are reached that grant permits, votes what this node
@@ -82,7 +82,7 @@
 	if v.mesh() {
 		return 0
 	}
-	return totalsAge
+	return typicalTotalsAge
 }
 
 // Group is a replica group that takes requests.
--- a/cluster/wire.go
+++ b/cluster/wire.go
@@ -11,18 +11,18 @@
 const (
 	frameHeartbeat frame.Kind = iota + 1
 	frameConfig
-	frameNews
+	frameUpdate
 	// frameLoads holds news of nothing but loads.
 	frameLoads
 	// frameAsk asks for a permit, frameGrant answers on the same connection.
-	frameAsk
-	frameGrant
+	framePermitRequest
+	framePermitReply
 )
 
 // frameNames name the kinds of frames in the metrics.
 var frameNames = map[frame.Kind]string{
-	frameHeartbeat: "heartbeats", frameConfig: "configurations", frameNews: "instances", frameLoads: "loads",
-	frameAsk: "permits", frameGrant: "permits",
+	frameHeartbeat: "heartbeats", frameConfig: "configurations", frameUpdate: "instances", frameLoads: "loads",
+	framePermitRequest: "permits", framePermitReply: "permits",
 }
 
 // Heartbeat is what a daemon tells every other one. The first on a connection
@@ -37,7 +37,7 @@
 	// Power is the part of a core that the daemon may use.
 	Power float64 `msgpack:"p,omitempty"`
 	// Unpacks tells that the daemon reads compressed frames.
-	Unpacks bool `msgpack:"up,omitempty"`
+	AcceptsCompressed bool `msgpack:"up,omitempty"`
 	// ConfigVersion is the version in force, ConfigAge how long ago it was
 	// known to be the newest.
 	ConfigVersion int64         `msgpack:"cv,omitempty"`
@@ -46,22 +46,22 @@
 	Term int64 `msgpack:"t,omitempty"`
 	// Plans tells that the sender plans: a sign of life for those who would take over,
 	// also while what it does keeps it from telling news.
-	Plans bool `msgpack:"pl,omitempty"`
+	IsPlanner bool `msgpack:"pl,omitempty"`
 	// Wants names a daemon that is to hand its configuration over, since it
 	// has a newer one.
-	Wants models.DaemonID `msgpack:"w2,omitempty"`
+	ConfigSource models.DaemonID `msgpack:"w2,omitempty"`
 	// Every is how often the sender tells the receiver of itself, zero for
 	// heartbeatEvery.
-	Every time.Duration `msgpack:"ev,omitempty"`
+	Interval time.Duration `msgpack:"ev,omitempty"`
 	// Relies tells that the sender takes the receiver for a relay, RelaysFirst
 	// that it uses the receiver's word of loads.
-	Relies      bool `msgpack:"rl,omitempty"`
-	RelaysFirst bool `msgpack:"rf,omitempty"`
+	UsesRelay        bool `msgpack:"rl,omitempty"`
+	UsesPrimaryRelay bool `msgpack:"rf,omitempty"`
 	// Size is how many daemons the sender knows of, itself among them.
 	Size int `msgpack:"sz,omitempty"`
 	// Missed tells that the sender missed news of the planner, and wants the
 	// receiver, its relay, to tell all that it knows of instances.
-	Missed bool `msgpack:"ms,omitempty"`
+	MissedUpdates bool `msgpack:"ms,omitempty"`
 	// EntriesAge is how long ago the sender knew all entries of instances; an older
 	// program leaves it out.
 	EntriesAge time.Duration `msgpack:"ea,omitempty"`
@@ -83,8 +83,8 @@
 }
 
 // short leaves out what the first heartbeat on a connection told for good.
-func (b Heartbeat) short() Heartbeat {
-	b.From, b.Incarnation, b.Addr, b.Zone, b.Power, b.Unpacks = "", 0, "", "", 0, false
+func (b Heartbeat) abbreviated() Heartbeat {
+	b.From, b.Incarnation, b.Addr, b.Zone, b.Power, b.AcceptsCompressed = "", 0, "", "", 0, false
 	return b
 }
 
@@ -92,7 +92,7 @@
 func (b Heartbeat) completed(first Heartbeat) Heartbeat {
 	if b.From == "" {
 		b.From, b.Incarnation, b.Addr, b.Zone = first.From, first.Incarnation, first.Addr, first.Zone
-		b.Power, b.Unpacks = first.Power, first.Unpacks
+		b.Power, b.AcceptsCompressed = first.Power, first.AcceptsCompressed
 	}
 	return b
 }
@@ -118,19 +118,19 @@
 	// Power is the part of a core that the daemon may use.
 	Power float64 `msgpack:"p"`
 	// Unpacks tells that the daemon reads compressed frames.
-	Unpacks bool `msgpack:"up,omitempty"`
+	AcceptsCompressed bool `msgpack:"up,omitempty"`
 }
 
 // loadsOf tells whose loads a message holds.
-type loadsOf uint8
+type loadScope uint8
 
 const (
 	// loadsOfOne are those of the daemon that tells them.
-	loadsOfOne loadsOf = iota
+	scopeDaemon loadScope = iota
 	// loadsOfZone are those of all daemons of its zone.
-	loadsOfZone
+	scopeZone
 	// loadsOfAll are those of all daemons, the receiver among them.
-	loadsOfAll
+	scopeCluster
 )
 
 // Load is what an instance has to do for one daemon, or for several.
@@ -144,47 +144,47 @@
 // News is what a daemon tells others besides its heartbeats: its loads, the
 // heads that stand still, of instances that crashed, name a limit or ask for something, and
 // of all if it plans. Each message holds one of the six.
-type News struct {
+type Update struct {
 	// From may be empty: then it is the daemon, and its incarnation, that the
 	// heartbeats on the connection tell.
 	From models.DaemonID `msgpack:"id,omitempty"`
 	// Incarnation and Change number the state of the loads that is told: what
 	// comes by way of another daemon may come after something newer.
-	Incarnation int64  `msgpack:"in,omitempty"`
-	Change      uint64 `msgpack:"c,omitempty"`
+	Incarnation  int64  `msgpack:"in,omitempty"`
+	LoadsVersion uint64 `msgpack:"c,omitempty"`
 	// Spread asks the receiver to pass the news on to its zone and to the relays
 	// of the others: the sender is no relay.
-	Spread bool `msgpack:"sp,omitempty"`
+	Forward bool `msgpack:"sp,omitempty"`
 	// All tells that there are no loads but these, Of whose they are.
-	All   bool                       `msgpack:"a,omitempty"`
-	Of    loadsOf                    `msgpack:"of,omitempty"`
+	Full  bool                       `msgpack:"a,omitempty"`
+	Scope loadScope                  `msgpack:"of,omitempty"`
 	Loads map[models.InstanceID]Load `msgpack:"l,omitempty"`
 	// Stalled are heads that the daemon just found to stand still.
 	Stalled []StalledHead `msgpack:"s,omitempty"`
 	// Instances are told by the daemon that plans, in its term. Feed counts
 	// such news, so that a daemon knows when it missed some.
-	Term      int64          `msgpack:"t,omitempty"`
-	Feed      int64          `msgpack:"f,omitempty"`
-	Instances []InstanceNews `msgpack:"n,omitempty"`
+	Term      int64            `msgpack:"t,omitempty"`
+	Seq       int64            `msgpack:"f,omitempty"`
+	Instances []InstanceUpdate `msgpack:"n,omitempty"`
 	// Entries tells which of the store's records of instances are told by now. An older
 	// program leaves it out.
-	Entries *EntriesTold `msgpack:"en,omitempty"`
+	Entries *EntriesRange `msgpack:"en,omitempty"`
 	// Whole tells that there are no instances but these. A relay tells so what it
 	// knows, as of the planner's news with this number.
-	Whole bool `msgpack:"wh,omitempty"`
+	Snapshot bool `msgpack:"wh,omitempty"`
 	// Ended tells that the daemon plans no more.
-	Ended bool `msgpack:"e,omitempty"`
+	TermEnded bool `msgpack:"e,omitempty"`
 	// Crashes are instances that ended with requests on them.
-	Crashes []CrashNews `msgpack:"cr,omitempty"`
+	Crashes []CrashUpdate `msgpack:"cr,omitempty"`
 	// Limits are what instances told of the requests a second that they take.
-	Limits []LimitNews `msgpack:"lm,omitempty"`
+	Limits []LimitUpdate `msgpack:"lm,omitempty"`
 	// Signals are what instances asked for in their answers.
-	Signals []SignalNews `msgpack:"sg,omitempty"`
+	Signals []SignalUpdate `msgpack:"sg,omitempty"`
 }
 
 // EntriesTold tells that all changes by the store's records of instances between two
 // places are told.
-type EntriesTold struct {
+type EntriesRange struct {
 	Since models.Position `msgpack:"s"`
 	End   models.Position `msgpack:"e"`
 	// Age is how long ago the store held no records behind End.
@@ -192,7 +192,7 @@
 }
 
 // InstanceNews is what the daemon that plans has learned of an instance.
-type InstanceNews struct {
+type InstanceUpdate struct {
 	Instance models.UpstreamInstance `msgpack:"i"`
 	// Age is how long ago it was so.
 	Age time.Duration `msgpack:"a,omitempty"`
--- a/cluster/work.go
+++ b/cluster/work.go
@@ -13,17 +13,17 @@
 // zones ask is told by the first relay of each that is heard.
 func (o *owner) work() map[models.ModelName]float64 {
 	sum := o.zoneWork()
-	if o.peers.arranged.Mesh {
+	if o.peers.topology.Mesh {
 		return sum
 	}
-	told := map[models.Zone]bool{}
-	for _, d := range o.peers.arranged.Planners {
+	counted := map[models.Zone]bool{}
+	for _, d := range o.peers.topology.Planners {
 		p, seen := o.peers.seen[d.ID]
-		if d.Zone == o.n.cfg.Zone || !seen || told[d.Zone] || len(p.beat.ZoneWork) == 0 {
+		if d.Zone == o.n.cfg.Zone || !seen || counted[d.Zone] || len(p.heartbeat.ZoneWork) == 0 {
 			continue
 		}
-		told[d.Zone] = true
-		addWork(sum, p.beat.ZoneWork)
+		counted[d.Zone] = true
+		addWork(sum, p.heartbeat.ZoneWork)
 	}
 	return sum
 }
@@ -36,8 +36,8 @@
 		sum = map[models.ModelName]float64{}
 	}
 	for _, p := range o.peers.seen {
-		if o.peers.arranged.Mesh || p.beat.Zone == o.n.cfg.Zone {
-			addWork(sum, p.beat.Work)
+		if o.peers.topology.Mesh || p.heartbeat.Zone == o.n.cfg.Zone {
+			addWork(sum, p.heartbeat.Work)
 		}
 	}
 	return sum
@@ -50,8 +50,8 @@
 }
 
 // shownZoneWork is what this daemon tells of its zone, as a relay.
-func (o *owner) shownZoneWork() map[models.ModelName]float32 {
-	if o.peers.arranged.Mesh || !o.peers.arranged.Relay {
+func (o *owner) zoneWorkUpdate() map[models.ModelName]float32 {
+	if o.peers.topology.Mesh || !o.peers.topology.Relay {
 		return nil
 	}
 	out := map[models.ModelName]float32{}
