--- a/cluster/breakers.go
+++ b/cluster/breakers.go
@@ -51,8 +51,8 @@
 }
 
 // HeardHead notes what the head of an answer told of its instance.
-func (b *Breakers) HeardHead(id models.InstanceID, born time.Time, told models.AnswerHead) {
-	b.Heard(breaker.Signal{Instance: id, Born: born, Heard: time.Now(), Rest: told.Rest, Leaving: told.Leaving})
+func (b *Breakers) HeardHead(id models.InstanceID, born time.Time, head models.AnswerHead) {
+	b.Heard(breaker.Signal{Instance: id, Born: born, Heard: time.Now(), Rest: head.Rest, Leaving: head.Leaving})
 }
 
 // Note takes in a signal that a daemon heard, this one if none is named. It tells in the log
@@ -198,14 +198,14 @@
 
 // since is what another daemon is to be told that was learned after a change, and the newest
 // change.
-func (b *Breakers) changesSince(seen uint64, tells func(breaker.Source) bool) ([]SignalUpdate, uint64) {
+func (b *Breakers) changesSince(seen uint64, include func(breaker.Source) bool) ([]SignalUpdate, uint64) {
 	if !b.Any() {
 		return nil, seen
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	signals, last := b.breakers.Since(seen, tells, now)
+	signals, last := b.breakers.Since(seen, include, now)
 	out := make([]SignalUpdate, len(signals))
 	for n, s := range signals {
 		out[n] = SignalUpdate{Instance: s.Instance, Born: s.Born, Age: now.Sub(s.Heard), Rest: s.Rest, Leaving: s.Leaving}
--- a/cluster/config.go
+++ b/cluster/config.go
@@ -26,10 +26,10 @@
 
 // handleConfig takes a configuration in, or the proof that what is in force
 // was the newest at a time.
-func (o *owner) applyConfig(data []byte, asked time.Time, from string) {
+func (o *owner) applyConfig(data []byte, requestedAt time.Time, from string) {
 	if data == nil || bytes.Equal(data, o.config.data) {
-		if o.config.routing != nil && asked.After(o.config.confirmedAt) {
-			o.config.confirmedAt = asked
+		if o.config.routing != nil && requestedAt.After(o.config.confirmedAt) {
+			o.config.confirmedAt = requestedAt
 			o.viewStale = true
 		}
 		return
@@ -44,14 +44,14 @@
 		old = o.config.routing.Version
 	}
 	if routing.Version <= old {
-		if from == "store" && asked.After(o.config.confirmedAt) {
+		if from == "store" && requestedAt.After(o.config.confirmedAt) {
 			// The store came back from a copy: it held nothing newer than what is in force.
-			o.config.confirmedAt, o.viewStale = asked, true
+			o.config.confirmedAt, o.viewStale = requestedAt, true
 		}
 		o.n.log.Info().Int64("version", routing.Version).Int64("in-force", old).Str("from", from).Msg("config-older")
 		return
 	}
-	o.config = configState{routing: routing, data: data, confirmedAt: asked}
+	o.config = configState{routing: routing, data: data, confirmedAt: requestedAt}
 	o.fleet.services, o.fleetStale = routing.Services, true
 	if o.peers.topology.Relay {
 		// Those who rely on this daemon are to ask for it at once.
--- a/cluster/config_watch_test.go
+++ b/cluster/config_watch_test.go
@@ -18,10 +18,10 @@
 // crowdEvery is crowd where the others tell of themselves so often.
 func addPeersWithInterval(o *owner, n int, version int64, interval time.Duration) {
 	for i := range n {
-		beat := Heartbeat{
+		heartbeat := Heartbeat{
 			From: models.DaemonID(fmt.Sprintf("peer-%d", i)), Addr: "127.0.0.1:9", Power: 1, ConfigVersion: version, ConfigAge: time.Hour, Interval: interval,
 		}
-		o.handleHeartbeat(heartbeatReceived{heartbeat: beat, receivedAt: time.Now()})
+		o.handleHeartbeat(heartbeatReceived{heartbeat: heartbeat, receivedAt: time.Now()})
 	}
 	o.updateTopology(time.Now())
 	o.publish()
--- a/cluster/entries.go
+++ b/cluster/entries.go
@@ -189,11 +189,11 @@
 
 // goneNews tells that an instance's entry was gone at a time, and what its last one was.
 func (f *fleetState) goneUpdate(id models.InstanceID, at time.Time) InstanceUpdate {
-	last := models.UpstreamInstance{ID: id}
+	lastState := models.UpstreamInstance{ID: id}
 	if e, ended := f.ended[id]; ended {
-		last.Born, last.Heartbeat = e.born, e.heartbeat
+		lastState.Born, lastState.Heartbeat = e.born, e.heartbeat
 	}
-	return InstanceUpdate{Instance: last, Age: time.Since(at), Gone: true}
+	return InstanceUpdate{Instance: lastState, Age: time.Since(at), Gone: true}
 }
 
 // noteUnreadable tells of an entry that can't be read, once for each change of it.
--- a/cluster/entries_progress.go
+++ b/cluster/entries_progress.go
@@ -84,13 +84,13 @@
 // may be gone. Whether the store lacks an entry it knows better too.
 func (f *fleetState) onlyKnown(updates []InstanceUpdate, now time.Time) []InstanceUpdate {
 	var out []InstanceUpdate
-	for _, news := range updates {
-		k, known := f.instances[news.Instance.ID]
+	for _, u := range updates {
+		k, known := f.instances[u.Instance.ID]
 		if !known {
 			continue
 		}
-		news.Missing = k.missingFor(now)
-		out = append(out, news)
+		u.Missing = k.missingFor(now)
+		out = append(out, u)
 	}
 	return out
 }
--- a/cluster/entries_progress_property_test.go
+++ b/cluster/entries_progress_property_test.go
@@ -108,17 +108,17 @@
 		return fmt.Sprintf("plan %s %d", h.planner, h.term)
 	case 7, 8:
 		if h.planner != "" {
-			return "feed " + h.planner
+			return "broadcast " + h.planner
 		}
 		return "read " + d
 	case 9:
-		return fmt.Sprintf("ask %s %s", d, h.daemon())
+		return fmt.Sprintf("request %s %s", d, h.daemon())
 	case 10:
-		return "lose " + d
+		return "drop " + d
 	case 11:
 		return fmt.Sprintf("reread %s %d", d, h.random.IntN(len(h.log)+1))
 	case 12:
-		return fmt.Sprintf("beat %s %s", d, h.daemon())
+		return fmt.Sprintf("heartbeat %s %s", d, h.daemon())
 	default:
 		return h.copyOrRestore()
 	}
--- a/cluster/entries_progress_test.go
+++ b/cluster/entries_progress_test.go
@@ -132,35 +132,35 @@
 		}
 		var end int
 		s.scan(words[1], &end)
-		asked := time.Now()
+		requestedAt := time.Now()
 		if end < len(s.log) {
-			asked = s.writtenAt[end]
+			requestedAt = s.writtenAt[end]
 		}
-		s.applyRead(o, s.log[:end], s.position(end), asked, false)
+		s.applyRead(o, s.log[:end], s.position(end), requestedAt, false)
 	case "plan":
 		var term int64
 		s.scan(words[1], &term)
 		o.handleLease(leaseHeld{term: term, until: now.Add(time.Minute)})
 	case "stop":
 		o.stopPlanning("test")
-	case "feed":
+	case "broadcast":
 		o.broadcastUpdates()
 	case "report":
 		k := o.fleet.instances[models.InstanceID(words[1])]
 		o.broadcastInstance(k, now)
 		o.broadcastUpdates()
-	case "ask":
+	case "request":
 		o.requestMissed(now)
 		s.owners[models.DaemonID(words[1])].sendSnapshot(name, now)
-	case "beat":
+	case "heartbeat":
 		to := s.owners[models.DaemonID(words[1])]
 		to.handleHeartbeat(heartbeatReceived{heartbeat: o.n.heartbeat("", membership.Link{}), receivedAt: now})
-	case "says", "tell":
+	case "signal", "forward":
 		s.signalLeaving(verb, o, words[1])
 	case "tick":
 		o.removeMissing(now)
 		o.applyLeavingSignals(now)
-	case "lose":
+	case "drop":
 		s.dropNext[name] = true
 	case "hold":
 		s.held[name] = []sharedFrame{}
@@ -176,7 +176,7 @@
 	case "usable":
 		k := o.fleet.instances[models.InstanceID(words[1])]
 		s.c.Assert(fmt.Sprint(k != nil && k.usable()), qt.Equals, words[2], s.comment)
-	case "complete":
+	case "current":
 		s.c.Assert(fmt.Sprint(o.n.updatedWithin(relayedUpdateTimeout) && !o.n.missedUpdates.pending()), qt.Equals, words[1], s.comment)
 	default:
 		s.c.Fatalf("%s: no such command", s.comment)
@@ -194,14 +194,14 @@
 
 // hearWords has a daemon hear that an instance says it leaves, or tell another daemon.
 func (s *progressScript) signalLeaving(verb string, o *owner, of string) {
-	if verb == "says" {
+	if verb == "signal" {
 		o.n.breakers.Heard(breaker.Signal{Instance: models.InstanceID(of), Heard: time.Now(), Leaving: true})
 		o.drainInbox()
 		return
 	}
 	to := s.owners[models.DaemonID(of)]
-	news, _ := o.n.breakers.changesSince(0, func(models.DaemonID) bool { return true })
-	to.n.handleSignals(news, o.n.cfg.ID)
+	updates, _ := o.n.breakers.changesSince(0, func(models.DaemonID) bool { return true })
+	to.n.handleSignals(updates, o.n.cfg.ID)
 	to.drainInbox()
 }
 
@@ -271,8 +271,8 @@
 // put has an instance write its entry.
 func (s *progressScript) put(id, state string) {
 	s.writes[id]++
-	word := map[string]string{"ready": "ready", "leaving": "draining"}[state]
-	value := fmt.Sprintf(`{"Service":"plain","Address":"10.0.0.1:80","Zone":"z","Slots":4,"State":%q,"Sequence":%d}`, word, s.writes[id])
+	stored := map[string]string{"ready": "ready", "leaving": "draining"}[state]
+	value := fmt.Sprintf(`{"Service":"plain","Address":"10.0.0.1:80","Zone":"z","Slots":4,"State":%q,"Sequence":%d}`, stored, s.writes[id])
 	s.append(id, []byte(value))
 }
 
@@ -304,7 +304,7 @@
 }
 
 // handle has a daemon take in records of the store.
-func (s *progressScript) applyRead(o *owner, records []platform.KeyedRecord, end models.Position, asked time.Time, whole bool) {
-	o.handleEntries(readResult{records: records, end: end, requestedAt: asked}, whole)
+func (s *progressScript) applyRead(o *owner, records []platform.KeyedRecord, end models.Position, requestedAt time.Time, snapshot bool) {
+	o.handleEntries(readResult{records: records, end: end, requestedAt: requestedAt}, snapshot)
 	o.n.missedUpdates.recoverTo(o.n.missedUpdates.recorded.Load())
 }
--- a/cluster/entries_test.go
+++ b/cluster/entries_test.go
@@ -41,13 +41,13 @@
 	c := qt.New(t)
 	o := newTestOwner(t)
 	now := time.Now()
-	instance := func(beat int64) models.UpstreamInstance {
-		return models.UpstreamInstance{ID: "i-1", Heartbeat: beat}
+	instance := func(writes int64) models.UpstreamInstance {
+		return models.UpstreamInstance{ID: "i-1", Heartbeat: writes}
 	}
 	lost := func() bool { return !o.fleet.instances["i-1"].lostSince.IsZero() }
-	reportLost := func(feed, beat int64) {
-		updates := []InstanceUpdate{{Instance: instance(beat), Lost: true}}
-		o.handleUpdate(updateReceived{term: 1, seq: feed, receivedAt: now.Add(time.Duration(feed) * time.Second), instances: updates})
+	reportLost := func(seq, writes int64) {
+		updates := []InstanceUpdate{{Instance: instance(writes), Lost: true}}
+		o.handleUpdate(updateReceived{term: 1, seq: seq, receivedAt: now.Add(time.Duration(seq) * time.Second), instances: updates})
 	}
 
 	o.applyEntry(instance(7), now)
--- a/cluster/follow.go
+++ b/cluster/follow.go
@@ -160,7 +160,7 @@
 
 // readOnce reads everything, or what is new, and tells the owner.
 func (f *topicReader) readOnce(ctx context.Context) error {
-	asked := time.Now()
+	requestedAt := time.Now()
 	if f.beforeRead != nil {
 		f.beforeRead()
 	}
@@ -171,7 +171,7 @@
 			return err
 		}
 		f.next, f.positioned, f.ignoreKnown, f.more = next, true, false, false
-		f.n.post(ctx, f.onSnapshot(readResult{records: records, end: next, requestedAt: asked}))
+		f.n.post(ctx, f.onSnapshot(readResult{records: records, end: next, requestedAt: requestedAt}))
 		return nil
 	}
 	limited := ctx
@@ -188,11 +188,11 @@
 	if err != nil {
 		return err
 	}
-	if len(page.Records) == 0 && wait > longPollSlack && f.n.clock.Suspended(asked) == 0 {
+	if len(page.Records) == 0 && wait > longPollSlack && f.n.clock.Suspended(requestedAt) == 0 {
 		// The store held the call and looked once more at the end of the wait.
-		asked = asked.Add(wait - longPollSlack)
+		requestedAt = requestedAt.Add(wait - longPollSlack)
 	}
 	f.next, f.more = page.Next, page.More
-	f.n.post(ctx, f.onDelta(readResult{records: page.Records, end: page.Next, requestedAt: asked, more: page.More}))
+	f.n.post(ctx, f.onDelta(readResult{records: page.Records, end: page.Next, requestedAt: requestedAt, more: page.More}))
 	return nil
 }
--- a/cluster/incarnations.go
+++ b/cluster/incarnations.go
@@ -35,12 +35,12 @@
 }
 
 // noteReportedLife is noteLife for the answer of the instance itself.
-func (o *owner) observeReportedIncarnation(k *knownInstance, born, asked time.Time) bool {
-	if k.LifeOf(born) == models.EarlierLife && asked.After(k.bornKnownAt) {
-		o.beginIncarnation(k, born, asked)
+func (o *owner) observeReportedIncarnation(k *knownInstance, born, requestedAt time.Time) bool {
+	if k.LifeOf(born) == models.EarlierLife && requestedAt.After(k.bornKnownAt) {
+		o.beginIncarnation(k, born, requestedAt)
 		return true
 	}
-	return o.observeIncarnation(k, born, asked)
+	return o.observeIncarnation(k, born, requestedAt)
 }
 
 // learnBirth notes the birth of an instance of which none was known.
--- a/cluster/incarnations_test.go
+++ b/cluster/incarnations_test.go
@@ -124,16 +124,16 @@
 	switch words[0] {
 	case "entry":
 		s.o.applyEntry(f.instance, now)
-	case "news", "lose":
+	case "update", "lost":
 		s.seq++
-		news := InstanceUpdate{Instance: f.instance, Lost: words[0] == "lose"}
-		if news.Lost {
-			news.Instance = s.o.fleet.instances[id].UpstreamInstance
+		u := InstanceUpdate{Instance: f.instance, Lost: words[0] == "lost"}
+		if u.Lost {
+			u.Instance = s.o.fleet.instances[id].UpstreamInstance
 		}
-		s.o.handleUpdate(updateReceived{term: 1, seq: s.seq, receivedAt: now.Add(time.Millisecond), instances: []InstanceUpdate{news}})
+		s.o.handleUpdate(updateReceived{term: 1, seq: s.seq, receivedAt: now.Add(time.Millisecond), instances: []InstanceUpdate{u}})
 	case "report":
 		s.o.handleProbeResult(probeFinished{instance: f.instance, sentAt: now.Add(f.asked)})
-	case "silence":
+	case "timeout":
 		s.o.handleProbeResult(probeFinished{instance: f.instance, sentAt: now.Add(f.asked), err: platform.ErrInstance})
 	case "ended":
 		order := types.GroupOrder{Kind: types.GroupJoin, Instance: id, Born: f.instance.Born}
--- a/cluster/lease.go
+++ b/cluster/lease.go
@@ -45,12 +45,12 @@
 	for {
 		wait := candidacyCheckInterval
 		if n.View().candidate {
-			asked := time.Now()
+			requestedAt := time.Now()
 			if err := h.acquire(ctx); err != nil {
 				return err
 			}
 			// The wait for the answer counts: where it is long the lease would end else.
-			wait = n.cfg.LeaseMin/renewalsPerLease - time.Since(asked)
+			wait = n.cfg.LeaseMin/renewalsPerLease - time.Since(requestedAt)
 		} else {
 			h.release(ctx)
 		}
@@ -79,7 +79,7 @@
 func (h *leaseHolder) acquire(ctx context.Context) error {
 	n, ttl := h.n, h.n.cfg.LeaseMin
 	n.inLeaseGroup.Store(true)
-	asked := time.Now()
+	requestedAt := time.Now()
 	held, lease, err := n.renew(ctx, h.member, ttl, h.generation)
 	switch {
 	case ctx.Err() != nil:
@@ -101,7 +101,7 @@
 		h.term, h.era = n.beginTerm(ctx)
 	}
 	if h.term != 0 {
-		h.postHeld(ctx, leaseHeld{term: h.term, until: asked.Add(ttl - leaseMargin)})
+		h.postHeld(ctx, leaseHeld{term: h.term, until: requestedAt.Add(ttl - leaseMargin)})
 	}
 	return nil
 }
--- a/cluster/lease_test.go
+++ b/cluster/lease_test.go
@@ -52,8 +52,8 @@
 	now := time.Now()
 	o.handleLease(leaseHeld{term: 5, until: now.Add(-time.Second)})
 	receive := func(age time.Duration) {
-		beat := Heartbeat{From: "d2", Addr: "127.0.0.1:9", ConfigAge: time.Minute, EntriesAge: age}
-		o.peers.seen["d2"] = peerStatus{heartbeat: beat, receivedAt: now}
+		heartbeat := Heartbeat{From: "d2", Addr: "127.0.0.1:9", ConfigAge: time.Minute, EntriesAge: age}
+		o.peers.seen["d2"] = peerStatus{heartbeat: heartbeat, receivedAt: now}
 	}
 	receive(0)
 	c.Assert(o.mayOutliveLease(now), qt.IsTrue, qt.Commentf("an older program does not tell"))
--- a/cluster/link.go
+++ b/cluster/link.go
@@ -131,11 +131,11 @@
 // if the other daemon asks for it.
 func (t *linkWriter) sendHeartbeat() error {
 	t.lastHeartbeat = time.Now()
-	beat := t.n.heartbeat(t.link.id, *t.link.peer.sharedRole.Load())
+	heartbeat := t.n.heartbeat(t.link.id, *t.link.peer.sharedRole.Load())
 	if t.sentFullHeartbeat {
-		beat = beat.abbreviated()
+		heartbeat = heartbeat.abbreviated()
 	}
-	if err := t.send(frameHeartbeat, beat); err != nil {
+	if err := t.send(frameHeartbeat, heartbeat); err != nil {
 		return err
 	}
 	t.sentFullHeartbeat = true
--- a/cluster/links_test.go
+++ b/cluster/links_test.go
@@ -58,10 +58,10 @@
 	}
 
 	receive(1, old)
-	beat, err := acceptHeartbeat(old)
+	heartbeat, err := acceptHeartbeat(old)
 	c.Assert(err, qt.IsNil)
-	c.Assert(beat.From, qt.Equals, models.DaemonID("d1"))
-	c.Assert(beat.Addr, qt.Equals, "127.0.0.1:7340")
+	c.Assert(heartbeat.From, qt.Equals, models.DaemonID("d1"))
+	c.Assert(heartbeat.Addr, qt.Equals, "127.0.0.1:7340")
 
 	receive(2, moved)
 	_, err = acceptHeartbeat(moved)
--- a/cluster/loads.go
+++ b/cluster/loads.go
@@ -75,12 +75,12 @@
 // replace forgets what a new word of the loads of several daemons takes the place
 // of: another relay of the same zone told it before, or this daemon was told
 // zone by zone. The loads must be locked.
-func (p *peerLoads) replace(from models.DaemonID, of loadScope, zone models.Zone) {
+func (p *peerLoads) replace(from models.DaemonID, scope loadScope, zone models.Zone) {
 	p.removeLocked(from)
 	for id, known := range p.byDaemon {
 		switch {
-		case of == scopeDaemon, known.scope == scopeDaemon:
-		case of == scopeCluster, known.scope == scopeCluster, known.zone == zone:
+		case scope == scopeDaemon, known.scope == scopeDaemon:
+		case scope == scopeCluster, known.scope == scopeCluster, known.zone == zone:
 			p.removeLocked(id)
 		}
 	}
--- a/cluster/missed_updates.go
+++ b/cluster/missed_updates.go
@@ -15,7 +15,7 @@
 // noteMissed has what was not told read from the store at once, or told by the
 // relay that this daemon relies on.
 func (o *owner) requestMissed(now time.Time) {
-	o.n.stats.missed.Inc()
+	o.n.stats.missedUpdates.Inc()
 	relay := o.pickRelay(now)
 	o.n.log.Info().Int64("term", o.peers.updateTerm).Int64("feed", o.peers.updateSeq).Str("relay", string(relay)).
 		Dur("entries-age", o.n.entriesAge()).Msg("news-missed")
@@ -111,8 +111,8 @@
 // known of them.
 func (o *owner) removeAbsent(m updateReceived) {
 	listed := make(map[models.InstanceID]bool, len(m.instances))
-	for _, news := range m.instances {
-		listed[news.Instance.ID] = true
+	for _, u := range m.instances {
+		listed[u.Instance.ID] = true
 	}
 	for id, k := range o.fleet.instances {
 		if !listed[id] && k.supersededBy(m) {
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -125,12 +125,12 @@
 }
 
 type stats struct {
-	set         *metrics.Set
-	missed      *metrics.Counter
-	storeErrors *metrics.Counter
-	orders      *metrics.Counter
-	reports     *metrics.Counter
-	plans       *metrics.Counter
+	set           *metrics.Set
+	missedUpdates *metrics.Counter
+	storeErrors   *metrics.Counter
+	orders        *metrics.Counter
+	reports       *metrics.Counter
+	plans         *metrics.Counter
 	// orderTime and reportTime are how long instances take to answer orders and questions.
 	orderTime, reportTime *metrics.Histogram
 	// reborn counts instances that started again under their ids, foreign entries
@@ -145,7 +145,7 @@
 // which come four times a second, and sums of loads, which come each totalsEvery;
 // and this node's part among the daemons.
 func (n *Node) registerAgeMetrics() {
-	since := func(nanos int64) float64 { return max(0, time.Since(time.Unix(0, nanos)).Seconds()) }
+	since := func(unixNanos int64) float64 { return max(0, time.Since(time.Unix(0, unixNanos)).Seconds()) }
 	n.stats.set.NewGauge("lupinkeel_planner_news_age_seconds", func() float64 {
 		if n.planning.Load() {
 			return 0
@@ -180,17 +180,17 @@
 		cfg: cfg, log: log, clock: timer.New(now), traffic: traffic, inbox: make(chan message, inboxLen),
 		started: now.UnixNano(), peerLoads: newPeerLoads(), rosterReady: make(chan struct{}),
 		stats: &stats{
-			set:         set,
-			missed:      set.NewCounter("lupinkeel_news_missed_total"),
-			storeErrors: set.NewCounter("lupinkeel_store_errors_total"),
-			orders:      set.NewCounter("lupinkeel_group_orders_total"),
-			reports:     set.NewCounter("lupinkeel_instance_reports_total"),
-			plans:       set.NewCounter("lupinkeel_plans_total"),
-			orderTime:   set.NewHistogram("lupinkeel_order_seconds"),
-			reportTime:  set.NewHistogram("lupinkeel_report_seconds"),
-			restarted:   set.NewCounter("lupinkeel_instance_restarts_total"),
-			unreadable:  set.NewCounter("lupinkeel_unreadable_entries_total"),
-			restores:    set.NewCounter("lupinkeel_store_restores_total"),
+			set:           set,
+			missedUpdates: set.NewCounter("lupinkeel_news_missed_total"),
+			storeErrors:   set.NewCounter("lupinkeel_store_errors_total"),
+			orders:        set.NewCounter("lupinkeel_group_orders_total"),
+			reports:       set.NewCounter("lupinkeel_instance_reports_total"),
+			plans:         set.NewCounter("lupinkeel_plans_total"),
+			orderTime:     set.NewHistogram("lupinkeel_order_seconds"),
+			reportTime:    set.NewHistogram("lupinkeel_report_seconds"),
+			restarted:     set.NewCounter("lupinkeel_instance_restarts_total"),
+			unreadable:    set.NewCounter("lupinkeel_unreadable_entries_total"),
+			restores:      set.NewCounter("lupinkeel_store_restores_total"),
 		},
 	}
 	n.conns = h1.NewPool(dialTimeout, nil)
@@ -204,8 +204,8 @@
 	n.view.Store(&View{})
 	n.entriesEnd.Store(&models.Position{})
 	n.missedUpdates.record()
-	asked := anyRelay
-	n.snapshotRelay.Store(&asked)
+	relay := anyRelay
+	n.snapshotRelay.Store(&relay)
 	n.registerAgeMetrics()
 	return n
 }
@@ -238,7 +238,7 @@
 		return err
 	}
 	o := newOwner(n)
-	parts := map[string]func(context.Context) error{
+	loops := map[string]func(context.Context) error{
 		"owner":      o.run,
 		"clock":      n.clock.Run,
 		"config":     n.followConfig,
@@ -254,7 +254,7 @@
 		"permits":    n.permits.run,
 	}
 	var tasks []task.Task
-	for name, run := range parts {
+	for name, run := range loops {
 		tasks = append(tasks, task.Start(ctx, name, run))
 	}
 	err = task.WaitAny(ctx, tasks...)
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -157,6 +157,6 @@
 // asks reports whether a daemon is the relay that is asked for what was missed: at the
 // start, the one whose word of loads is used.
 func (n *Node) requestsSnapshotFrom(to models.DaemonID, l membership.Link) bool {
-	asked := *n.snapshotRelay.Load()
-	return to == asked || (asked == anyRelay && l.RelaysFirst)
+	relay := *n.snapshotRelay.Load()
+	return to == relay || (relay == anyRelay && l.RelaysFirst)
 }
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -45,8 +45,8 @@
 	t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
 	for i := range 30 {
 		zone := models.Zone("abc"[i%3 : i%3+1])
-		beat := Heartbeat{From: models.DaemonID(fmt.Sprintf("%s-%d", zone, i)), Addr: "127.0.0.1:9", Power: 0.1 + float64(i)/100, Zone: zone}
-		o.handleHeartbeat(heartbeatReceived{heartbeat: beat, receivedAt: time.Now()})
+		heartbeat := Heartbeat{From: models.DaemonID(fmt.Sprintf("%s-%d", zone, i)), Addr: "127.0.0.1:9", Power: 0.1 + float64(i)/100, Zone: zone}
+		o.handleHeartbeat(heartbeatReceived{heartbeat: heartbeat, receivedAt: time.Now()})
 	}
 	o.updateTopology(time.Now())
 	o.publish()
--- a/cluster/peerserver_test.go
+++ b/cluster/peerserver_test.go
@@ -71,8 +71,8 @@
 		ConfigVersion: 17, ConfigAge: 400 * time.Millisecond, Term: 4, Work: map[models.ModelName]float32{"sexa3699b5": 1.5, "yeti827f2c": 0.5},
 	}
 	var from Heartbeat
-	for at, beat := range []Heartbeat{full, full.abbreviated()} {
-		body, err := pack.Marshal(beat)
+	for at, heartbeat := range []Heartbeat{full, full.abbreviated()} {
+		body, err := pack.Marshal(heartbeat)
 		c.Assert(err, qt.IsNil)
 		if at > 0 {
 			c.Assert(len(body) <= 64, qt.IsTrue, qt.Commentf("%d bytes", len(body)))
--- a/cluster/permits.go
+++ b/cluster/permits.go
@@ -98,7 +98,7 @@
 	p.mu.Lock()
 	var readers []task.Task
 	for _, c := range p.conns {
-		readers = append(readers, c.close()...)
+		readers = append(readers, c.disconnect()...)
 	}
 	p.mu.Unlock()
 	return task.Wait(readers...)
@@ -185,7 +185,7 @@
 	}
 	if c != nil {
 		// Its reader ends with the connection.
-		c.close()
+		c.disconnect()
 	}
 	c = &granterConn{p: p, addr: addr}
 	p.conns[id] = c
@@ -322,7 +322,7 @@
 }
 
 // end closes the connection and returns its reader, to be waited for.
-func (c *granterConn) close() []task.Task {
+func (c *granterConn) disconnect() []task.Task {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn == nil {
--- a/cluster/planning.go
+++ b/cluster/planning.go
@@ -175,8 +175,8 @@
 		if i.Service != name || !i.lostSince.IsZero() {
 			continue
 		}
-		silent := !away && now.Sub(i.entrySeenAt) > overdue && now.Sub(i.stateAt) > overdue
-		if silent || o.fleet.unconfirmed(i) {
+		overdueEntry := !away && now.Sub(i.entrySeenAt) > overdue && now.Sub(i.stateAt) > overdue
+		if overdueEntry || o.fleet.unconfirmed(i) {
 			o.probe(i, now, probeTimeout)
 		}
 	}
--- a/cluster/restored.go
+++ b/cluster/restored.go
@@ -37,8 +37,8 @@
 
 // beginEra notes an era, and reports whether it began while this daemon ran.
 func (o *owner) advanceEra(era int64, now time.Time) bool {
-	was := o.n.era.Load()
-	if era <= was {
+	previous := o.n.era.Load()
+	if era <= previous {
 		return false
 	}
 	o.n.era.Store(era)
@@ -47,7 +47,7 @@
 		return false
 	}
 	o.n.stats.restores.Inc()
-	o.n.log.Warn().Int64("era", era).Int64("was", was).Dur("entries-age", o.n.entriesAge()).Msg("store-restored")
+	o.n.log.Warn().Int64("era", era).Int64("was", previous).Dur("entries-age", o.n.entriesAge()).Msg("store-restored")
 	o.fleet.restoredAt = now
 	return true
 }
@@ -144,7 +144,7 @@
 		return true
 	}
 	for id := range o.peers.topology.Links {
-		if _, heard := o.peers.seen[id]; !heard {
+		if _, known := o.peers.seen[id]; !known {
 			return false
 		}
 	}
--- a/cluster/throttle.go
+++ b/cluster/throttle.go
@@ -18,6 +18,6 @@
 
 // due reports whether the work may be done again, which is to rest for a time at
 // least.
-func (s throttle) ready(now time.Time, least time.Duration) bool {
-	return now.Sub(s.started) >= max(least, idleFactor*s.took)
+func (s throttle) ready(now time.Time, minInterval time.Duration) bool {
+	return now.Sub(s.started) >= max(minInterval, idleFactor*s.took)
 }
--- a/cluster/totals.go
+++ b/cluster/totals.go
@@ -74,12 +74,12 @@
 
 // send sends the change between two sums, or the whole of the later one to those
 // that do not know the earlier one.
-func (t *totalsSender) send(to []*peerLink, of loadScope, before, now map[models.InstanceID]Load) {
+func (t *totalsSender) send(to []*peerLink, scope loadScope, before, now map[models.InstanceID]Load) {
 	links := t.n.links
 	links.mu.Lock()
 	defer links.mu.Unlock()
-	full := t.encodeOnce(Update{LoadsVersion: t.rounds, Scope: of, Full: true, Loads: now})
-	delta := t.encodeOnce(Update{LoadsVersion: t.rounds, Scope: of, Loads: changedLoads(before, now)})
+	full := t.encodeOnce(Update{LoadsVersion: t.rounds, Scope: scope, Full: true, Loads: now})
+	delta := t.encodeOnce(Update{LoadsVersion: t.rounds, Scope: scope, Loads: changedLoads(before, now)})
 	for _, peer := range to {
 		next := delta
 		if !peer.synced || t.rounds%fullTotalsRounds == 0 {
--- a/cluster/updates_test.go
+++ b/cluster/updates_test.go
@@ -165,8 +165,8 @@
 	o := newTestOwner(t)
 	t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
 	addPeers(o, 2, 7)
-	beat := Heartbeat{From: "peer-0", Addr: "127.0.0.1:9", MissedUpdates: true, UsesPrimaryRelay: true}
-	o.handleHeartbeat(heartbeatReceived{heartbeat: beat, receivedAt: time.Now()})
+	heartbeat := Heartbeat{From: "peer-0", Addr: "127.0.0.1:9", MissedUpdates: true, UsesPrimaryRelay: true}
+	o.handleHeartbeat(heartbeatReceived{heartbeat: heartbeat, receivedAt: time.Now()})
 	sentFrames := func() int {
 		end := o.n.links.peers["peer-0"]
 		n := len(end.frames)
@@ -186,7 +186,7 @@
 	o.answerSnapshotRequests(time.Now())
 	o.answerSnapshotRequests(time.Now())
 	c.Assert(sentFrames(), qt.Equals, 1)
-	o.handleHeartbeat(heartbeatReceived{heartbeat: beat, receivedAt: time.Now()})
+	o.handleHeartbeat(heartbeatReceived{heartbeat: heartbeat, receivedAt: time.Now()})
 	o.answerSnapshotRequests(time.Now())
 	c.Assert(sentFrames(), qt.Equals, 1, qt.Commentf("it asks again"))
 }
