--- a/cluster/unlisted.go
+++ b/cluster/unlisted.go
@@ -6,16 +6,14 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// unlistedEvery is how often the planner asks a member of a group that has no
-// entry whether it still is one.
+// unlistedProbeInterval is how often the planner probes a group member without an entry.
 const unlistedProbeInterval = time.Second
 
-// holdsUp reports whether an instance without an entry is kept: it is a member,
-// not the head, of a group that serves, and was not found lost. An instance
-// that is merely cut off from the store goes on working for its group, and a
-// group of eight has such a member as soon as a few instances are cut off.
-// Requests only go to heads, and one that ends stops its group, which is
-// noticed by the streams.
+// isNeededMember reports whether an instance without an entry is kept: if it is a member, but not
+// the head, of a serving group and is not lost. An instance that is only cut off from the store
+// still serves its group, and a group of eight has such a member as soon as a few instances are cut
+// off. Requests go to heads only, and a member that ends stalls its group, which the streams
+// detect.
 func (f *fleetState) isNeededMember(i *knownInstance) bool {
 	if i.Group.State != models.MemberReady || i.Group.Rank == 0 || i.Draining || !i.lostSince.IsZero() {
 		return false
@@ -28,8 +26,8 @@
 	return false
 }
 
-// watchUnlisted asks the instances that are kept without an entry, and forgets
-// those that hold up no group any more.
+// checkUnlisted probes the instances that are kept without an entry, and removes those that no
+// group needs any more.
 func (o *owner) checkUnlisted(now time.Time) {
 	for _, i := range o.fleet.instances {
 		switch {
@@ -42,7 +40,7 @@
 	}
 }
 
-// dropInstance takes in that an instance's entry is gone.
+// handleEntryGone handles the removal of an instance's entry.
 func (o *owner) handleEntryGone(id models.InstanceID) {
 	i, known := o.fleet.instances[id]
 	switch {
@@ -55,7 +53,7 @@
 	}
 }
 
-// forgetInstance drops what is known of an instance.
+// removeInstance removes an instance from the state.
 func (o *owner) removeInstance(i *knownInstance) {
 	o.n.log.Info().Str("instance", string(i.ID)).Str("group", string(i.Group.Key.Name)).Msg("instance-gone")
 	o.fleet.ended[i.ID] = endedInstance{born: i.Born, heartbeat: i.Heartbeat, at: time.Now()}
--- a/cluster/updates.go
+++ b/cluster/updates.go
@@ -2,26 +2,24 @@
 
 import "time"
 
-// entryLag is how long an instance's entry may lag behind what the instance
-// itself tells: the store takes some ms, a slow store hundreds.
+// entryLag is how far an instance's entry may lag behind its own reports. Writing it takes some
+// milliseconds, with a slow store hundreds.
 const entryLag = time.Second
 
 const (
-	// feedFresh is how recent the planner's news must be for a daemon to spare
-	// itself reading entries often.
+	// updateTimeout is the age of the planner's updates up to which a daemon reads entries rarely.
 	updateTimeout = 900 * time.Millisecond
-	// feedPatience takes its place where there are many daemons: until another
-	// plans none should read that need not. It stays well below the time within
-	// which an instance that leaves must get nothing new, 3 s where the users
-	// have many daemons.
+	// relayedUpdateTimeout is updateTimeout for daemons that use a relay. It is longer, so that
+	// they do not read the store while a new planner is elected. It stays well below the time
+	// within which a leaving instance must get no new requests, 3 s for users with many daemons.
 	relayedUpdateTimeout = 1600 * time.Millisecond
-	// newsEvery is the least time between two sendings of news. Reports come by
-	// the dozen within some ms; sent one by one they overflow what may wait for
-	// a link, and every daemon that misses one reads the store.
+	// minBroadcastInterval is the minimum time between two broadcasts. Reports arrive by the dozen
+	// within some milliseconds. Sent one by one, they overflow the queues of links, and each daemon
+	// that misses one reads the store.
 	minBroadcastInterval = 15 * time.Millisecond
 )
 
-// spread tells all other daemons what this one, which plans, has learned.
+// queueUpdates queues updates for the next broadcast, if this node is the planner.
 func (o *owner) queueUpdates(updates ...InstanceUpdate) {
 	if o.fleet.planner == nil {
 		return
@@ -29,7 +27,8 @@
 	o.fleet.pendingUpdates = append(o.fleet.pendingUpdates, updates...)
 }
 
-// flushNews sends what spread has gathered, unless some was sent just before.
+// flushUpdates broadcasts queued updates, unless the last broadcast was within
+// minBroadcastInterval.
 func (o *owner) flushUpdates(now time.Time) {
 	if len(o.fleet.pendingUpdates) == 0 || now.Sub(o.fleet.lastBroadcastAt) < minBroadcastInterval {
 		return
@@ -37,8 +36,8 @@
 	o.broadcastUpdates()
 }
 
-// sendFeed sends the news that there are. Without any it tells the others that
-// this daemon still reads entries, so that they need not.
+// broadcastUpdates broadcasts the queued updates. Without any, the broadcast shows that the planner
+// still reads entries, so that the others need not.
 func (o *owner) broadcastUpdates() {
 	f, now := &o.fleet, time.Now()
 	f.updateSeq++
@@ -50,7 +49,7 @@
 	f.pendingUpdates, f.broadcastEnd = nil, f.entries.end
 }
 
-// handleNews takes in what the daemon that plans tells.
+// handleUpdate applies an update of the planner, or a relay's snapshot.
 func (o *owner) handleUpdate(m updateReceived) {
 	p := &o.peers
 	switch {
@@ -64,7 +63,7 @@
 		o.handleSnapshot(m)
 		return
 	case m.term == p.updateTerm && m.seq <= p.updateSeq:
-		// Another relay told it before.
+		// The update already came by way of another relay.
 		return
 	}
 	missed := m.term != p.updateTerm || m.seq != p.updateSeq+1
@@ -72,8 +71,8 @@
 	now := time.Now()
 	p.plannerSeenAt = now
 	o.applyInstances(m, now)
-	// News that do not tell which records they hold, as an older program's, do not spare
-	// this daemon a reading.
+	// An update without a range of entries, as older versions send it, does not save this daemon a
+	// read.
 	continuous := m.entries != nil && o.fleet.entries.addRange(m.entries.toRecordRange(m.receivedAt))
 	o.publishProgress()
 	if missed {
@@ -87,7 +86,7 @@
 	}
 }
 
-// noteAll takes in what news tell of instances.
+// applyInstances applies the instances in an update.
 func (o *owner) applyInstances(m updateReceived, now time.Time) {
 	if m.olderThan(o.fleet.entries) {
 		m.instances = o.fleet.onlyKnown(m.instances, now)
@@ -105,15 +104,14 @@
 	o.fleetStale = o.fleetStale || len(m.instances) > 0
 }
 
-// noteNews takes in what the daemon that plans tells of one instance, as it was
-// at a time.
+// applyInstance applies the planner's state of one instance as of a time.
 func (o *owner) applyInstance(u InstanceUpdate, at, now time.Time) {
 	id := u.Instance.ID
 	k, known := o.fleet.instances[id]
 	switch {
 	case !known && o.fleet.hasEnded(u.Instance):
 	case !known:
-		// No entry of it was seen: word that it is gone holds, whenever it was read.
+		// The instance was not known, so that its loss applies whenever it was found.
 		k = &knownInstance{UpstreamInstance: u.Instance, stateAt: at, bornKnownAt: at}
 		if u.Lost {
 			k.lostSince = now
@@ -121,8 +119,8 @@
 		o.fleet.instances[id], o.fleet.listStale = k, true
 	case !o.observeIncarnation(k, u.Instance.Born, at):
 	case at.Before(k.stateAt):
-		// Something newer is known of its group. That it leaves is told by its entry, which
-		// may be newer all the same.
+		// A newer state of the instance's group is known. Leaving is taken from its entry, which
+		// may still be newer.
 		o.markLeaving(k, u.Instance.Draining, now.Sub(at))
 	default:
 		o.markLeaving(k, u.Instance.Draining, now.Sub(at))
@@ -137,7 +135,7 @@
 	}
 }
 
-// noteGone takes in that an instance's entry went, unless it was written again since.
+// applyGone handles the removal of an entry, unless the entry was written again since.
 func (o *owner) applyGone(u InstanceUpdate, m updateReceived, now time.Time) {
 	id := u.Instance.ID
 	k, known := o.fleet.instances[id]
@@ -151,7 +149,7 @@
 	}
 }
 
-// missingSince is since when the store lacks the instance's entry.
+// missingSince returns since when a restored store has lacked the instance's entry.
 func (u InstanceUpdate) missingSince(now time.Time) time.Time {
 	if u.Missing == 0 {
 		return time.Time{}
@@ -159,8 +157,7 @@
 	return now.Add(-u.Missing)
 }
 
-// noteLeaving takes in whether others know that an instance leaves. Who does, does not
-// come back in this life.
+// markLeaving marks an instance as leaving. It stays so for the rest of its incarnation.
 func (o *owner) markLeaving(k *knownInstance, leaving bool, age time.Duration) {
 	if k.Draining || !leaving {
 		return
@@ -170,7 +167,8 @@
 	o.fleet.listStale = true
 }
 
-// fedLately reports whether all instances were told as of late, and none missed since.
+// hasFreshUpdates reports whether updates cover all instances as of recently, with none missed
+// since.
 func (n *Node) hasFreshUpdates() bool { return n.updatedWithin(updateTimeout) }
 
 func (n *Node) updatedWithin(d time.Duration) bool {
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -8,56 +8,55 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// View is what a node believed at one moment. It is never changed.
+// View is an immutable snapshot of a node's state.
 type View struct {
 	Routing *models.Routing
-	// Proven is when the routing was last known to be the newest.
+	// Proven is the time as of which Routing was last confirmed to be the newest.
 	Proven time.Time
-	// Groups are the replica groups that take requests, by model.
+	// Groups are the replica groups that accept requests, by model.
 	Groups map[models.ModelName][]Group
-	// Services are the instances of plain services that take requests.
+	// Services are the instances of plain services that accept requests.
 	Services map[models.ServiceName][]models.UpstreamInstance
-	// Suspects are heads that this or another daemon found to stand still.
+	// Suspects are the heads that this or another daemon found stalled.
 	Suspects map[models.InstanceID]bool
-	// Daemons is the number of daemons, this one among them; 0 until the roster was
-	// read or another daemon told.
+	// Daemons is the number of daemons, including this one; 0 until the roster has been read or
+	// another daemon has sent a heartbeat.
 	Daemons int
 	Term    int64
-	// Planner tells that this node plans the groups.
+	// Planner is set if this node is the planner.
 	Planner bool
-	// All are the instances, as they were when the last one came, went or was about
-	// to leave: where they are and what they are of does not change.
+	// All are all instances, as of the last time that one was added, removed or began to leave. It
+	// is valid for fields that do not change in an instance's life, such as address and service.
 	All map[models.InstanceID]models.UpstreamInstance
-	// Arranged is whom this node tells what.
+	// Arranged is the topology: the daemons to which this node sends, and what.
 	Arranged *membership.Arrangement
 
-	// config is the routing as the store holds it, stalled what this node
-	// itself found to stand still.
+	// config is the encoded routing as the store holds it.
 	config []byte
-	// wants is the daemon to be asked for its configuration, wantedBy those
-	// that ask this one.
+	// configSource is the daemon to be asked for its configuration, configRequesters are those that
+	// ask this node.
 	configSource     models.DaemonID
 	configRequesters map[models.DaemonID]bool
-	// zoneWork is what this node tells other zones of the work of its own, if it is
-	// a relay.
+	// zoneWork is the demand of this node's zone that it sends to other zones, if it is a relay.
 	zoneWork map[models.ModelName]float32
-	// hears tells that the heartbeats of another daemon come.
+	// hasPeers is set while heartbeats of other daemons arrive.
 	hasPeers bool
-	// behind tells that another daemon has had a newer configuration for long.
+	// configBehind is set if another daemon has had a newer configuration for longer than
+	// configFetchDelay.
 	configBehind bool
-	// mayPlan tells that this node is one of those that may plan, candidate
-	// that it is to ask for the planner's lease.
+	// eligible is set if this node may become planner, candidate if it should ask the store for
+	// the planner's lease now. stalled are the heads that this node itself found stalled.
 	eligible  bool
 	candidate bool
 	stalled   []StalledHead
-	// granters is where the daemons are reached that grant permits, votes what this node
-	// tells them, shares what it grants itself, by zone of the instances.
+	// granters are the addresses of the daemons that grant permits, votes what this node sends them
+	// in heartbeats, shares the part of each limit that it grants itself, by zone of the instances.
 	granters map[models.DaemonID]netip.AddrPort
 	votes    map[models.DaemonID]map[models.Zone]int
 	shares   map[models.Zone]float64
 }
 
-// version is that of the configuration in force, 0 if there is none.
+// version returns the version of the configuration in force, 0 if there is none.
 func (v *View) version() int64 {
 	if v.Routing == nil {
 		return 0
@@ -65,11 +64,11 @@
 	return v.Routing.Version
 }
 
-// mesh tells that each daemon tells every other one of itself.
+// mesh reports whether each daemon sends to every other one directly, without relays.
 func (v *View) mesh() bool { return v.Arranged == nil || v.Arranged.Mesh }
 
-// Sharers is how many daemons choose among the same groups by the same word of
-// loads, this one among them.
+// Sharers returns the number of daemons that choose groups by the same load totals, including this
+// one.
 func (v *View) Sharers() int {
 	if v.mesh() {
 		return 1
@@ -77,7 +76,7 @@
 	return v.Arranged.Zone
 }
 
-// LoadsAge is about how old what is known of other daemons' loads is.
+// LoadsAge returns the typical age of other daemons' loads.
 func (v *View) LoadsAge() time.Duration {
 	if v.mesh() {
 		return 0
@@ -85,7 +84,7 @@
 	return typicalTotalsAge
 }
 
-// Group is a replica group that takes requests.
+// Group is a replica group that accepts requests.
 type Group struct {
 	Key     models.GroupKey
 	Model   models.ModelName
--- a/cluster/wire.go
+++ b/cluster/wire.go
@@ -12,83 +12,81 @@
 	frameHeartbeat frame.Kind = iota + 1
 	frameConfig
 	frameUpdate
-	// frameLoads holds news of nothing but loads.
+	// frameLoads holds an update that contains loads only.
 	frameLoads
-	// frameAsk asks for a permit, frameGrant answers on the same connection.
+	// framePermitRequest asks for a permit; framePermitReply answers on the same connection.
 	framePermitRequest
 	framePermitReply
 )
 
-// frameNames name the kinds of frames in the metrics.
+// frameNames are the names of the frame kinds in metrics.
 var frameNames = map[frame.Kind]string{
 	frameHeartbeat: "heartbeats", frameConfig: "configurations", frameUpdate: "instances", frameLoads: "loads",
 	framePermitRequest: "permits", framePermitReply: "permits",
 }
 
-// Heartbeat is what a daemon tells every other one. The first on a connection
-// tells all; later ones leave out what does not change while a daemon runs.
+// Heartbeat is the periodic message from each daemon to its peers. The first one on a connection is
+// complete; later ones omit fields that do not change while a daemon runs.
 type Heartbeat struct {
 	From        models.DaemonID `msgpack:"id,omitempty"`
 	Incarnation int64           `msgpack:"in,omitempty"`
-	// Addr is where the daemon listens for others, so that one that hears of
-	// it for the first time can answer.
+	// Addr is the address at which the sender accepts connections of daemons, so that a receiver
+	// that does not know it yet can connect.
 	Addr string      `msgpack:"ad,omitempty"`
 	Zone models.Zone `msgpack:"z,omitempty"`
-	// Power is the part of a core that the daemon may use.
+	// Power is the number of processor cores that the daemon may use.
 	Power float64 `msgpack:"p,omitempty"`
-	// Unpacks tells that the daemon reads compressed frames.
+	// AcceptsCompressed is set if the daemon reads compressed frames.
 	AcceptsCompressed bool `msgpack:"up,omitempty"`
-	// ConfigVersion is the version in force, ConfigAge how long ago it was
-	// known to be the newest.
+	// ConfigVersion is the version of the configuration in force, ConfigAge the time since it was
+	// last confirmed to be the newest.
 	ConfigVersion int64         `msgpack:"cv,omitempty"`
 	ConfigAge     time.Duration `msgpack:"ca,omitempty"`
-	// Term is that of the planner that the daemon believes in.
+	// Term is the newest planner term that the sender knows of.
 	Term int64 `msgpack:"t,omitempty"`
-	// Plans tells that the sender plans: a sign of life for those who would take over,
-	// also while what it does keeps it from telling news.
+	// IsPlanner is set if the sender is the planner. It keeps other daemons from starting an
+	// election while the planner is too busy to broadcast updates.
 	IsPlanner bool `msgpack:"pl,omitempty"`
-	// Wants names a daemon that is to hand its configuration over, since it
-	// has a newer one.
+	// ConfigSource is the daemon that is asked to send its configuration because it has a newer
+	// one.
 	ConfigSource models.DaemonID `msgpack:"w2,omitempty"`
-	// Every is how often the sender tells the receiver of itself, zero for
-	// heartbeatEvery.
+	// Interval is the sender's heartbeat interval to the receiver; 0 stands for heartbeatInterval.
 	Interval time.Duration `msgpack:"ev,omitempty"`
-	// Relies tells that the sender takes the receiver for a relay, RelaysFirst
-	// that it uses the receiver's word of loads.
+	// UsesRelay is set if the sender uses the receiver as a relay, UsesPrimaryRelay if it uses the
+	// receiver as its primary relay, whose load totals it applies.
 	UsesRelay        bool `msgpack:"rl,omitempty"`
 	UsesPrimaryRelay bool `msgpack:"rf,omitempty"`
-	// Size is how many daemons the sender knows of, itself among them.
+	// Size is the number of daemons that the sender knows of, including itself.
 	Size int `msgpack:"sz,omitempty"`
-	// Missed tells that the sender missed news of the planner, and wants the
-	// receiver, its relay, to tell all that it knows of instances.
+	// MissedUpdates is set if the sender missed updates of the planner and asks the receiver, its
+	// relay, for a snapshot of all instances.
 	MissedUpdates bool `msgpack:"ms,omitempty"`
-	// EntriesAge is how long ago the sender knew all entries of instances; an older
-	// program leaves it out.
+	// EntriesAge is the time since the sender last knew all entries of instances. Older versions
+	// omit it.
 	EntriesAge time.Duration `msgpack:"ea,omitempty"`
-	// Era is the highest of the store that the sender knows of.
+	// Era is the highest store era that the sender has seen.
 	Era int64 `msgpack:"er,omitempty"`
-	// Stalled are heads at which nothing moves.
+	// Stalled are the heads that the sender found stalled.
 	Stalled []StalledHead `msgpack:"s,omitempty"`
-	// Work is what the daemon's callers ask of each model, in seconds of a
-	// replica group for each second.
+	// Work is the demand of the sender's callers for each model, in group-seconds per second.
 	Work map[models.ModelName]float32 `msgpack:"w,omitempty"`
-	// ZoneWork is the same of all daemons of the sender's zone. Relays tell it
-	// those of other zones.
+	// ZoneWork is the total Work of all daemons in the sender's zone. Relays send it to relays of
+	// other zones.
 	ZoneWork map[models.ModelName]float32 `msgpack:"zw,omitempty"`
-	// Grants is for how many daemons the sender asks the receiver for permits, by zone of
-	// the instances, Granters who grants permits by what the sender, a relay, knows. Both
-	// are told while instances name limits.
+	// Grants is the number of daemons, by zone of the instances, on whose behalf the sender takes
+	// the receiver for the granter of permits. Granters are the granters as the sender, a relay,
+	// knows them. Both are sent only while some instance has a rate limit.
 	Grants   map[models.Zone]int             `msgpack:"gr,omitempty"`
 	Granters map[models.Zone]models.DaemonID `msgpack:"gs,omitempty"`
 }
 
-// short leaves out what the first heartbeat on a connection told for good.
+// abbreviated omits the fields that the first heartbeat on a connection has sent.
 func (b Heartbeat) abbreviated() Heartbeat {
 	b.From, b.Incarnation, b.Addr, b.Zone, b.Power, b.AcceptsCompressed = "", 0, "", "", 0, false
 	return b
 }
 
-// completed is the heartbeat with what the first one on its connection told.
+// completed fills in the fields that the first heartbeat on the connection sent.
 func (b Heartbeat) completed(first Heartbeat) Heartbeat {
 	if b.From == "" {
 		b.From, b.Incarnation, b.Addr, b.Zone = first.From, first.Incarnation, first.Addr, first.Zone
@@ -97,109 +95,107 @@
 	return b
 }
 
-// StalledHead names a head at which nothing moves.
+// StalledHead identifies the head of a stalled group.
 type StalledHead struct {
 	Group models.GroupKey   `msgpack:"g"`
 	Head  models.InstanceID `msgpack:"h"`
 }
 
-// ConfigCopy is a configuration handed from one daemon to another.
+// ConfigCopy is a configuration sent from one daemon to another.
 type ConfigCopy struct {
 	Version int64         `msgpack:"v"`
 	Age     time.Duration `msgpack:"a"`
 	Data    []byte        `msgpack:"d"`
 }
 
-// rosterEntry is what a daemon writes of itself into the store.
+// rosterEntry is a daemon's own record in the store's roster.
 type rosterEntry struct {
 	Zone        models.Zone `msgpack:"z"`
 	Addr        string      `msgpack:"a"`
 	Incarnation int64       `msgpack:"i"`
-	// Power is the part of a core that the daemon may use.
+	// Power is the number of processor cores that the daemon may use.
 	Power float64 `msgpack:"p"`
-	// Unpacks tells that the daemon reads compressed frames.
+	// AcceptsCompressed is set if the daemon reads compressed frames.
 	AcceptsCompressed bool `msgpack:"up,omitempty"`
 }
 
-// loadsOf tells whose loads a message holds.
+// loadScope is the set of daemons whose loads a message holds.
 type loadScope uint8
 
 const (
-	// loadsOfOne are those of the daemon that tells them.
+	// scopeDaemon: the loads of the sender.
 	scopeDaemon loadScope = iota
-	// loadsOfZone are those of all daemons of its zone.
+	// scopeZone: the total over all daemons of the sender's zone.
 	scopeZone
-	// loadsOfAll are those of all daemons, the receiver among them.
+	// scopeCluster: the total over all daemons, including the receiver.
 	scopeCluster
 )
 
-// Load is what an instance has to do for one daemon, or for several.
+// Load is the load of one or several daemons on an instance.
 type Load struct {
-	// Requests counts those under way, Unread the prompt tokens of those
-	// that have had no answer yet.
+	// Requests is the number of requests in flight, Unread the number of prompt tokens of requests
+	// that have no answer yet.
 	Requests int `msgpack:"r,omitempty"`
 	Unread   int `msgpack:"u,omitempty"`
 }
 
-// News is what a daemon tells others besides its heartbeats: its loads, the
-// heads that stand still, of instances that crashed, name a limit or ask for something, and
-// of all if it plans. Each message holds one of the six.
+// Update is any message between daemons that is not a heartbeat. Each one holds one of: loads,
+// stalled heads, crashes, rate limits, signals, or, from the planner or a relay, instances.
 type Update struct {
-	// From may be empty: then it is the daemon, and its incarnation, that the
-	// heartbeats on the connection tell.
+	// From is empty if the sender is the daemon, in the incarnation, that sends the heartbeats on
+	// the connection.
 	From models.DaemonID `msgpack:"id,omitempty"`
-	// Incarnation and Change number the state of the loads that is told: what
-	// comes by way of another daemon may come after something newer.
+	// Incarnation and LoadsVersion order the states of a daemon's loads. A message that comes by
+	// way of another daemon may arrive after a newer one.
 	Incarnation  int64  `msgpack:"in,omitempty"`
 	LoadsVersion uint64 `msgpack:"c,omitempty"`
-	// Spread asks the receiver to pass the news on to its zone and to the relays
-	// of the others: the sender is no relay.
+	// Forward asks the receiver, a relay, to forward the update to its zone and to the relays of
+	// other zones. Senders that are no relays set it.
 	Forward bool `msgpack:"sp,omitempty"`
-	// All tells that there are no loads but these, Of whose they are.
+	// Full is set if loads that are not listed are zero. Scope tells whose loads they are.
 	Full  bool                       `msgpack:"a,omitempty"`
 	Scope loadScope                  `msgpack:"of,omitempty"`
 	Loads map[models.InstanceID]Load `msgpack:"l,omitempty"`
-	// Stalled are heads that the daemon just found to stand still.
+	// Stalled are heads that the sender has just found stalled.
 	Stalled []StalledHead `msgpack:"s,omitempty"`
-	// Instances are told by the daemon that plans, in its term. Feed counts
-	// such news, so that a daemon knows when it missed some.
+	// Instances are changes that the planner broadcasts in its term. Seq numbers the broadcasts, so
+	// that receivers detect missed ones.
 	Term      int64            `msgpack:"t,omitempty"`
 	Seq       int64            `msgpack:"f,omitempty"`
 	Instances []InstanceUpdate `msgpack:"n,omitempty"`
-	// Entries tells which of the store's records of instances are told by now. An older
-	// program leaves it out.
+	// Entries is the range of the store's entry records that the update covers. Older versions omit
+	// it.
 	Entries *EntriesRange `msgpack:"en,omitempty"`
-	// Whole tells that there are no instances but these. A relay tells so what it
-	// knows, as of the planner's news with this number.
+	// Snapshot is set if Instances lists all instances. A relay sends it; Seq is then the planner's
+	// newest update that it includes.
 	Snapshot bool `msgpack:"wh,omitempty"`
-	// Ended tells that the daemon plans no more.
+	// TermEnded is set if the planner gives up its term.
 	TermEnded bool `msgpack:"e,omitempty"`
-	// Crashes are instances that ended with requests on them.
+	// Crashes are instances that crashed with requests in flight.
 	Crashes []CrashUpdate `msgpack:"cr,omitempty"`
-	// Limits are what instances told of the requests a second that they take.
+	// Limits are rate limits that instances named in answers.
 	Limits []LimitUpdate `msgpack:"lm,omitempty"`
-	// Signals are what instances asked for in their answers.
+	// Signals are backoff and leaving signals from instances' answers.
 	Signals []SignalUpdate `msgpack:"sg,omitempty"`
 }
 
-// EntriesTold tells that all changes by the store's records of instances between two
-// places are told.
+// EntriesRange is a range of the store's entry records, all of whose changes an update covers.
 type EntriesRange struct {
 	Since models.Position `msgpack:"s"`
 	End   models.Position `msgpack:"e"`
-	// Age is how long ago the store held no records behind End.
+	// Age is the time since the store held no records behind End.
 	Age time.Duration `msgpack:"a,omitempty"`
 }
 
-// InstanceNews is what the daemon that plans has learned of an instance.
+// InstanceUpdate is the state of an instance as the planner or a relay knows it.
 type InstanceUpdate struct {
 	Instance models.UpstreamInstance `msgpack:"i"`
-	// Age is how long ago it was so.
+	// Age is the time since the instance had this state.
 	Age time.Duration `msgpack:"a,omitempty"`
-	// Lost tells that the instance does not answer, Gone that its entry went.
+	// Lost is set if the instance does not answer, Gone if its entry was removed.
 	Lost bool `msgpack:"l,omitempty"`
 	Gone bool `msgpack:"g,omitempty"`
-	// Missing is for how long a store that came back from a copy lacks its entry, zero if
-	// it has one.
+	// Missing is the time for which a restored store has lacked the instance's entry; 0 if the
+	// store has it.
 	Missing time.Duration `msgpack:"m,omitempty"`
 }
--- a/cluster/work.go
+++ b/cluster/work.go
@@ -6,11 +6,10 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// What callers ask of each model, in seconds of a replica group for each second, is
-// summed by zone, for the daemon that plans.
+// The demand for each model, in group-seconds per second, is summed up by zone for the planner.
 
-// work sums what the callers of all daemons ask of each model. What those of other
-// zones ask is told by the first relay of each that is heard.
+// work returns the demand of all daemons' callers for each model. The demand of another zone comes
+// from the first of its relays that sends it.
 func (o *owner) work() map[models.ModelName]float64 {
 	sum := o.zoneWork()
 	if o.peers.topology.Mesh {
@@ -28,8 +27,8 @@
 	return sum
 }
 
-// zoneWork sums what the callers of the daemons of this one's zone ask of each
-// model; in a mesh, of all daemons.
+// zoneWork returns the demand of the callers of this zone's daemons for each model; in a mesh, of
+// all daemons.
 func (o *owner) zoneWork() map[models.ModelName]float64 {
 	sum := maps.Clone(o.n.traffic.Work())
 	if sum == nil {
@@ -49,7 +48,7 @@
 	}
 }
 
-// shownZoneWork is what this daemon tells of its zone, as a relay.
+// zoneWorkUpdate returns the zone's demand to be sent to other zones, if this daemon is a relay.
 func (o *owner) zoneWorkUpdate() map[models.ModelName]float32 {
 	if o.peers.topology.Mesh || !o.peers.topology.Relay {
 		return nil
