--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// largeOwner is an owner that knows so many instances, and as many daemons as the
-// users' large deployment has.
+// largeOwner returns an owner with a number of instances, and with as many daemons as the largest
+// production cluster.
 func largeOwner(b *testing.B, instances int) *owner {
 	n := New(Settings{ID: "d1", Zone: "z1", InstanceHeartbeat: time.Second, LeaseMin: time.Second}, noTraffic{}, metrics.NewSet(), zerolog.Nop())
 	o := newOwner(n)
--- a/cluster/breakers_test.go
+++ b/cluster/breakers_test.go
@@ -11,9 +11,9 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// An instance says to one daemon that it leaves, and asks it for rest. All know soon that it
-// leaves, also those that start later; the rest binds the one alone, and the others take the
-// instance for busy.
+// TestSignalPropagation checks that an instance's signals to one daemon reach all daemons,
+// including those that start later. A leaving signal applies to all. A backoff request applies to
+// the daemon that received it, and the others regard the instance as busy.
 func TestSignalPropagation(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -30,10 +30,10 @@
 			knows := func(p *testPeer) bool {
 				return errors.Is(p.breakers.Blocks(leaving), breaker.ErrLeaving) && p.breakers.IsBusy(backingOff)
 			}
-			took := waitAll(c, peers, propagationTimeout, "told", knows)
+			took := waitAll(c, peers, propagationTimeout, "aware of the signals", knows)
 			t.Logf("all %d know after %v", test.daemons, took.Round(time.Millisecond))
 			late := startNth(t, test.daemons, test.zones, peers)
-			waitAll(c, []*testPeer{late}, discoveryTimeout, "told at its start", knows)
+			waitAll(c, []*testPeer{late}, discoveryTimeout, "aware of the signals after its start", knows)
 			for _, p := range append(peers, late) {
 				c.Assert(p.breakers.Blocks(backingOff) == nil, qt.Equals, p != observer)
 			}
@@ -41,7 +41,8 @@
 	}
 }
 
-// The planner does not take groups whose heads rest for idle, nor for lost.
+// TestWithheldSlotsDuringBackoff checks that the planner counts a group whose head backs off
+// neither as idle nor as lost.
 func TestWithheldSlotsDuringBackoff(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -61,7 +62,8 @@
 	c.Assert(o.fleet.serving(time.Now())["m"], qt.HasLen, 2)
 }
 
-// An instance that rests is asked for one report, and for more after the rest.
+// TestProbesDuringBackoff checks that an instance that backs off is probed once, and again
+// afterwards.
 func TestProbesDuringBackoff(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
--- a/cluster/candidacy_test.go
+++ b/cluster/candidacy_test.go
@@ -11,7 +11,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// newRunningOwner is an owner that has run for some time.
+// newRunningOwner returns an owner with an uptime.
 func newRunningOwner(t *testing.T, id models.DaemonID, power float64, running time.Duration) *owner {
 	o := newTestOwner(t)
 	o.n.cfg.ID, o.n.cfg.Power, o.n.started = id, power, time.Now().Add(-running).UnixNano()
@@ -19,10 +19,9 @@
 	return o
 }
 
-// TestWhoAsks checks which daemons ask for the planner's lease, and when: the
-// store deals it anew for each one that asks beside its holder. With 61 daemons
-// that were restarted one after the other the planner changed seven times in
-// 34 s.
+// TestCandidacy checks which daemons ask for the planner's lease, and when. The store reassigns the
+// lease for each daemon that asks besides its holder: when 61 daemons were restarted one by one,
+// the planner changed seven times in 34 s.
 func TestCandidacy(t *testing.T) {
 	c := qt.New(t)
 	var o *owner
@@ -43,60 +42,60 @@
 
 	start("first", 0.4, peerDiscoveryDelay)
 	addPeers(0, 0.2, 0.2)
-	c.Assert(isCandidate(), qt.IsTrue, qt.Commentf("all have just started, none plans"))
+	c.Assert(isCandidate(), qt.IsTrue, qt.Commentf("all have just started, there is no planner"))
 	start("third", 0.1, peerDiscoveryDelay)
 	addPeers(0, 0.2, 0.2)
-	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("two come before this one"))
+	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("two are ranked ahead"))
 	start("third", 0.1, peerDiscoveryDelay+2*electionStagger)
 	addPeers(0, 0.2, 0.2)
-	c.Assert(isCandidate(), qt.IsTrue, qt.Commentf("and did not begin to plan"))
+	c.Assert(isCandidate(), qt.IsTrue, qt.Commentf("they did not become planner"))
 
 	start("first", 0.4, 0)
 	addPeers(5, 0.2, 0.2)
-	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("one plans"))
+	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("there is a planner"))
 	start("first", 0.4, plannerDiscoveryTimeout)
 	addPeers(5, 0.2, 0.2)
-	c.Assert(isCandidate(), qt.IsTrue, qt.Commentf("one planned and is not heard"))
+	c.Assert(isCandidate(), qt.IsTrue, qt.Commentf("there was a planner, but no sign of it"))
 	setPlannerSeen(0)
-	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("one plans, the standing is not known yet"))
+	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("there is a planner, and the rank is not known yet"))
 
 	start("first", 0.4, time.Minute)
 	addPeers(5, 0.2, 0.2)
 	setPlannerSeen(0)
-	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("one plans"))
+	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("there is a planner"))
 	setPlannerSeen(electionTimeout)
 	c.Assert(isCandidate(), qt.IsTrue)
 	start("third", 0.1, time.Minute)
 	addPeers(5, 0.2, 0.2)
 	setPlannerSeen(electionTimeout + electionStagger)
-	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("two come before this one"))
+	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("two are ranked ahead"))
 	setPlannerSeen(electionTimeout + 2*electionStagger)
 	c.Assert(isCandidate(), qt.IsTrue)
 
 	start("weak", 0.4, time.Minute)
 	addPeers(5, 0.8, 0.8, 0.8)
 	setPlannerSeen(electionTimeout + 3*electionStagger)
-	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("others have more processor"))
+	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("others are stronger"))
 	setPlannerSeen(weakElectionTimeout + 3*electionStagger)
-	c.Assert(isCandidate(), qt.IsTrue, qt.Commentf("nobody else does"))
+	c.Assert(isCandidate(), qt.IsTrue, qt.Commentf("no other daemon took over"))
 	o.handleLease(leaseHeld{term: 6, until: time.Now().Add(time.Minute)})
-	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("those with more processor come first"))
+	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("stronger daemons take precedence"))
 
 	start("equal", 0.2, time.Minute)
 	addPeers(5, 0.2, 0.2, 0.2, 0.2)
 	o.handleLease(leaseHeld{term: 6, until: time.Now().Add(time.Minute)})
-	c.Assert(isCandidate(), qt.IsTrue, qt.Commentf("one of equals that plans goes on"))
+	c.Assert(isCandidate(), qt.IsTrue, qt.Commentf("a planner among equals continues"))
 	o.n.StandAside()
-	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("it is about to stop"))
+	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("it has resigned"))
 
 	start("tenth", 0.05, time.Minute)
 	addPeers(5, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1)
 	setPlannerSeen(time.Minute)
-	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("nine come before it"))
+	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("nine are ranked ahead"))
 }
 
-// TestWhoMayPlan checks that where there are many daemons only relays ask for the
-// lease: news of a planner goes out by them, and each knows its standing.
+// TestOnlyRelaysAreEligible checks that unless daemons form a mesh, only relays ask for the lease:
+// updates reach everyone through them, and each knows its rank.
 func TestOnlyRelaysAreEligible(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
@@ -118,8 +117,8 @@
 	}
 }
 
-// TestEndIsTold checks that the others need not wait to take over from a daemon
-// that tells that it plans no more, and that it does not ask at once again.
+// TestElectionAfterTermEnd checks that other daemons take over at once when a planner announces the
+// end of its term, and that this planner does not ask for the lease at once again.
 func TestElectionAfterTermEnd(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -127,11 +126,11 @@
 	o.handleUpdate(updateReceived{term: 5, seq: 1, receivedAt: time.Now()})
 	c.Assert(o.isCandidate(time.Now()), qt.IsFalse)
 	o.handleUpdate(updateReceived{term: 4, termEnded: true, receivedAt: time.Now()})
-	c.Assert(o.isCandidate(time.Now()), qt.IsFalse, qt.Commentf("a newer one plans"))
+	c.Assert(o.isCandidate(time.Now()), qt.IsFalse, qt.Commentf("there is a planner of a newer term"))
 	o.handleUpdate(updateReceived{term: 5, termEnded: true, receivedAt: time.Now()})
 	c.Assert(o.isCandidate(time.Now()), qt.IsTrue)
 
 	o.handleLease(leaseHeld{term: 6, until: time.Now().Add(time.Minute)})
-	o.stopPlanning("dealt to another")
+	o.stopPlanning("assigned to another daemon")
 	c.Assert(o.isCandidate(time.Now()), qt.IsFalse)
 }
--- a/cluster/config_test.go
+++ b/cluster/config_test.go
@@ -9,9 +9,9 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestConfigIsHandedOverOnDemand checks that a daemon asks one other for a
-// newer configuration, once its own reading had time to bring it. Handed over
-// unasked, every version went from each of 61 daemons to each other one.
+// TestConfigSentOnRequest checks that a daemon requests a newer configuration from one peer, once
+// its own read had time to return it. When daemons sent it unrequested, each of 61 sent every
+// version to each other one.
 func TestConfigSentOnRequest(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -34,8 +34,7 @@
 	c.Assert(o.n.View().configRequesters["d2"], qt.IsTrue)
 }
 
-// TestConfigNeverGoesBack checks that an older or unreadable configuration
-// changes nothing.
+// TestConfigNeverRegresses checks that an older or undecodable configuration changes nothing.
 func TestConfigNeverRegresses(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
--- a/cluster/config_watch.go
+++ b/cluster/config_watch.go
@@ -102,7 +102,7 @@
 }
 
 // errConfirmationLate cancels a long poll because a confirmation is due.
-var errConfirmationLate = errors.New("the proof of another daemon is late")
+var errConfirmationLate = errors.New("the confirmation from other daemons is late")
 
 // guardConfirmation returns a context that ends once a long poll has to be aborted for a short
 // read.
--- a/cluster/config_watch_test.go
+++ b/cluster/config_watch_test.go
@@ -11,11 +11,10 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// crowd makes the owner know of so many other daemons, which have a
-// configuration that they can't prove to be the newest.
+// addPeers adds a number of daemons, whose configuration has not been confirmed recently.
 func addPeers(o *owner, n int, version int64) { addPeersWithInterval(o, n, version, heartbeatInterval) }
 
-// crowdEvery is crowd where the others tell of themselves so often.
+// addPeersWithInterval is addPeers with a heartbeat interval.
 func addPeersWithInterval(o *owner, n int, version int64, interval time.Duration) {
 	for i := range n {
 		heartbeat := Heartbeat{
@@ -27,10 +26,9 @@
 	o.publish()
 }
 
-// TestWhoReads checks that where there are many daemons only those that may
-// plan read the configuration ahead: with 61 that all did, a day with trouble
-// took 2,400 readings. The others read once they hear of a newer version, or of
-// nobody who knows that theirs is still the newest.
+// TestWhoReadsConfig checks that unless daemons form a mesh, only those eligible as planner keep
+// reading the configuration. When all 61 did, they made 2,400 reads in a day with failures. The
+// others read it when a peer has a newer version, or when no peer confirms theirs.
 func TestWhoReadsConfig(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -46,7 +44,7 @@
 	c.Assert(o.n.View().configBehind, qt.IsFalse)
 
 	addPeers(o, 1, 8)
-	c.Assert(o.n.View().configBehind, qt.IsFalse, qt.Commentf("it is asked for it first"))
+	c.Assert(o.n.View().configBehind, qt.IsFalse, qt.Commentf("it is requested from the peer first"))
 	c.Assert(o.n.View().configSource, qt.Equals, models.DaemonID("peer-0"))
 	o.peers.configBehindSince = now.Add(-2 * configFetchDelay)
 	o.publish()
@@ -61,5 +59,5 @@
 	o.n.cfg.Power = 2
 	o.peers.roster = membership.NewRoster(membership.Daemon{ID: "d1", Power: 2}, membership.DefaultPolicy())
 	addPeers(o, meshLimit+1, 7)
-	c.Assert(o.n.usesRelay(), qt.IsFalse, qt.Commentf("it may plan"))
+	c.Assert(o.n.usesRelay(), qt.IsFalse, qt.Commentf("it is eligible as planner"))
 }
--- a/cluster/demand_test.go
+++ b/cluster/demand_test.go
@@ -8,7 +8,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestPlacesUnderLimits checks that a limit that does not bind withholds nothing.
+// TestUsableSlots checks that a rate limit that is not reached withholds no slots.
 func TestUsableSlots(t *testing.T) {
 	c := qt.New(t)
 	engine := &models.EngineProfile{Slots: 10}
--- a/cluster/entries_progress_property_test.go
+++ b/cluster/entries_progress_property_test.go
@@ -13,25 +13,25 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// knownSeeds are how many histories TestKnownEntriesHold makes up, knownSteps how many
-// steps each has.
+// historySeeds is the number of histories in TestEntriesProgressProperty, historySteps the length
+// of each.
 const (
 	historySeeds = 2000
 	historySteps = 60
 )
 
-// knownRegressions are later seeds that once failed, with the cause.
+// regressionSeeds are seeds beyond historySeeds that failed once, with the cause.
 var regressionSeeds = []uint64{
-	2438,  // what was to be told in an earlier term was told in the next
-	4171,  // word that an entry went lost against a reading asked earlier and handled later
-	60915, // what came and went between two whole readings of a planner was never told
+	2438,  // updates queued in an earlier term were broadcast in the next
+	4171,  // a read requested before an entry's removal, and handled after it, restored the entry
+	60915, // instances added and removed between two snapshots of a planner were never broadcast
 }
 
-// TestKnownEntriesHold makes up histories of four daemons, of which two plan by turns, and
-// checks after each step that none takes what it knows of entries for newer than it is:
-// as of the time that it claims, it uses no instance that had said that it leaves by then,
-// and none whose entry had gone. News are lost, held up and overtaken, readings come late,
-// and the store comes back from copies.
+// TestEntriesProgressProperty generates random histories of four daemons, two of which may become
+// planner, and checks after each step that no daemon claims to know entries as of a later time than
+// it does: it must not use an instance that had signaled leaving, or whose entry had been removed,
+// before that time. Updates are lost, delayed and reordered, reads are late, and the store is
+// restored from backups.
 func TestEntriesProgressProperty(t *testing.T) {
 	seeds := regressionSeeds
 	for seed := range uint64(historySeeds) {
@@ -57,18 +57,18 @@
 	}
 }
 
-// knownHistory is a script that is made up.
+// randomHistory is a generated script.
 type randomHistory struct {
 	*progressScript
 	random *rand.Rand
 	steps  []string
-	// made counts the instances, term the terms, planner is who plans.
+	// instances counts the created instances, term the terms. planner is the current planner.
 	instances int
 	term      int
 	planner   string
-	// ended is when an instance said that it leaves, or its entry went, in this era.
+	// ended is when an instance signaled leaving, or its entry was removed, in this era.
 	ended map[string]time.Time
-	// savedEnded are those of the copy.
+	// savedEnded is ended as of the backup.
 	savedEnded map[string]time.Time
 }
 
@@ -82,7 +82,7 @@
 
 func (h *randomHistory) daemon() string { return string("abcd"[h.random.IntN(4)]) }
 
-// next makes up a step.
+// nextStep generates a step.
 func (h *randomHistory) nextStep() string {
 	d := h.daemon()
 	switch h.random.IntN(14) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// end has an instance leave or be gone.
+// endInstance makes an instance leave, or removes its entry.
 func (h *randomHistory) endInstance(format string) string {
 	if h.instances == 0 {
 		return "wait 1ms"
@@ -151,7 +151,7 @@
 	return "restore"
 }
 
-// check returns what a daemon uses though it claims to know better.
+// check returns a description of an instance that a daemon wrongly uses, empty if there is none.
 func (h *randomHistory) check() string {
 	for name, o := range h.owners {
 		if o.fleet.entries.end.Era < h.era {
@@ -160,11 +160,11 @@
 		for id, at := range h.ended {
 			k := o.fleet.instances[models.InstanceID(id)]
 			if k != nil && !k.missingSince.IsZero() {
-				// A store that came back lacks it: it is kept for a while on purpose.
+				// A restored store lacks it; the daemon keeps it for restoreGrace.
 				continue
 			}
 			if k != nil && k.usable() && o.fleet.entries.currentAt.After(at) {
-				return fmt.Sprintf("%s uses %s, ended %v before what it claims to know", name, id, o.fleet.entries.currentAt.Sub(at))
+				return fmt.Sprintf("%s uses %s, which ended %v before the time as of which it claims to know all entries", name, id, o.fleet.entries.currentAt.Sub(at))
 			}
 		}
 	}
--- a/cluster/entries_progress_test.go
+++ b/cluster/entries_progress_test.go
@@ -22,42 +22,42 @@
 	"github.com/lupinkeel/lupinkeel/platform"
 )
 
-// TestKnownEntries runs the scripts of testdata/known: what daemons know of a store's
-// entries of instances, by reading, by the planner's news, and by a relay's answer.
+// TestEntriesProgress runs the scripts of testdata/known. They check what daemons know of the
+// store's entries from reads, from the planner's updates and from a relay's snapshots.
 //
-// In relay_cut_off, requests reached an instance 3.08 s after it said that it leaves,
-// all of them from daemons of one zone that had not read the store themselves. Their
-// relay had planned until 2.5 s before, when the store turned it away. It had missed
-// news of its successor, could not read the store, and took the next two news, which
-// followed one another, for the word that it knows everything: at 21.0 s it showed
-// lupinkeel_planner_news_age_seconds 0.016, though its last reading was of 17.5 s. So it
-// answered all who asked it, and these took themselves for complete in turn.
+// relay_cut_off guards against a fault in which requests reached an instance 3.08 s after its
+// leaving signal, all from daemons of one zone that used a relay. The relay had been planner until
+// 2.5 s before, when the store refused its calls. It missed an update of the new planner and could
+// not read the store. The next two updates were consecutive, and it wrongly concluded from them
+// that its entries were current: at 21.0 s its lupinkeel_planner_news_age_seconds was 0.016, though
+// its last read was at 17.5 s. So it answered snapshot requests, and the receivers regarded their
+// entries as current too.
 //
-// In reports_alone the first 0.4 s of these 3 s went by because nobody read: the planner
-// could not, and what engines answered it went out as news.
+// reports_only covers the first 0.4 s of these 3 s: nobody read the store, because the planner
+// could not and still broadcast the reports of engines as updates.
 //
-//	daemons NAME...           these hear each other's news
+//	daemons NAME...           starts daemons that get each other's updates
 //	put ID ready|leaving      an instance writes its entry
-//	gone ID                   its entry goes
-//	copy, restore             the store is copied, and comes back from the copy
-//	read DAEMON               it reads what is new in the store, or all in a new era
-//	reread DAEMON N           a reading up to the record N comes late
-//	plan DAEMON TERM          it plans from now on
-//	stop DAEMON               it plans no more
-//	feed DAEMON               it tells the news that there are, as after a reading
-//	report DAEMON ID          an instance answers the planner, which tells that
-//	ask DAEMON RELAY          it asks the relay for all that it knows
-//	lose DAEMON               the next news do not reach it
-//	hold DAEMON               news reach it only from its release on
+//	gone ID                   its entry is removed
+//	copy, restore             the store is backed up, and restored from the backup
+//	read DAEMON               the daemon reads new entries, or all in a new era
+//	reread DAEMON N           a read up to record N arrives late
+//	plan DAEMON TERM          the daemon becomes planner
+//	stop DAEMON               the daemon ends its term
+//	broadcast DAEMON          the daemon broadcasts its queued updates, as after a read
+//	report DAEMON ID          an instance answers the planner's probe, and the planner broadcasts it
+//	request DAEMON RELAY      the daemon requests a snapshot from the relay
+//	drop DAEMON               the next update to the daemon is lost
+//	hold DAEMON               updates to the daemon are delayed until release
 //	release DAEMON
 //	wait DURATION
-//	says DAEMON ID            an answer of the instance tells the daemon that it leaves
-//	tell DAEMON OTHER         it tells another one what instances said in answers
-//	beat DAEMON OTHER         it tells another one of itself
-//	tick DAEMON               it looks for what is due
-//	known DAEMON ID BOOL      checks whether it knows the instance
-//	usable DAEMON ID BOOL     checks whether requests may go to the instance
-//	complete DAEMON BOOL      checks whether it knows all entries as of late
+//	signal DAEMON ID          an instance's answer to the daemon has a leaving signal
+//	forward DAEMON OTHER      the daemon sends its signals to another one
+//	heartbeat DAEMON OTHER    the daemon sends a heartbeat to another one
+//	tick DAEMON               the daemon runs its periodic checks
+//	known DAEMON ID BOOL      checks whether the daemon knows the instance
+//	usable DAEMON ID BOOL     checks whether the instance may get requests
+//	current DAEMON BOOL       checks whether the daemon's entries are current
 func TestEntriesProgress(t *testing.T) {
 	files, err := filepath.Glob("testdata/known/*.txt")
 	qt.Assert(t, err, qt.IsNil)
@@ -93,10 +93,10 @@
 	t       *testing.T
 	comment qt.Comment
 	owners  map[models.DaemonID]*owner
-	// log is the store's topic of entries in an era, saved a copy of it, read how much of
-	// it each daemon has read.
+	// log is the store's topic of entries in the current era, saved a backup of it, read how far
+	// each daemon has read it.
 	log, saved []platform.KeyedRecord
-	// wrote is when each record of the log was written.
+	// writtenAt is when each record of the log was written.
 	writtenAt []time.Time
 	era       int64
 	read      map[models.DaemonID]models.Position
@@ -126,7 +126,7 @@
 		s.readNew(o)
 	case "reread":
 		if s.read[name].Era != s.era {
-			// The first reading in an era is of everything.
+			// The first read in an era is a snapshot.
 			s.readNew(o)
 			return
 		}
@@ -183,7 +183,7 @@
 	}
 }
 
-// release hands a daemon the news that were held back from it.
+// release delivers the delayed updates to a daemon.
 func (s *progressScript) release(name models.DaemonID) {
 	held := s.held[name]
 	delete(s.held, name)
@@ -192,7 +192,8 @@
 	}
 }
 
-// hearWords has a daemon hear that an instance says it leaves, or tell another daemon.
+// signalLeaving delivers a leaving signal of an instance to a daemon, or a daemon's signals to
+// another one.
 func (s *progressScript) signalLeaving(verb string, o *owner, of string) {
 	if verb == "signal" {
 		o.n.breakers.Heard(breaker.Signal{Instance: models.InstanceID(of), Heard: time.Now(), Leaving: true})
@@ -210,7 +211,7 @@
 	s.c.Assert(err, qt.IsNil, s.comment)
 }
 
-// start makes daemons that hear of each other all that is sent.
+// start creates daemons that are linked to each other.
 func (s *progressScript) start(names []string) {
 	for _, name := range names {
 		o := newTestOwner(s.t)
@@ -225,7 +226,7 @@
 	}
 }
 
-// deliver hands over what was sent.
+// deliver delivers the queued frames of all links.
 func (s *progressScript) deliver() {
 	for _, from := range s.owners {
 		for to, end := range from.n.links.peers {
@@ -253,7 +254,7 @@
 	o.drainInbox()
 }
 
-// write changes what the store holds.
+// write changes the store's log.
 func (s *progressScript) write(verb string, words []string) {
 	switch verb {
 	case "put":
@@ -268,7 +269,7 @@
 	}
 }
 
-// put has an instance write its entry.
+// put appends an instance's entry to the log.
 func (s *progressScript) put(id, state string) {
 	s.writes[id]++
 	stored := map[string]string{"ready": "ready", "leaving": "draining"}[state]
@@ -285,8 +286,7 @@
 	return models.Position{Era: s.era, Offset: int64(offset)}
 }
 
-// readNew has a daemon read what it has not read in this era: the newest record of each
-// key if it has read nothing.
+// readNew reads the records that a daemon has not read in this era: a snapshot if it has read none.
 func (s *progressScript) readNew(o *owner) {
 	from, end := s.read[o.n.cfg.ID], s.position(len(s.log))
 	s.read[o.n.cfg.ID] = end
@@ -303,7 +303,7 @@
 	s.applyRead(o, slices.Collect(maps.Values(newest)), end, time.Now(), true)
 }
 
-// handle has a daemon take in records of the store.
+// applyRead delivers records of the store to a daemon.
 func (s *progressScript) applyRead(o *owner, records []platform.KeyedRecord, end models.Position, requestedAt time.Time, snapshot bool) {
 	o.handleEntries(readResult{records: records, end: end, requestedAt: requestedAt}, snapshot)
 	o.n.missedUpdates.recoverTo(o.n.missedUpdates.recorded.Load())
--- a/cluster/entries_test.go
+++ b/cluster/entries_test.go
@@ -9,11 +9,10 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestLastModelIsRemembered checks that an instance which has left its group
-// still counts as one that ran that group's model, although it no longer tells
-// so: it joins the next one of that model in a fifth of a second. Without this
-// spares were warmed again and again, and the survivors of a broken group taken
-// for slower than they are.
+// TestLastModelIsKept checks that an instance that has left its group, and whose entry names no
+// model any more, still counts as having loaded the group's model: it joins the next group of that
+// model in a fifth of a second. Without this, spares were warmed again and again, and the members
+// of a broken group were assumed to be slower than they are.
 func TestLastModelIsKept(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -33,10 +32,9 @@
 	c.Assert(loaded(), qt.Equals, models.ModelName("m1"))
 }
 
-// TestLostIsNotForGood checks that a daemon which missed the word that an
-// instance is back learns it from the instance's own writes, and that one that
-// begins to plan asks rather than believes. A daemon that had been cut off took 46
-// of 165 instances for lost when it began to plan, and closed all groups of eight.
+// TestLostInstanceRecovers checks that a daemon that missed an instance's recovery detects it by
+// the instance's writes, and that a new planner probes lost instances. A daemon that had been cut
+// off regarded 46 of 165 instances as lost when it became planner, and closed all groups of eight.
 func TestLostInstanceRecovers(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -54,13 +52,13 @@
 	reportLost(1, 8)
 	c.Assert(lost(), qt.IsTrue)
 	o.applyEntry(instance(9), now)
-	c.Assert(lost(), qt.IsTrue, qt.Commentf("this may have been on its way"))
+	c.Assert(lost(), qt.IsTrue, qt.Commentf("this write may have been in flight"))
 	o.applyEntry(instance(10), now)
 	c.Assert(lost(), qt.IsFalse)
 
 	delete(o.fleet.instances, "i-1")
 	reportLost(2, 10)
-	c.Assert(lost(), qt.IsTrue, qt.Commentf("also one that is heard of for the first time"))
+	c.Assert(lost(), qt.IsTrue, qt.Commentf("even if the instance was not known"))
 	o.handleLease(leaseHeld{term: 2, until: now.Add(time.Minute)})
 	c.Assert(lost(), qt.IsFalse)
 }
--- a/cluster/incarnations_test.go
+++ b/cluster/incarnations_test.go
@@ -15,24 +15,24 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// TestLives runs the lines of testdata/lives.txt, one after another:
+// TestInstanceIncarnations runs the lines of testdata/lives.txt:
 //
-//	reset                     a daemon that knows nothing takes the place of the one before
-//	plan TERM                 it plans from now on
+//	reset                     starts over with a new daemon
+//	plan TERM                 the daemon becomes planner
 //	entry ID FIELDS           an entry is read
-//	news ID FIELDS            the planner tells of an instance
-//	report ID FIELDS          the instance answers a question that was asked at ASKED
-//	silence ID FIELDS         it does not answer one
-//	ended ID FIELDS           an order to the life with this birth ended
-//	lose ID                   the planner tells that the instance is lost
-//	expect ID FIELDS          checks what is known of it
-//	serving N                 checks how many groups serve
-//	due ID BOOL               checks whether it is to be asked again
-//	unproven ID BOOL          checks whether the planner still has to ask it
-//	services NAME             the configuration names this service
+//	update ID FIELDS          the planner sends an update of an instance
+//	report ID FIELDS          the instance answers a probe that was sent at ASKED
+//	timeout ID FIELDS         a probe of the instance fails
+//	ended ID FIELDS           an order to the incarnation with this BORN is finished
+//	lost ID                   the planner sends the loss of the instance
+//	expect ID FIELDS          checks the known state of the instance
+//	serving N                 checks the number of serving groups
+//	due ID BOOL               checks whether the instance has been probed
+//	unproven ID BOOL          checks whether the planner still has to probe the instance
+//	services NAME             the configuration names this service only
 //
-// FIELDS are service=NAME, born=SECOND, group=NAME, rank=N, state=STATE,
-// asked=DURATION (from now) and outcome=OUTCOME.
+// FIELDS are service=NAME, born=SECOND, group=NAME, rank=N, state=STATE, asked=DURATION (from now)
+// and outcome=OUTCOME.
 func TestInstanceIncarnations(t *testing.T) {
 	c := qt.New(t)
 	f, err := os.Open("testdata/lives.txt")
@@ -58,7 +58,7 @@
 	seq   int64
 }
 
-// fields are what a line tells of an instance.
+// fields are the parsed fields of a line.
 type fields struct {
 	instance models.UpstreamInstance
 	asked    time.Duration
--- a/cluster/lease.go
+++ b/cluster/lease.go
@@ -90,7 +90,7 @@
 	h.generation = lease.Generation
 	era := lease.Era
 	if !held {
-		h.endTerm(ctx, "dealt to another")
+		h.endTerm(ctx, "assigned to another daemon")
 		return nil
 	}
 	if h.term == 0 || h.term == n.lastEndedTerm.Load() || h.era < era {
@@ -117,7 +117,7 @@
 
 // release leaves the lease to other candidates.
 func (h *leaseHolder) release(ctx context.Context) {
-	h.endTerm(ctx, "others come before this one")
+	h.endTerm(ctx, "other daemons take precedence")
 	if h.n.inLeaseGroup.Load() {
 		h.n.releaseLease(ctx, h.member)
 	}
--- a/cluster/lease_test.go
+++ b/cluster/lease_test.go
@@ -11,7 +11,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// noTraffic is the traffic of a daemon without callers.
+// noTraffic is the Traffic of a daemon without callers.
 type noTraffic struct{}
 
 func (noTraffic) Loads() map[models.InstanceID]Load                      { return nil }
@@ -26,16 +26,16 @@
 	return o
 }
 
-// TestTermIsUsedOnce checks that a planner that stopped is not followed by
-// another one in the same term: it would give fences and epochs a second time.
-// An instance was joined to a group of that epoch while its own group was open.
+// TestTermIsUsedOnce checks that a daemon that ended its term does not become planner in the same
+// term again: it would issue fences and epochs twice. An instance was joined to a group of such an
+// epoch while its own group was open.
 func TestTermIsUsedOnce(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	until := time.Now().Add(time.Minute)
 	o.handleLease(leaseHeld{term: 5, until: until})
 	c.Assert(o.fleet.planner, qt.IsNotNil)
-	o.stopPlanning("the lease ended")
+	o.stopPlanning("the lease expired")
 	o.handleLease(leaseHeld{term: 5, until: until})
 	c.Assert(o.fleet.planner, qt.IsNil)
 	c.Assert(o.n.lastEndedTerm.Load(), qt.Equals, int64(5))
@@ -43,9 +43,10 @@
 	c.Assert(o.fleet.planner, qt.IsNotNil)
 }
 
-// TestPlannerWithoutLease checks that a planner whose lease could not be renewed stops as
-// soon as it hears that the store has served another daemon since: all had the proof of
-// their configuration from it, so that it went on for 1.6 s, and nobody read entries.
+// TestPlannerStopsWithoutLease checks that a planner that could not renew its lease stops as soon
+// as a heartbeat shows that the store has answered another daemon since. Without this it continued
+// for 1.6 s, because all daemons got their confirmation of the configuration from it, and nobody
+// read entries.
 func TestPlannerStopsWithoutLease(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -56,9 +57,9 @@
 		o.peers.seen["d2"] = peerStatus{heartbeat: heartbeat, receivedAt: now}
 	}
 	receive(0)
-	c.Assert(o.mayOutliveLease(now), qt.IsTrue, qt.Commentf("an older program does not tell"))
+	c.Assert(o.mayOutliveLease(now), qt.IsTrue, qt.Commentf("an older version omits EntriesAge"))
 	receive(1100 * time.Millisecond)
-	c.Assert(o.mayOutliveLease(now), qt.IsTrue, qt.Commentf("what it knows is of before"))
+	c.Assert(o.mayOutliveLease(now), qt.IsTrue, qt.Commentf("its entries are older than the lease's end"))
 	receive(500 * time.Millisecond)
 	c.Assert(o.mayOutliveLease(now), qt.IsFalse)
 }
--- a/cluster/limits_test.go
+++ b/cluster/limits_test.go
@@ -10,8 +10,9 @@
 	"github.com/lupinkeel/lupinkeel/ratelimit"
 )
 
-// An instance names a limit to one daemon only. All know it long before a limit must be kept,
-// also those that start later; and all know when it changes and ends, at whatever daemon.
+// TestLimitPropagation checks that a rate limit that an instance names to one daemon reaches all
+// daemons long before it must be enforced, including those that start later. Changes of the limit,
+// and its end, may be observed at any daemon.
 func TestLimitPropagation(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -33,14 +34,14 @@
 				}
 			}
 			observe(peers[test.daemons-1], 2)
-			took := waitAll(c, peers, propagationTimeout, "told of a limit", hasLimit(2))
+			took := waitAll(c, peers, propagationTimeout, "aware of a limit", hasLimit(2))
 			t.Logf("all %d know of a limit after %v", test.daemons, took.Round(time.Millisecond))
 			observe(peers[test.daemons/2], 1.5)
-			waitAll(c, peers, propagationTimeout, "told of a lower one", hasLimit(1.5))
+			waitAll(c, peers, propagationTimeout, "aware of a lower one", hasLimit(1.5))
 			late := startNth(t, test.daemons, test.zones, peers)
-			waitAll(c, []*testPeer{late}, discoveryTimeout, "told at its start", hasLimit(1.5))
+			waitAll(c, []*testPeer{late}, discoveryTimeout, "aware of it after its start", hasLimit(1.5))
 			observe(peers[1], models.NoLimit)
-			waitAll(c, append(peers, late), propagationTimeout, "told of its end", hasLimit(models.NoLimit))
+			waitAll(c, append(peers, late), propagationTimeout, "aware of its end", hasLimit(models.NoLimit))
 		})
 	}
 }
--- a/cluster/links_test.go
+++ b/cluster/links_test.go
@@ -17,7 +17,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// listen is a daemon's address that a test listens at.
+// listenTCP listens at a free port on behalf of a daemon.
 func listenTCP(t *testing.T) *net.TCPListener {
 	l, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -27,9 +27,9 @@
 	return l
 }
 
-// TestDaemonIsMet checks that a daemon answers one that it hears of for the
-// first time, without asking the store for the roster: with 61 daemons that
-// start at once, each followed the roster by up to 61 readings.
+// TestLinkToNewDaemon checks that a daemon connects to a daemon that it learns of from a heartbeat,
+// without reading the roster. When it read the roster, 61 daemons that started at once each did so
+// up to 61 times.
 func TestLinkToNewDaemon(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -68,14 +68,14 @@
 	c.Assert(err, qt.IsNil)
 
 	receive(1, old)
-	c.Assert(o.n.links.peers["d2"].addr.String(), qt.Equals, moved.Addr().String(), qt.Commentf("an earlier run tells late"))
+	c.Assert(o.n.links.peers["d2"].addr.String(), qt.Equals, moved.Addr().String(), qt.Commentf("a heartbeat of an earlier incarnation is late"))
 }
 
-// TestStartOfManyDaemons replays how 97 daemons of a zone start and ask their relay
-// for what it knows of 3,000 instances. The answers must fit well within the time
-// after which a relay that is not heard counts as silent, on 200 Mbit/s. They take
-// 0.34 s; uncompressed they took 2.5 s, the daemons asked the next relay, and so on
-// without an end. An older program, which reads no compressed frames, gets none.
+// TestSnapshotsAtMassStart checks how long it takes a relay to send snapshots of 3,000 instances to
+// 97 daemons of its zone that start at once, at 200 Mbit/s. It must be well below the time after
+// which a relay without heartbeats is regarded as dead. It takes 0.34 s. Uncompressed it took 2.5
+// s; then the daemons asked the next relay, and so on forever. Older versions, which can't read
+// compressed frames, get plain ones.
 func TestSnapshotsAtMassStart(t *testing.T) {
 	c := qt.New(t)
 	const (
@@ -94,7 +94,7 @@
 		o.updateTopology(time.Now())
 		sent := firstUpdateOn(c, l, func() { c.Assert(o.n.links.sendTo(id, f), qt.IsTrue) })
 
-		c.Assert(frame.Kind(sent[kindOffset]) == frameUpdate, qt.Equals, !unpacks, qt.Commentf("an older program knows this kind alone"))
+		c.Assert(frame.Kind(sent[kindOffset]) == frameUpdate, qt.Equals, !unpacks, qt.Commentf("an older version reads plain frames only"))
 		took := time.Duration(float64(members*len(sent)) / bytesASecond * float64(time.Second))
 		c.Assert(took < bound, qt.Equals, unpacks, qt.Commentf("%s: %v", id, took))
 		kind, body, err := frame.Read(bytes.NewReader(sent))
@@ -107,11 +107,11 @@
 	}
 }
 
-// kindAt is where in a frame its kind stands.
+// kindOffset is the offset of the kind in a frame.
 const kindOffset = 4
 
-// sentOn returns the bytes of the first frame that is no heartbeat on the link to a
-// listener. What is to be sent is handed over once the link has begun.
+// firstUpdateOn returns the first frame on a link that is no heartbeat. It calls send once the link
+// is up.
 func firstUpdateOn(c *qt.C, l *net.TCPListener, send func()) []byte {
 	conn, err := l.Accept()
 	c.Assert(err, qt.IsNil)
--- a/cluster/loads_test.go
+++ b/cluster/loads_test.go
@@ -9,9 +9,9 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestLoadsOvertake checks that loads which come late, on a connection that has
-// been replaced, do not undo newer ones, that changes of what was never told whole
-// say nothing, and that a daemon which is gone leaves no loads behind.
+// TestOutOfOrderLoads checks that late loads from a replaced connection do not undo newer ones,
+// that changes without the full loads they refer to are ignored, and that the loads of a removed
+// daemon are removed.
 func TestOutOfOrderLoads(t *testing.T) {
 	c := qt.New(t)
 	p := newPeerLoads()
@@ -23,32 +23,32 @@
 	apply(1, 5, true, 3)
 	apply(1, 7, false, 4)
 	apply(1, 6, false, 9)
-	c.Assert(requests(), qt.Equals, 4, qt.Commentf("an older change comes late"))
+	c.Assert(requests(), qt.Equals, 4, qt.Commentf("an older change is late"))
 	p.apply(Update{From: "d2", Term: 3, Seq: 1}, "a", nil)
-	c.Assert(requests(), qt.Equals, 4, qt.Commentf("news without loads"))
+	c.Assert(requests(), qt.Equals, 4, qt.Commentf("an update without loads"))
 	apply(2, 1, true, 2)
-	c.Assert(requests(), qt.Equals, 2, qt.Commentf("the daemon was started again"))
+	c.Assert(requests(), qt.Equals, 2, qt.Commentf("the daemon restarted"))
 	apply(1, 8, false, 9)
 	c.Assert(requests(), qt.Equals, 2)
 
 	p.apply(Update{From: "d2", Incarnation: 2, LoadsVersion: 3, Loads: map[models.InstanceID]Load{"i-2": {Requests: 5}}}, "a", nil)
 	apply(2, 2, false, 6)
-	c.Assert(requests(), qt.Equals, 2, qt.Commentf("an older change comes late"))
+	c.Assert(requests(), qt.Equals, 2, qt.Commentf("an older change is late"))
 	c.Assert(p.total("i-2").Requests, qt.Equals, 5)
 
 	p.remove("d2")
 	c.Assert(requests(), qt.Equals, 0)
 	apply(2, 9, false, 1)
-	c.Assert(requests(), qt.Equals, 0, qt.Commentf("a change comes after the daemon was dropped"))
+	c.Assert(requests(), qt.Equals, 0, qt.Commentf("a change arrives after the daemon was removed"))
 	apply(2, 10, true, 1)
 	c.Assert(requests(), qt.Equals, 1)
 	p.apply(Update{From: "d2", Incarnation: 2, LoadsVersion: 11, Full: true}, "a", nil)
-	c.Assert(requests(), qt.Equals, 0, qt.Commentf("it tells another relay from now on"))
+	c.Assert(requests(), qt.Equals, 0, qt.Commentf("it sends its loads to another relay now"))
 }
 
-// TestSums checks that a daemon which is told the loads of all leaves out its own,
-// that a relay adds up its zone and what the other zones tell, and that sums are
-// replaced by those of another relay and forgotten when they grow old.
+// TestLoadAggregates checks that a daemon subtracts its own loads from the cluster's total, that a
+// relay sums up its zone and the totals of other zones, and that totals are replaced by those of
+// another relay and dropped when they are too old.
 func TestLoadAggregates(t *testing.T) {
 	c := qt.New(t)
 	p := newPeerLoads()
@@ -64,7 +64,7 @@
 	apply("r1", "a", scopeCluster, 1, 7)
 	c.Assert(p.total("i-1"), qt.Equals, Load{Requests: 6, Unread: 600})
 	apply("r2", "a", scopeCluster, 2, 9)
-	c.Assert(p.total("i-1").Requests, qt.Equals, 6, qt.Commentf("only a change, and of another's word"))
+	c.Assert(p.total("i-1").Requests, qt.Equals, 6, qt.Commentf("a change to another relay's totals"))
 	apply("r2", "a", scopeCluster, 1, 9)
 	c.Assert(p.total("i-1").Requests, qt.Equals, 8, qt.Commentf("another relay takes over"))
 	apply("r1", "a", scopeCluster, 8, 3)
@@ -84,5 +84,5 @@
 
 	p.prune(time.Now().Add(2 * aggregateTimeout))
 	all, _ = p.totals(own)
-	c.Assert(all["i-1"].Requests, qt.Equals, 6, qt.Commentf("only what single daemons told stays"))
+	c.Assert(all["i-1"].Requests, qt.Equals, 6, qt.Commentf("only loads of single daemons stay"))
 }
--- a/cluster/owner_test.go
+++ b/cluster/owner_test.go
@@ -11,9 +11,9 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestViewsOfInstances checks that all instances are shown anew only if one has
-// changed. With 90 daemons and 216 instances that took 0.24 ms and 330 KB, some
-// fifty times a second, as heartbeats come by the hundred.
+// TestFleetViewRebuild checks that the instances of a view are rebuilt only if one has changed.
+// With 90 daemons and 216 instances each rebuild took 0.24 ms and 330 KB, some fifty times a
+// second, because heartbeats arrive by the hundred.
 func TestFleetViewRebuild(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -38,7 +38,7 @@
 	o.publish()
 	c.Assert(o.n.View().Suspects, qt.HasLen, 1)
 	o.tick(timer.Tick{At: now.Add(2 * suspicionDuration)})
-	c.Assert(o.fleetStale, qt.IsTrue, qt.Commentf("the suspicion has ended"))
+	c.Assert(o.fleetStale, qt.IsTrue, qt.Commentf("the suspicion has expired"))
 	o.publish()
 	c.Assert(o.n.View().Suspects, qt.HasLen, 0)
 }
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -11,12 +11,12 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// few is up to how many daemons each tells every other one.
+// meshLimit is the largest number of daemons that form a mesh.
 var meshLimit = membership.DefaultPolicy().Few
 
-// TestSparseBeats checks that daemons which tell of themselves less often are not
-// dropped in between: with one more than few, the two ends once disagreed on how
-// often that is. A heartbeat says it.
+// TestHeartbeatIntervals checks that daemons with a longer heartbeat interval do not time out in
+// between. The interval is part of the heartbeat because with one daemon more than meshLimit the
+// two ends could disagree on it.
 func TestHeartbeatIntervals(t *testing.T) {
 	for _, others := range []int{meshLimit - 1, meshLimit, meshLimit + 1} {
 		for _, every := range []time.Duration{heartbeatInterval, relayHeartbeatInterval} {
@@ -32,11 +32,11 @@
 	}
 }
 
-// silentBeats is after how many heartbeats that did not come a daemon is dropped.
+// missedHeartbeatLimit is the number of missed heartbeats after which a daemon is removed.
 var missedHeartbeatLimit = time.Duration(membership.DefaultPolicy().Beats)
 
-// TestPassOn checks whom a relay passes news on to: to its zone what other zones
-// tell, and everywhere what a daemon of its zone tells that is no relay; never back.
+// TestForward checks where a relay forwards updates: those from other zones to its own zone, those
+// of daemons of its zone that are no relays to all, and none back to the sender.
 func TestForward(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -65,7 +65,7 @@
 	o.n.links.forward("b-28", "b", update)
 	c.Assert(sentByZone(), qt.DeepEquals, map[models.Zone]int{"a": 10, "b": 0, "c": 0})
 	o.n.links.forward("a-27", "a", update)
-	c.Assert(sentByZone(), qt.DeepEquals, map[models.Zone]int{"a": 0, "b": 0, "c": 0}, qt.Commentf("the other relay tells itself"))
+	c.Assert(sentByZone(), qt.DeepEquals, map[models.Zone]int{"a": 0, "b": 0, "c": 0}, qt.Commentf("the other relay sends it itself"))
 	update.Forward = true
 	o.n.links.forward("a-3", "a", update)
 	c.Assert(sentByZone(), qt.DeepEquals, map[models.Zone]int{"a": 9, "b": 2, "c": 2})
@@ -73,9 +73,9 @@
 	c.Assert(sentByZone(), qt.DeepEquals, map[models.Zone]int{"a": 10, "b": 2, "c": 2})
 }
 
-// TestRelayIsAsked checks that a daemon which leaves reading the store to relays
-// asks one for a newer configuration as soon as it hears of it, and that the relay
-// sends a heartbeat, which brings it, at once.
+// TestConfigRequestToRelay checks that a daemon that uses a relay requests a newer configuration as
+// soon as a heartbeat shows one, and that the relay answers with a heartbeat, followed by the
+// configuration, at once.
 func TestConfigRequestToRelay(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
--- a/cluster/peerserver_test.go
+++ b/cluster/peerserver_test.go
@@ -13,11 +13,10 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestSenderOfNews checks that news without a sender are the daemon's whose
-// heartbeat came on the connection, that relayed news keep theirs, and that a
-// change of one load takes few bytes: they are two fifths of all that daemons
-// tell each other. The message has 29 bytes and had 121 when it named its sender
-// and all that is zero, by encoding it both ways.
+// TestUpdateSender checks that updates without a sender are attributed to the daemon that sends
+// heartbeats on the connection, that forwarded updates keep their sender, and that a change of one
+// load is small, because these make up two fifths of the traffic between daemons. It takes 29
+// bytes; with the sender and zero fields it took 121.
 func TestUpdateSender(t *testing.T) {
 	c := qt.New(t)
 	n := newTestOwner(t).n
@@ -42,8 +41,7 @@
 	c.Assert(n.peerLoads.byDaemon["d-3"].loads["i-2"].Requests, qt.Equals, 1)
 }
 
-// TestNewsRoundTrip checks that no field of what the planner tells of an instance
-// is lost on the way.
+// TestUpdateRoundTrip checks that encoding loses no field of an instance's update.
 func TestUpdateRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	update := Update{From: "d-2", Term: 3, Seq: 4, Instances: []InstanceUpdate{{
@@ -59,9 +57,9 @@
 	c.Assert(got, qt.CmpEquals(cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })), update)
 }
 
-// TestShortHeartbeats checks that nothing is lost by what later heartbeats leave
-// out. They are the most of what daemons tell where there are many of them: one has
-// 51 bytes rather than 125.
+// TestAbbreviatedHeartbeats checks that the receiver restores the fields that later heartbeats
+// omit. Heartbeats are most of the traffic among many daemons: an abbreviated one takes 51 bytes
+// and not 125.
 func TestAbbreviatedHeartbeats(t *testing.T) {
 	c := qt.New(t)
 	n := newTestOwner(t).n
--- a/cluster/permits_test.go
+++ b/cluster/permits_test.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// limitWindow is the time over which an instance's requests are held against its
-	// limit, which allows one and a half times as many and limitSlack.
+	// limitWindow is the time over which an instance's requests are compared with its rate limit.
+	// Allowed are one and a half times the limit plus limitSlack.
 	limitWindow = 4 * time.Second
 	limitSlack  = 5
-	// usedPart is the part of a limit that must be used where there is demand for more.
+	// minUsedShare is the share of a limit that must be used while there is demand for more.
 	minUsedShare = 0.8
 )
 
-// askers are daemons that keep asking for permits for one instance.
+// permitClients are daemons that keep requesting permits for one instance.
 type permitClients struct {
 	zone models.Zone
 	rate float64
@@ -33,8 +33,8 @@
 	requests int
 }
 
-// keepAsking asks until the context ends, as a gateway does that leaves the instance alone
-// when it is told to.
+// requestUntilDone requests permits until the context ends. Like a gateway, it waits as long as a
+// reply says.
 func (a *permitClients) requestUntilDone(ctx context.Context, p *testPeer, pause time.Duration) error {
 	ask := ratelimit.Ask{Wanted: []ratelimit.Wanted{{Instance: "i1", Rate: a.rate}}}
 	for ctx.Err() == nil {
@@ -59,14 +59,15 @@
 	return nil
 }
 
-// count is how often permits were asked for.
+// count returns the number of requests.
 func (a *permitClients) count() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.requests
 }
 
-// worst is the most permits in any window, used the part of the limit that they used.
+// maxPerWindow returns the highest number of permits in any window, and the share of the limit that
+// was used.
 func (a *permitClients) maxPerWindow(from, to time.Time) (worst int, used float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -87,8 +88,8 @@
 	return worst, float64(n) / (a.rate * to.Sub(from).Seconds())
 }
 
-// Daemons that all want an instance with a limit share it whoever of them ends, starts or
-// grants, and use most of it.
+// TestPermitsEnforceLimit checks that daemons that all send to an instance with a rate limit keep
+// to it and use most of it, even when a daemon or the granter stops.
 func TestPermitsEnforceLimit(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -101,7 +102,7 @@
 			peers := startPeers(t, test.daemons, test.zones)
 			peers[0].limits.Heard(ratelimit.Sighting{Instance: "i1", Rate: test.rate, Asked: time.Now(), Heard: time.Now()})
 			granter := func() models.DaemonID { return peers[0].View().Arranged.Granter("z1") }
-			waitAll(c, peers, discoveryTimeout, "agreed on who grants", func(p *testPeer) bool {
+			waitAll(c, peers, discoveryTimeout, "agreed on the granter", func(p *testPeer) bool {
 				return p.View().granters != nil && p.View().Arranged.Granter("z1") == granter()
 			})
 			a := &permitClients{zone: "z1", rate: test.rate}
@@ -117,16 +118,16 @@
 			began := time.Now()
 			time.Sleep(limitWindow + time.Second)
 			steadyMax, used := a.maxPerWindow(began.Add(time.Second), time.Now())
-			t.Logf("no faults: %d permits in %v at most, %.2f of the limit used, %d asks", steadyMax, limitWindow, used, a.count())
+			t.Logf("no faults: %d permits in %v at most, %.2f of the limit used, %d requests", steadyMax, limitWindow, used, a.count())
 			c.Check(used >= minUsedShare, qt.IsTrue, qt.Commentf("%v used", used))
 
 			lost := granter()
 			at := slices.IndexFunc(peers, func(p *testPeer) bool { return p.cfg.ID == lost })
-			c.Assert(at > 0, qt.IsTrue, qt.Commentf("%s grants", lost))
+			c.Assert(at > 0, qt.IsTrue, qt.Commentf("the granter is %s", lost))
 			stops[lost]()
 			peers[at].stop()
-			taken := waitAll(c, peers[:1], discoveryTimeout, "another one grants", func(*testPeer) bool { return granter() != lost })
-			t.Logf("another one grants after %v", taken.Round(time.Millisecond))
+			taken := waitAll(c, peers[:1], discoveryTimeout, "switched to another granter", func(*testPeer) bool { return granter() != lost })
+			t.Logf("another daemon is granter after %v", taken.Round(time.Millisecond))
 			time.Sleep(limitWindow)
 			began = time.Now()
 			time.Sleep(limitWindow)
@@ -134,7 +135,7 @@
 			cancel()
 			c.Assert(task.Wait(tasks...), qt.IsNil)
 			worst, _ := a.maxPerWindow(began, time.Now())
-			t.Logf("over all: %d permits in %v at most; %.2f used once another one granted", worst, limitWindow, used)
+			t.Logf("overall: %d permits in %v at most; %.2f used with the new granter", worst, limitWindow, used)
 			c.Check(used >= minUsedShare, qt.IsTrue, qt.Commentf("%v used", used))
 			allowed := 1.5*test.rate*limitWindow.Seconds() + limitSlack
 			c.Check(float64(worst) <= allowed, qt.IsTrue, qt.Commentf("%d permits, %v allowed", worst, allowed))
--- a/cluster/planner_calls_test.go
+++ b/cluster/planner_calls_test.go
@@ -11,7 +11,8 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// A planner asked all instances at once, and its other calls timed out behind these.
+// TestPlannerCallsAreBounded checks that a planner does not probe all instances at once, which made
+// its other calls time out.
 func TestPlannerCallsAreBounded(t *testing.T) {
 	const instances = 3000
 	fill := func(o *owner) {
@@ -21,7 +22,7 @@
 		}
 		o.handleLease(leaseHeld{term: 2, until: time.Now().Add(time.Minute)})
 	}
-	t.Run("questions", func(t *testing.T) {
+	t.Run("probes", func(t *testing.T) {
 		c := qt.New(t)
 		o := newTestOwner(t)
 		fill(o)
@@ -39,10 +40,10 @@
 		o.sendOrders()
 		took := 5 * time.Millisecond
 		for n := range 1000 {
-			// Answers take the longer the more calls wait for the processor.
+			// The more calls queue for the processor, the later answers arrive.
 			took = time.Duration(5+3*o.fleet.ordersInFlight) * time.Millisecond
 			o.handleOrderResult(orderFinished{order: types.GroupOrder{Instance: models.InstanceID(fmt.Sprint("i", n))}, outcome: types.OrderDone, finishedAt: time.Now(), took: took})
 		}
-		c.Assert(took < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%d orders under way, answered after %v", o.fleet.ordersInFlight, took))
+		c.Assert(took < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%d orders in flight, answered after %v", o.fleet.ordersInFlight, took))
 	})
 }
--- a/cluster/planning_test.go
+++ b/cluster/planning_test.go
@@ -12,13 +12,13 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// A planner that found 3,000 instances free gave 3,000 orders in one round. Other daemons
-// heard nothing of it from -5.49 to -3.97 s, another one took the lease over ("planning-ended
-// reason=dealt to another term=3") and began anew; so did eight within 15 s, three of them
-// before the first request came, and most weights were loaded after it.
+// TestOrdersInFlightAreBounded checks that orders are sent only as earlier ones are answered, that
+// no others are planned until all are sent, and that a planner that ends its term sends none of the
+// remaining ones.
 //
-// So orders are given as they are answered, so many at a time, and no others are planned
-// before they are all given. A planner that ends gives none of those that are left.
+// It guards against a planner that sent 3,000 orders to free instances in one round. Other daemons
+// got no updates for 1.5 s, another one took over the lease and started again, as did eight within
+// 15 s, three of them before the first request. Most weights were loaded after that request.
 func TestOrdersInFlightAreBounded(t *testing.T) {
 	c := qt.New(t)
 	const many = 3 * minCalls
@@ -35,20 +35,20 @@
 	c.Assert(o.fleet.orders, qt.HasLen, many-minCalls)
 	planned := o.fleet.lastPlan
 	o.planGroups(time.Now())
-	c.Assert(o.fleet.lastPlan, qt.Equals, planned, qt.Commentf("orders are planned beside those that wait"))
+	c.Assert(o.fleet.lastPlan, qt.Equals, planned, qt.Commentf("orders are planned while others are queued"))
 	const answered = 5
 	for n := range answered {
 		o.handleOrderResult(orderFinished{order: types.GroupOrder{Instance: models.InstanceID(fmt.Sprint("i", n))}, outcome: types.OrderDone, finishedAt: time.Now()})
 	}
 	c.Assert(o.fleet.ordersInFlight, qt.Equals, minCalls)
 	c.Assert(o.fleet.orders, qt.HasLen, many-minCalls-answered)
-	o.stopPlanning("the test ends it")
+	o.stopPlanning("the test ends the term")
 	o.handleOrderResult(orderFinished{order: types.GroupOrder{Instance: "i7"}, finishedAt: time.Now()})
 	c.Assert(o.fleet.ordersInFlight, qt.Equals, minCalls-1)
 }
 
-// A planner that is heard by its heartbeats alone, since what it does keeps it from telling
-// news, is not taken over from; one of an earlier term says nothing.
+// TestPlannerHeartbeatsPreventElection checks that heartbeats alone, without updates, keep other
+// daemons from taking over from a busy planner, unless the heartbeats are of an earlier term.
 func TestPlannerHeartbeatsPreventElection(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -65,8 +65,8 @@
 	c.Assert(o.plannerSilence(now.Add(2*time.Second)), qt.Equals, time.Second)
 }
 
-// Where hundreds of daemons start at once each hears of others for a second or so. None asks
-// for the lease before that is over; few daemons do not wait for it.
+// TestElectionWaitsForMassStart checks that no daemon asks for the lease while hundreds start at
+// once and are being discovered, which takes a second or so. A few daemons do not wait.
 func TestElectionWaitsForMassStart(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
@@ -89,9 +89,10 @@
 	}
 }
 
-// A planner's machine is suspended until its lease is over and another daemon plans. By the
-// steady clock the lease would go on for as long as it had left. The planner gives no order
-// when it wakes, not even one that waited, and tells others no young proof.
+// TestPlannerAfterSuspension suspends a planner's machine until its lease has expired and another
+// daemon may be planner. The monotonic clock does not count the suspension. After it, the planner
+// must not send any order, not even a queued one, and must not report a recent confirmation of the
+// configuration.
 func TestPlannerAfterSuspension(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -113,8 +114,8 @@
 	c.Assert(o.n.heartbeat("other", membership.Link{}).ConfigAge >= suspended, qt.IsTrue)
 }
 
-// The first planner of a store asked each instance for a report before it used it, although
-// nobody can have given orders before.
+// TestFirstPlannerSendsNoProbes checks that the first planner of a store does not probe each
+// instance before using it: no orders can have been sent before.
 func TestFirstPlannerSendsNoProbes(t *testing.T) {
 	for term, probed := range map[int64]bool{firstTerm: false, 2: true, 1<<termEraBits + 1: true} {
 		o := newTestOwner(t)
--- a/cluster/quarantine_test.go
+++ b/cluster/quarantine_test.go
@@ -17,21 +17,21 @@
 	"github.com/lupinkeel/lupinkeel/quarantine"
 )
 
-// toldWithin is how long all daemons may take to learn what one of them found: a tenth of
-// the time after which a request may hardly be sent any more.
+// propagationTimeout is how long an update may take to reach all daemons: a tenth of the time after
+// which a request must hardly be sent any more.
 const propagationTimeout = 300 * time.Millisecond
 
-// met is how long daemons that start may take to find each other.
+// discoveryTimeout is how long starting daemons may take to discover each other.
 const discoveryTimeout = 5 * time.Second
 
-// peerNode is a daemon that only hears and tells others.
+// testPeer is a daemon without a store.
 type testPeer struct {
 	*Node
 	cancel context.CancelFunc
 	tasks  []task.Task
 }
 
-// startPeer starts a daemon that knows these others from the roster.
+// startPeer starts a daemon that knows some others from the roster.
 func startPeer(t *testing.T, id models.DaemonID, zone models.Zone, others []*testPeer) *testPeer {
 	c := qt.New(t)
 	l := listenTCP(t)
@@ -55,41 +55,41 @@
 	return p
 }
 
-// startPeers starts daemons in some zones and waits until all know of each other and have
-// agreed on relays.
+// startPeers starts daemons in a number of zones, and waits until all have discovered each other
+// and chosen relays.
 func startPeers(t *testing.T, daemons, zones int) []*testPeer {
 	var peers []*testPeer
 	for n := range daemons {
 		peers = append(peers, startNth(t, n, zones, peers))
 	}
-	waitAll(qt.New(t), peers, discoveryTimeout, "met", func(p *testPeer) bool { return p.View().Daemons == daemons })
+	waitAll(qt.New(t), peers, discoveryTimeout, "discovered", func(p *testPeer) bool { return p.View().Daemons == daemons })
 	time.Sleep(discoveryTimeout / 5)
 	return peers
 }
 
-// startNth starts one more daemon, in the zone whose turn it is.
+// startNth starts one more daemon. Zones are assigned round-robin.
 func startNth(t *testing.T, n, zones int, others []*testPeer) *testPeer {
 	return startPeer(t, models.DaemonID(fmt.Sprintf("d%02d", n)), models.Zone(fmt.Sprint("z", n%zones)), others)
 }
 
-// entry is what the daemon writes of itself into the roster.
+// entry returns the daemon's roster entry.
 func (p *testPeer) entry() rosterEntry {
 	return rosterEntry{Zone: p.cfg.Zone, Addr: p.cfg.Peer.String(), Incarnation: p.started, AcceptsCompressed: true}
 }
 
-// stop ends the daemon. Its parts end with its context.
+// stop stops the daemon and waits for its goroutines.
 func (p *testPeer) stop() {
 	p.cancel()
 	_ = p.links.stopAndWait()
 	_ = task.Wait(p.tasks...)
 }
 
-// knows reports whether the daemon holds so many crashes against a request.
+// hasCrashes reports whether the daemon attributes a number of crashes to a request.
 func (p *testPeer) hasCrashes(d quarantine.Digest, crashes int) bool {
 	return p.quarantine.Standing(d).Crashes == crashes
 }
 
-// waitAll waits until something holds for all daemons, and returns how long that took.
+// waitAll waits until a condition holds for all daemons, and returns how long that took.
 func waitAll(c *qt.C, peers []*testPeer, bound time.Duration, what string, holds func(*testPeer) bool) time.Duration {
 	began := time.Now()
 	for _, p := range peers {
@@ -111,10 +111,11 @@
 	return out
 }
 
-// Instances crash under a request that comes to another daemon each time. All of them know
-// it long before the caller is back, in a mesh and where relays pass it on; a crash that two
-// daemons saw counts once; one that starts later, or lost all connections, learns it from
-// the first daemon that it reaches; and all take it back once it ended well at any of them.
+// TestQuarantinePropagation crashes instances with a request that comes to a different daemon each
+// time. All daemons must know each crash long before the caller retries, in a mesh and through
+// relays. A crash that two daemons observed counts once. A daemon that starts, or lost all
+// connections, gets the crashes from its first peer. When an instance answers the request, all
+// daemons clear it.
 func TestQuarantinePropagation(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -128,25 +129,25 @@
 
 			peers[0].quarantine.Crashed(crashed("i1", guilty, other))
 			peers[1].quarantine.Crashed(crashed("i1", guilty))
-			waitAll(c, peers, propagationTimeout, "told of one crash", func(p *testPeer) bool { return p.hasCrashes(guilty, 1) && p.hasCrashes(other, 1) })
+			waitAll(c, peers, propagationTimeout, "aware of one crash", func(p *testPeer) bool { return p.hasCrashes(guilty, 1) && p.hasCrashes(other, 1) })
 			peers[test.daemons-1].quarantine.Crashed(crashed("i2", guilty))
-			waitAll(c, peers, propagationTimeout, "told of two", func(p *testPeer) bool { return p.hasCrashes(guilty, 2) })
+			waitAll(c, peers, propagationTimeout, "aware of two crashes", func(p *testPeer) bool { return p.hasCrashes(guilty, 2) })
 			peers[test.daemons/2].quarantine.Crashed(crashed("i3", guilty))
 			took := waitAll(c, peers, propagationTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Standing(guilty).Quarantined })
 			t.Logf("all %d refuse the request after %v", test.daemons, took.Round(time.Millisecond))
 			peers[1].quarantine.EndedWell(other)
-			waitAll(c, peers, propagationTimeout, "told who ended well", func(p *testPeer) bool { return p.hasCrashes(other, 0) })
+			waitAll(c, peers, propagationTimeout, "aware of the cleared request", func(p *testPeer) bool { return p.hasCrashes(other, 0) })
 
 			late := startNth(t, test.daemons, test.zones, peers)
 			took = waitAll(c, []*testPeer{late}, discoveryTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Standing(guilty).Quarantined })
-			t.Logf("one that starts refuses it after %v", took.Round(time.Millisecond))
+			t.Logf("a starting daemon refuses it after %v", took.Round(time.Millisecond))
 			c.Assert(late.hasCrashes(other, 0), qt.IsTrue)
 		})
 	}
 }
 
-// TestCrashNewsRoundTrip checks what of a crash is told, and that it takes few bytes: all
-// daemons are told each one.
+// TestCrashUpdateRoundTrip checks that encoding keeps a crash, and that it is small, because it is
+// sent to all daemons.
 func TestCrashUpdateRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
--- a/cluster/reports_test.go
+++ b/cluster/reports_test.go
@@ -10,11 +10,10 @@
 	"github.com/lupinkeel/lupinkeel/platform"
 )
 
-// TestReportsOvertake checks that an answer to an earlier question does not
-// undo what a later one told, and that an entry does not either while this node
-// plans. Where instances were slow a member of an open group seemed to be in none,
-// and was joined to another one. It was seen once; that answers overtake each other
-// is what the reading of the code left.
+// TestOutOfOrderReports checks that the answer to an earlier probe does not revert a later one, nor
+// does an entry while this node is planner. With slow instances, a member of an open group was once
+// taken for free and joined to another group; answers out of order are the only cause found in the
+// code.
 func TestOutOfOrderReports(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -33,13 +32,13 @@
 
 	o.handleLease(leaseHeld{term: 1, until: now.Add(time.Minute)})
 	o.applyEntry(alone, now.Add(10*time.Second))
-	c.Assert(group(), qt.Equals, models.MemberReady, qt.Commentf("a stale reading of the store"))
+	c.Assert(group(), qt.Equals, models.MemberReady, qt.Commentf("a stale read of the store"))
 	o.handleProbeResult(probeFinished{instance: alone, sentAt: now.Add(11 * time.Second)})
 	c.Assert(group(), qt.Equals, models.MemberNone)
 }
 
-// TestOneMissedAnswer checks that an instance is lost when two questions in a
-// row went unanswered, or one if streams found its group to stand still.
+// TestProbeFailuresBeforeLoss checks that an instance is lost after two failed probes in a row, or
+// after one if streams found its group stalled.
 func TestProbeFailuresBeforeLoss(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -53,9 +52,9 @@
 	}
 	failProbe(now)
 	c.Assert(i.lostSince.IsZero(), qt.IsTrue)
-	c.Assert(o.fleet.probeAt, qt.HasLen, 1, qt.Commentf("it is asked again at once"))
+	c.Assert(o.fleet.probeAt, qt.HasLen, 1, qt.Commentf("it is probed again at once"))
 	failProbe(now)
-	c.Assert(i.lostSince.IsZero(), qt.IsTrue, qt.Commentf("this one was asked before the first had failed"))
+	c.Assert(i.lostSince.IsZero(), qt.IsTrue, qt.Commentf("this probe was sent before the first had failed"))
 	failProbe(time.Now())
 	c.Assert(i.lostSince.IsZero(), qt.IsFalse)
 
@@ -66,8 +65,8 @@
 	c.Assert(i.lostSince.IsZero(), qt.IsFalse)
 }
 
-// TestReportsWithoutNews checks that a report which tells what the others know is
-// not told to them, and that one that ends a suspicion or a loss is.
+// TestUnchangedReportsAreNotBroadcast checks that a report is broadcast only if it changes the last
+// broadcast state, or ends a suspicion or a loss.
 func TestUnchangedReportsAreNotBroadcast(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -91,5 +90,5 @@
 	c.Assert(broadcasts(), qt.Equals, 1)
 	c.Assert(broadcasts(), qt.Equals, 0)
 	o.handleLease(leaseHeld{term: 6, until: time.Now().Add(time.Minute)})
-	c.Assert(broadcasts(), qt.Equals, 1, qt.Commentf("another term begins"))
+	c.Assert(broadcasts(), qt.Equals, 1, qt.Commentf("a new term began"))
 }
--- a/cluster/restored_test.go
+++ b/cluster/restored_test.go
@@ -17,7 +17,7 @@
 	"github.com/lupinkeel/lupinkeel/standin/store"
 )
 
-// restorableNode is a node on a stand-in of the store.
+// restorableNode returns a node with a stand-in for the store.
 func restorableNode(t *testing.T) (*Node, *store.Store) {
 	backend := store.New()
 	server := httptest.NewServer(backend)
@@ -27,9 +27,9 @@
 	return n, backend
 }
 
-// TestTermsAfterRestore checks that no term is given twice, and none lower than one
-// before, though the store gives out offsets again: instances refuse orders of an earlier
-// term, and would take those of two planners in the same.
+// TestTermsAfterRestore checks that terms increase although a restored store assigns offsets again.
+// Instances refuse orders of an earlier term, but would accept those of two planners in the same
+// term.
 func TestTermsAfterRestore(t *testing.T) {
 	c := qt.New(t)
 	n, backend := restorableNode(t)
@@ -50,8 +50,8 @@
 	c.Assert(begin() > last, qt.IsTrue)
 }
 
-// TestTermEndsWithEra checks that a planner begins another term when the store has come
-// back, though it still holds the lease.
+// TestTermEndsWithEra checks that a planner begins a new term when the store was restored, even if
+// it still holds the lease.
 func TestTermEndsWithEra(t *testing.T) {
 	c := qt.New(t)
 	n, backend := restorableNode(t)
@@ -68,8 +68,8 @@
 	c.Assert(n.lease.Load().term, qt.Equals, h.term)
 }
 
-// TestEnrolledAnew checks that a daemon enters itself again when the store came back
-// without its entry: a daemon that starts would not find it.
+// TestRegistersAfterRestore checks that a daemon registers again when a restored store lacks its
+// roster entry. Otherwise starting daemons would not find it.
 func TestRegistersAfterRestore(t *testing.T) {
 	c := qt.New(t)
 	n, backend := restorableNode(t)
@@ -96,10 +96,10 @@
 	c.Assert(<-ended, qt.ErrorIs, context.Canceled)
 }
 
-// TestConfigAfterRestore checks that a configuration never goes back with the store: not
-// where one is in force, which the copy proves to be the newest, and not at a daemon that
-// starts, as long as another one has a newer one. A key that was taken away would be
-// good again.
+// TestConfigAfterRestore checks that the configuration never regresses when the store is restored:
+// a configuration in force stays, and a read of an older one confirms it; and a starting daemon
+// does not apply an older one while a peer has a newer one. Otherwise revoked keys would be
+// accepted again.
 func TestConfigAfterRestore(t *testing.T) {
 	c := qt.New(t)
 	config := func(version string) []byte { return []byte(`{"Version":` + version + `}`) }
@@ -117,15 +117,15 @@
 	later := now.Add(time.Second)
 	o.handleConfigRead(configRead{data: config("5"), requestedAt: later, era: 1}, later)
 	c.Assert(inForce(o), qt.Equals, int64(7))
-	c.Assert(o.config.confirmedAt, qt.Equals, later, qt.Commentf("good keys would be refused"))
+	c.Assert(o.config.confirmedAt, qt.Equals, later, qt.Commentf("valid keys would be refused"))
 
 	starting := newTestOwner(t)
 	t.Cleanup(func() { c.Check(starting.n.links.stopAndWait(), qt.IsNil) })
 	starting.handleConfigRead(configRead{data: config("5"), requestedAt: now, era: 1}, now)
-	c.Assert(inForce(starting), qt.Equals, int64(0), qt.Commentf("nobody was heard yet"))
+	c.Assert(inForce(starting), qt.Equals, int64(0), qt.Commentf("no heartbeat was received yet"))
 	starting.handleHeartbeat(heartbeatReceived{heartbeat: Heartbeat{From: "d9", Addr: "127.0.0.1:9", ConfigVersion: 7}, receivedAt: now})
 	starting.applyPendingConfig(now.Add(plannerDiscoveryTimeout))
-	c.Assert(inForce(starting), qt.Equals, int64(0), qt.Commentf("another one has a newer one"))
+	c.Assert(inForce(starting), qt.Equals, int64(0), qt.Commentf("a peer has a newer one"))
 	starting.applyConfig(config("7"), now, "peer")
 	starting.applyPendingConfig(now.Add(plannerDiscoveryTimeout))
 	c.Assert(inForce(starting), qt.Equals, int64(7))
@@ -135,16 +135,16 @@
 	alone.handleConfigRead(configRead{data: config("5"), requestedAt: began, era: 1}, began)
 	c.Assert(inForce(alone), qt.Equals, int64(0))
 	alone.applyPendingConfig(began.Add(plannerDiscoveryTimeout))
-	c.Assert(inForce(alone), qt.Equals, int64(5), qt.Commentf("all were killed: nobody knows a newer one"))
+	c.Assert(inForce(alone), qt.Equals, int64(5), qt.Commentf("all daemons were killed: no peer has a newer one"))
 
 	first := newTestOwner(t)
 	first.handleConfigRead(configRead{data: config("5"), requestedAt: now}, now)
-	c.Assert(inForce(first), qt.Equals, int64(5), qt.Commentf("the store never came back from a copy"))
+	c.Assert(inForce(first), qt.Equals, int64(5), qt.Commentf("the store was never restored"))
 }
 
-// TestPartOfWhatWasWritten checks that a reading which the store cut short proves nothing
-// of what stands behind it: a daemon that was 25 s behind took itself for current after
-// the first megabyte of fifteen.
+// TestTruncatedReadIsNotCurrent checks that a read that the store truncated does not make entries
+// current. A daemon that was 25 s behind regarded its entries as current after the first megabyte
+// of fifteen.
 func TestTruncatedReadIsNotCurrent(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -156,8 +156,8 @@
 	c.Assert(o.fleet.entries.currentAt, qt.Equals, now)
 }
 
-// TestReadingsSkipWhatIsKnown checks that a daemon which was told of entries by others
-// reads from there on, and all anew once the store has lost that place.
+// TestReaderSkipsKnownRecords checks that a daemon skips records that it knows from other daemons,
+// and reads a snapshot once the store has lost that position.
 func TestReaderSkipsKnownRecords(t *testing.T) {
 	c := qt.New(t)
 	n, backend := restorableNode(t)
--- a/cluster/suspicions_test.go
+++ b/cluster/suspicions_test.go
@@ -10,11 +10,10 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestMassSuspicion checks that groups which seem to stand still are passed
-// over, and that all are used if too many of one model seem to. After all daemons
-// had been started anew a fifth of the requests was refused for fourteen seconds;
-// that groups were passed over by turns then is inferred from another case, where it
-// was seen for half a second.
+// TestMassSuspicion checks that suspected groups get no requests, but that all groups are used if
+// too many of a model are suspected. After a restart of all daemons a fifth of the requests was
+// refused for fourteen seconds, presumably because different groups were suspected in turn, as was
+// observed for half a second in another case.
 func TestMassSuspicion(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
--- a/cluster/throttle_test.go
+++ b/cluster/throttle_test.go
@@ -9,8 +9,8 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestSpacing checks that work which takes long rests in proportion, and that the
-// short work of small deployments rests no longer than before.
+// TestThrottle checks that a long task pauses in proportion to its duration, and a short one for
+// the minimum interval.
 func TestThrottle(t *testing.T) {
 	c := qt.New(t)
 	began := time.Now()
@@ -24,8 +24,7 @@
 	}
 }
 
-// TestLongWorkRests checks that planning and views, where they took long, leave the
-// owner time for what comes.
+// TestLongRunsAreThrottled checks that long planning rounds and views are throttled.
 func TestLongRunsAreThrottled(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -34,7 +33,7 @@
 	o.config.routing = &models.Routing{}
 	o.fleet.lastPlan = throttle{started: now, took: 28 * time.Millisecond}
 	o.planGroups(now.Add(100 * time.Millisecond))
-	c.Assert(o.fleet.lastPlan.started, qt.Equals, now, qt.Commentf("it planned too soon"))
+	c.Assert(o.fleet.lastPlan.started, qt.Equals, now, qt.Commentf("planning was not throttled"))
 	o.planGroups(now.Add(112 * time.Millisecond))
 	c.Assert(o.fleet.lastPlan.started, qt.Not(qt.Equals), now)
 	c.Assert(o.fleet.lastPlan.took > 0, qt.IsTrue)
@@ -43,10 +42,10 @@
 	c.Assert(o.lastPublish.took > 0, qt.IsTrue)
 }
 
-// TestLeaseRenewedWhileBusy replays a planner whose owner is behind: its inbox is
-// full, and the lease that it was told of has ended. It was renewed meanwhile, so
-// that the term goes on. Without that the planner of 3,000 instances stopped each
-// second or two, and every daemon asked for all instances anew.
+// TestLeaseRenewedWhileBusy checks that a term continues if the lease was renewed while the owner
+// was busy: its inbox is full, and the expiry that it has handled is over. Without this a planner
+// of 3,000 instances stopped every second or two, and every daemon requested a snapshot of all
+// instances.
 func TestLeaseRenewedWhileBusy(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -65,10 +64,11 @@
 	c.Assert(o.fleet.planner, qt.IsNotNil, qt.Commentf("the lease was renewed"))
 
 	o.planGroups(now.Add(2 * time.Minute))
-	c.Assert(o.fleet.planner, qt.IsNil, qt.Commentf("the lease has ended"))
+	c.Assert(o.fleet.planner, qt.IsNil, qt.Commentf("the lease has expired"))
 }
 
-// A planner gave up a lease that was renewed while it planned a round.
+// TestLeaseRenewedDuringPlanning checks that a planner does not give up a lease that was renewed
+// during a planning round.
 func TestLeaseRenewedDuringPlanning(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
--- a/cluster/unlisted_test.go
+++ b/cluster/unlisted_test.go
@@ -10,9 +10,9 @@
 	"github.com/lupinkeel/lupinkeel/platform"
 )
 
-// TestMemberWithoutEntry checks that a group goes on when a member that is not
-// its head loses its entry, as one that is cut off from the store does. When 18 of
-// 162 instances were, all eight groups of eight were closed within four seconds.
+// TestMemberWithoutEntry checks that a group keeps serving when a member that is not its head loses
+// its entry, as it does when it is cut off from the store. When 18 of 162 instances were, all eight
+// groups of eight were closed within four seconds.
 func TestMemberWithoutEntry(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -63,9 +63,8 @@
 	c.Assert(serving(), qt.Equals, 0)
 }
 
-// TestHeadWithoutEntry checks that no request goes to an instance whose entry is
-// gone, not even until it is next looked at: a member that was kept may tell
-// that it has become the head of a group, by an order that was carried out late.
+// TestHeadWithoutEntry checks that an instance without an entry never gets requests, even if it
+// reports that it has become the head of a group, by an order that was executed late.
 func TestHeadWithoutEntry(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
--- a/cluster/updates_test.go
+++ b/cluster/updates_test.go
@@ -10,10 +10,9 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestMissedNews checks that a daemon that hears from the planner reads the
-// store for itself as soon as it may have missed something: news that were
-// dropped, or a new planner. Requests were sent to an instance over 2 s after it
-// said that it leaves.
+// TestMissedUpdates checks that a daemon reads the store as soon as it may have missed an update:
+// after a gap in the sequence, or a change of planner. Without this, requests were sent to an
+// instance over 2 s after its leaving signal.
 func TestMissedUpdates(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -26,7 +25,7 @@
 	receive(1, 1, false)
 	c.Assert(o.n.hasFreshUpdates(), qt.IsFalse)
 	receive(1, 2, false)
-	c.Assert(o.n.hasFreshUpdates(), qt.IsFalse, qt.Commentf("what was told before the first is missing"))
+	c.Assert(o.n.hasFreshUpdates(), qt.IsFalse, qt.Commentf("what preceded the first update is missing"))
 	read()
 	receive(1, 3, false)
 	c.Assert(o.n.hasFreshUpdates(), qt.IsTrue)
@@ -34,7 +33,7 @@
 	c.Assert(o.n.hasFreshUpdates(), qt.IsFalse)
 	c.Assert(o.n.entriesReadInterval(), qt.Equals, time.Duration(0))
 	receive(1, 6, false)
-	c.Assert(o.n.hasFreshUpdates(), qt.IsFalse, qt.Commentf("the next news don't bring what was missed"))
+	c.Assert(o.n.hasFreshUpdates(), qt.IsFalse, qt.Commentf("the next update does not include the missed ones"))
 	c.Assert(o.n.entriesReadInterval(), qt.Equals, time.Duration(0))
 	read()
 	receive(1, 7, false)
@@ -47,9 +46,9 @@
 	c.Assert(o.n.hasFreshUpdates(), qt.IsFalse)
 }
 
-// TestNewsInOne checks that what the planner learns within some ms is told at
-// once: all 89 others missed news ten times in 20 s, as each of a dozen reports was
-// told by itself, and read the store.
+// TestUpdatesAreBatched checks that updates within some milliseconds are sent in one broadcast.
+// When each of a dozen reports was broadcast by itself, all 89 other daemons missed updates ten
+// times in 20 s, and read the store.
 func TestUpdatesAreBatched(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -65,10 +64,9 @@
 	c.Assert(o.fleet.pendingUpdates, qt.HasLen, 0)
 }
 
-// TestGoneAfterReport checks that an instance of which a daemon first hears by
-// what it told the planner is dropped when the planner reads that its entry is
-// gone, also if it asked the store just before it asked the instance: kept, it
-// would get requests until the daemon reads all entries again.
+// TestGoneAfterReport checks that an instance first known from its report to the planner is removed
+// when the planner reads that its entry is gone, even if the planner requested the entries just
+// before the report. Otherwise it would get requests until the daemon reads all entries again.
 func TestGoneAfterReport(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -81,10 +79,9 @@
 	c.Assert(o.fleet.instances["i-1"], qt.IsNil)
 }
 
-// TestMissedIsTold checks that a daemon which leaves reading the store to relays
-// gets what it missed from its relay: as soon as that knows all itself, without
-// what the relay does not know either, and without going back behind what it heard
-// meanwhile. It reads the store only if the relay does not answer.
+// TestSnapshotAfterMissedUpdates checks that a daemon that uses a relay recovers missed updates by
+// the relay's snapshot: only from a relay that has the updates itself, and without reverting
+// updates received meanwhile. It reads the store only if the relay does not answer.
 func TestSnapshotAfterMissedUpdates(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -110,10 +107,10 @@
 	c.Assert(missed(), qt.IsTrue)
 	c.Assert(o.n.heartbeat(o.peers.topology.First, membership.Link{RelaysFirst: true}).MissedUpdates, qt.IsTrue)
 	receive(6, true, instance("i-2", false, time.Second))
-	c.Assert(missed(), qt.IsTrue, qt.Commentf("the relay does not know the seventh either"))
+	c.Assert(missed(), qt.IsTrue, qt.Commentf("the relay lacks the seventh update too"))
 	receive(7, true, instance("i-2", false, time.Second))
 	c.Assert(missed(), qt.IsFalse)
-	c.Assert(o.fleet.instances["i-2"].Draining, qt.IsTrue, qt.Commentf("the relay told something older"))
+	c.Assert(o.fleet.instances["i-2"].Draining, qt.IsTrue, qt.Commentf("the relay's state is older"))
 
 	receive(10, false)
 	c.Assert(o.n.entriesReadInterval(), qt.Not(qt.Equals), time.Duration(0))
@@ -123,8 +120,8 @@
 	c.Assert(o.n.entriesReadInterval(), qt.Equals, time.Duration(0), qt.Commentf("the relay did not answer"))
 }
 
-// TestUnfedAsksRelay checks that a daemon which hears of no planner any more asks its
-// relay before it reads the store, and that a relay which reads the store answers.
+// TestStaleDaemonRequestsSnapshot checks that a daemon that gets no updates any more asks its relay
+// before it reads the store, and that a relay that reads the store sends it a snapshot.
 func TestStaleDaemonRequestsSnapshot(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -134,17 +131,17 @@
 	o.handleUpdate(updateReceived{term: 1, seq: 4, snapshot: true, entries: &EntriesRange{}, receivedAt: now})
 	c.Assert(o.n.missedUpdates.pending(), qt.IsFalse)
 	o.requestIfStale(now)
-	c.Assert(o.n.missedUpdates.pending(), qt.IsFalse, qt.Commentf("it is fed"))
+	c.Assert(o.n.missedUpdates.pending(), qt.IsFalse, qt.Commentf("it gets updates"))
 	o.n.updatesCurrentAt.Store(now.Add(-relayedUpdateTimeout).UnixNano())
 	o.requestIfStale(now)
-	c.Assert(o.n.missedUpdates.pending(), qt.IsFalse, qt.Commentf("it has read the store just now"))
+	c.Assert(o.n.missedUpdates.pending(), qt.IsFalse, qt.Commentf("it has just read the store"))
 	o.fleet.entries.currentAt = now.Add(-relayedUpdateTimeout)
 	o.publishProgress()
 	o.requestIfStale(now)
 	c.Assert(o.n.missedUpdates.pending(), qt.IsTrue)
 	c.Assert(o.n.waitsForRelay(), qt.IsTrue)
 	o.handleUpdate(updateReceived{term: 1, seq: 4, snapshot: true, entries: &EntriesRange{Age: relayedUpdateTimeout}, receivedAt: now})
-	c.Assert(o.n.missedUpdates.pending(), qt.IsTrue, qt.Commentf("the relay knows nothing newer either"))
+	c.Assert(o.n.missedUpdates.pending(), qt.IsTrue, qt.Commentf("the relay's entries are no newer"))
 	o.handleUpdate(updateReceived{term: 1, seq: 4, snapshot: true, entries: &EntriesRange{}, receivedAt: now})
 	c.Assert(o.n.missedUpdates.pending(), qt.IsFalse)
 	c.Assert(o.n.updatedWithin(relayedUpdateTimeout), qt.IsTrue)
@@ -152,14 +149,14 @@
 	relay := newTestOwner(t)
 	t.Cleanup(func() { c.Check(relay.n.links.stopAndWait(), qt.IsNil) })
 	addPeers(relay, 2, 7)
-	c.Assert(relay.sendSnapshot("peer-0", now), qt.IsFalse, qt.Commentf("it knows of no planner and has read nothing"))
+	c.Assert(relay.sendSnapshot("peer-0", now), qt.IsFalse, qt.Commentf("it has no updates and has read nothing"))
 	relay.handleEntries(readResult{requestedAt: now}, true)
 	relay.n.missedUpdates.recoverTo(1)
 	c.Assert(relay.sendSnapshot("peer-0", now), qt.IsTrue)
 }
 
-// TestRelayAnswers checks that a relay tells those that missed news all it knows,
-// each once, but only as long as it misses nothing itself.
+// TestRelaySendsSnapshots checks that a relay sends one snapshot for each request, but only while
+// it has missed no updates itself.
 func TestRelaySendsSnapshots(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -176,24 +173,24 @@
 		return n
 	}
 	o.answerSnapshotRequests(time.Now())
-	c.Assert(sentFrames(), qt.Equals, 0, qt.Commentf("it has heard nothing of a planner"))
+	c.Assert(sentFrames(), qt.Equals, 0, qt.Commentf("it has had no update of a planner"))
 	for seq := range int64(2) {
 		o.handleUpdate(updateReceived{term: 1, seq: seq + 1, entries: &EntriesRange{}, receivedAt: time.Now()})
 	}
 	o.answerSnapshotRequests(time.Now())
-	c.Assert(sentFrames(), qt.Equals, 0, qt.Commentf("what was told before the first is missing"))
+	c.Assert(sentFrames(), qt.Equals, 0, qt.Commentf("what preceded the first update is missing"))
 	o.n.missedUpdates.recoverTo(o.n.missedUpdates.recorded.Load())
 	o.answerSnapshotRequests(time.Now())
 	o.answerSnapshotRequests(time.Now())
 	c.Assert(sentFrames(), qt.Equals, 1)
 	o.handleHeartbeat(heartbeatReceived{heartbeat: heartbeat, receivedAt: time.Now()})
 	o.answerSnapshotRequests(time.Now())
-	c.Assert(sentFrames(), qt.Equals, 1, qt.Commentf("it asks again"))
+	c.Assert(sentFrames(), qt.Equals, 1, qt.Commentf("it requests again"))
 }
 
-// TestPartIsAwaited checks that a daemon which starts reads the store as soon as it
-// knows its part among the daemons, and soon after if it does not learn that. Looked
-// for each 125 ms it took 140 ms from its start to its configuration, 20 ms now.
+// TestAwaitRoster checks that a starting daemon reads the store as soon as the roster is known, or
+// after rosterTimeout. When it checked every 125 ms, it had its configuration 140 ms after its
+// start, and now after 20 ms.
 func TestAwaitRoster(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -207,9 +204,9 @@
 	c.Assert(time.Since(began) < rosterTimeout/2, qt.IsTrue)
 }
 
-// TestWhichRelayIsAsked checks that a daemon asks the relay whose word it uses, another
-// one if that does not know itself what was written of late, and none if neither does: it
-// reads the store at once then, and otherwise once what it knows is too old to wait.
+// TestPickRelay checks that a daemon asks its primary relay for a snapshot, another relay if the
+// primary's entries are stale, and none if all are. Then it reads the store at once, otherwise when
+// its own entries are too old to wait.
 func TestPickRelay(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
@@ -243,7 +240,7 @@
 	c.Assert(o.n.waitsForRelay(), qt.IsTrue)
 	c.Assert(o.n.entriesReadInterval(), qt.Not(qt.Equals), time.Duration(0))
 	setOwnAge(maxRelayWait)
-	c.Assert(o.n.waitsForRelay(), qt.IsFalse, qt.Commentf("what it knows is too old to wait"))
+	c.Assert(o.n.waitsForRelay(), qt.IsFalse, qt.Commentf("its entries are too old to wait"))
 	c.Assert(o.n.entriesReadInterval(), qt.Equals, time.Duration(0))
 
 	setOwnAge(time.Second)
@@ -256,6 +253,6 @@
 	setRelayAge(second, 2*relayedUpdateTimeout)
 	o.requestIfStale(now)
 	c.Assert(requestsFrom(second), qt.IsFalse)
-	c.Assert(o.n.waitsForRelay(), qt.IsFalse, qt.Commentf("no relay could tell"))
+	c.Assert(o.n.waitsForRelay(), qt.IsFalse, qt.Commentf("no relay has current entries"))
 	c.Assert(o.n.entriesReadInterval(), qt.Equals, time.Duration(0))
 }
