--- a/cluster/candidacy.go
+++ b/cluster/candidacy.go
@@ -44,8 +44,8 @@
 
 // isCandidate reports whether this node should ask the store for the planner's lease, or keep
 // renewing it. No other daemon asks while there is a planner: with standbys in the lease group,
-// each restart of one made the store reassign the lease, and the planner changed seven times in 34
-// s while daemons restarted, and twice while none did.
+// each restart of one made the store reassign the lease, and the planner changed seven times in
+// 34 s while daemons restarted, and twice while none did.
 func (o *owner) isCandidate(now time.Time) bool {
 	if o.n.resigned.Load() {
 		return false
@@ -85,8 +85,8 @@
 	if o.peers.term == 0 {
 		return false
 	}
-	running := o.uptime(now)
-	return running < plannerDiscoveryTimeout || (running < rankSettleTime && silence < electionTimeout)
+	uptime := o.uptime(now)
+	return uptime < plannerDiscoveryTimeout || (uptime < rankSettleTime && silence < electionTimeout)
 }
 
 // uptime returns how long this node has run.
--- a/cluster/candidacy_test.go
+++ b/cluster/candidacy_test.go
@@ -12,9 +12,9 @@
 )
 
 // newRunningOwner returns an owner with an uptime.
-func newRunningOwner(t *testing.T, id models.DaemonID, power float64, running time.Duration) *owner {
+func newRunningOwner(t *testing.T, id models.DaemonID, power float64, uptime time.Duration) *owner {
 	o := newTestOwner(t)
-	o.n.cfg.ID, o.n.cfg.Power, o.n.started = id, power, time.Now().Add(-running).UnixNano()
+	o.n.cfg.ID, o.n.cfg.Power, o.n.started = id, power, time.Now().Add(-uptime).UnixNano()
 	o.peers = newPeersState(o.n.cfg)
 	return o
 }
@@ -25,8 +25,8 @@
 func TestCandidacy(t *testing.T) {
 	c := qt.New(t)
 	var o *owner
-	start := func(id models.DaemonID, power float64, running time.Duration) {
-		o = newRunningOwner(t, id, power, running)
+	start := func(id models.DaemonID, power float64, uptime time.Duration) {
+		o = newRunningOwner(t, id, power, uptime)
 	}
 	addPeers := func(term int64, powers ...float64) {
 		for i, p := range powers {
--- a/cluster/links.go
+++ b/cluster/links.go
@@ -127,8 +127,8 @@
 	peer.target = t
 	peer.compress.Store(t.acceptsCompressed)
 	if before.role != t.role || peer.sharedRole.Load() == nil {
-		link := t.role
-		peer.sharedRole.Store(&link)
+		role := t.role
+		peer.sharedRole.Store(&role)
 		peer.synced = peer.synced && before.role.Totals == t.role.Totals
 		// The peer has to know its new role for this daemon at once.
 		notify(peer.heartbeatDue)
@@ -142,11 +142,11 @@
 	peer.stop()
 	linkCtx, cancel := context.WithCancel(ctx)
 	peer.cancel = cancel
-	made := linkConfig{id: id, addr: t.addr, zone: "other", peer: peer}
+	cfg := linkConfig{id: id, addr: t.addr, zone: "other", peer: peer}
 	if t.zone == l.n.cfg.Zone {
-		made.zone = "own"
+		cfg.zone = "own"
 	}
-	l.tasks = append(l.tasks, task.Start(linkCtx, "link", func(ctx context.Context) error { return l.n.maintainLink(ctx, made) }))
+	l.tasks = append(l.tasks, task.Start(linkCtx, "link", func(ctx context.Context) error { return l.n.maintainLink(ctx, cfg) }))
 }
 
 // broadcast sends an update to every other daemon: directly in a mesh, otherwise to the linked
--- a/cluster/links_test.go
+++ b/cluster/links_test.go
@@ -73,8 +73,8 @@
 
 // TestSnapshotsAtMassStart checks how long it takes a relay to send snapshots of 3,000 instances to
 // 97 daemons of its zone that start at once, at 200 Mbit/s. It must be well below the time after
-// which a relay without heartbeats is regarded as dead. It takes 0.34 s. Uncompressed it took 2.5
-// s; then the daemons asked the next relay, and so on forever. Older versions, which can't read
+// which a relay without heartbeats is regarded as dead. It takes 0.34 s. Uncompressed it took
+// 2.5 s; then the daemons asked the next relay, and so on forever. Older versions, which can't read
 // compressed frames, get plain ones.
 func TestSnapshotsAtMassStart(t *testing.T) {
 	c := qt.New(t)
--- a/cluster/loads.go
+++ b/cluster/loads.go
@@ -122,9 +122,9 @@
 	delete(p.byDaemon, id)
 }
 
-// removeAggregates removes the totals of several daemons from any sender, because this daemon has
+// removeTotals removes the totals of several daemons from any sender, because this daemon has
 // another primary relay now.
-func (p *peerLoads) removeAggregates() {
+func (p *peerLoads) removeTotals() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, known := range p.byDaemon {
@@ -134,23 +134,23 @@
 	}
 }
 
-// aggregateTimeout is the time without new totals after which the last ones are dropped. Requests
+// totalsTimeout is the time without new totals after which the last ones are dropped. Requests
 // last a second or so.
-const aggregateTimeout = time.Second
+const totalsTimeout = time.Second
 
-// prune removes totals older than aggregateTimeout.
+// prune removes totals older than totalsTimeout.
 func (p *peerLoads) prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, known := range p.byDaemon {
-		if known.scope != scopeDaemon && now.Sub(known.receivedAt) > aggregateTimeout {
+		if known.scope != scopeDaemon && now.Sub(known.receivedAt) > totalsTimeout {
 			p.removeLocked(id)
 		}
 	}
 }
 
-// aggregateAge returns the age of the newest totals, 0 if there are none.
-func (p *peerLoads) aggregateAge(now time.Time) time.Duration {
+// totalsAge returns the age of the newest totals, 0 if there are none.
+func (p *peerLoads) totalsAge(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var newest time.Time
@@ -165,7 +165,7 @@
 	return now.Sub(newest)
 }
 
-func (p *peerLoads) total(id models.InstanceID) Load {
+func (p *peerLoads) loadOn(id models.InstanceID) Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sum[id]
@@ -200,7 +200,7 @@
 }
 
 // PeersLoad returns the load of other daemons on an instance, as last received.
-func (n *Node) PeersLoad(id models.InstanceID) Load { return n.peerLoads.total(id) }
+func (n *Node) PeersLoad(id models.InstanceID) Load { return n.peerLoads.loadOn(id) }
 
 const (
 	// loadsDelay is how long changed loads are collected before they are sent. It is short against
--- a/cluster/loads_test.go
+++ b/cluster/loads_test.go
@@ -18,7 +18,7 @@
 	apply := func(incarnation int64, change uint64, all bool, requests int) {
 		p.apply(Update{From: "d2", Incarnation: incarnation, LoadsVersion: change, Full: all, Loads: map[models.InstanceID]Load{"i-1": {Requests: requests}}}, "a", nil)
 	}
-	requests := func() int { return p.total("i-1").Requests }
+	requests := func() int { return p.loadOn("i-1").Requests }
 
 	apply(1, 5, true, 3)
 	apply(1, 7, false, 4)
@@ -34,7 +34,7 @@
 	p.apply(Update{From: "d2", Incarnation: 2, LoadsVersion: 3, Loads: map[models.InstanceID]Load{"i-2": {Requests: 5}}}, "a", nil)
 	apply(2, 2, false, 6)
 	c.Assert(requests(), qt.Equals, 2, qt.Commentf("an older change is late"))
-	c.Assert(p.total("i-2").Requests, qt.Equals, 5)
+	c.Assert(p.loadOn("i-2").Requests, qt.Equals, 5)
 
 	p.remove("d2")
 	c.Assert(requests(), qt.Equals, 0)
@@ -46,10 +46,10 @@
 	c.Assert(requests(), qt.Equals, 0, qt.Commentf("it sends its loads to another relay now"))
 }
 
-// TestLoadAggregates checks that a daemon subtracts its own loads from the cluster's total, that a
+// TestLoadTotals checks that a daemon subtracts its own loads from the cluster's total, that a
 // relay sums up its zone and the totals of other zones, and that totals are replaced by those of
 // another relay and dropped when they are too old.
-func TestLoadAggregates(t *testing.T) {
+func TestLoadTotals(t *testing.T) {
 	c := qt.New(t)
 	p := newPeerLoads()
 	own := map[models.InstanceID]Load{"i-1": {Requests: 1, Unread: 100}}
@@ -62,15 +62,15 @@
 	}
 
 	apply("r1", "a", scopeCluster, 1, 7)
-	c.Assert(p.total("i-1"), qt.Equals, Load{Requests: 6, Unread: 600})
+	c.Assert(p.loadOn("i-1"), qt.Equals, Load{Requests: 6, Unread: 600})
 	apply("r2", "a", scopeCluster, 2, 9)
-	c.Assert(p.total("i-1").Requests, qt.Equals, 6, qt.Commentf("a change to another relay's totals"))
+	c.Assert(p.loadOn("i-1").Requests, qt.Equals, 6, qt.Commentf("a change to another relay's totals"))
 	apply("r2", "a", scopeCluster, 1, 9)
-	c.Assert(p.total("i-1").Requests, qt.Equals, 8, qt.Commentf("another relay takes over"))
+	c.Assert(p.loadOn("i-1").Requests, qt.Equals, 8, qt.Commentf("another relay takes over"))
 	apply("r1", "a", scopeCluster, 8, 3)
-	c.Assert(p.total("i-1").Requests, qt.Equals, 8)
+	c.Assert(p.loadOn("i-1").Requests, qt.Equals, 8)
 
-	p.removeAggregates()
+	p.removeTotals()
 	apply("d2", "a", scopeDaemon, 1, 2)
 	apply("d3", "a", scopeDaemon, 1, 3)
 	apply("r3", "b", scopeZone, 1, 10)
@@ -82,7 +82,7 @@
 	all, _ = p.totals(own)
 	c.Assert(all["i-1"].Requests, qt.Equals, 37, qt.Commentf("the other zone has another relay"))
 
-	p.prune(time.Now().Add(2 * aggregateTimeout))
+	p.prune(time.Now().Add(2 * totalsTimeout))
 	all, _ = p.totals(own)
 	c.Assert(all["i-1"].Requests, qt.Equals, 6, qt.Commentf("only loads of single daemons stay"))
 }
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -157,7 +157,7 @@
 		if n.View().mesh() {
 			return 0
 		}
-		return n.peerLoads.aggregateAge(time.Now()).Seconds()
+		return n.peerLoads.totalsAge(time.Now()).Seconds()
 	})
 	n.stats.set.NewGauge("lupinkeel_daemons", func() float64 { return float64(n.View().Daemons) })
 	n.stats.set.NewGauge("lupinkeel_relay", func() float64 {
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -124,8 +124,8 @@
 
 // markStoreRecovered logs that a call to the store succeeded after failures.
 func (o *owner) markStoreRecovered(what string) {
-	since, away := o.storeFailingSince[what]
-	if !away {
+	since, failing := o.storeFailingSince[what]
+	if !failing {
 		return
 	}
 	delete(o.storeFailingSince, what)
--- a/cluster/peerserver_test.go
+++ b/cluster/peerserver_test.go
@@ -36,7 +36,7 @@
 		_, err := s.handleFrame(context.Background(), frameLoads, body, from)
 		c.Assert(err, qt.IsNil)
 	}
-	c.Assert(n.peerLoads.total("i-1e5e60a8b1"), qt.Equals, Load{Requests: 3, Unread: 640})
+	c.Assert(n.peerLoads.loadOn("i-1e5e60a8b1"), qt.Equals, Load{Requests: 3, Unread: 640})
 	c.Assert(n.peerLoads.byDaemon["d-2"].incarnation, qt.Equals, int64(7))
 	c.Assert(n.peerLoads.byDaemon["d-3"].loads["i-2"].Requests, qt.Equals, 1)
 }
--- a/cluster/planning.go
+++ b/cluster/planning.go
@@ -76,7 +76,7 @@
 	}
 	started := time.Now()
 	f.lastPlan = throttle{started: now}
-	if o.leaseEnded(now) {
+	if o.leaseExpired(now) {
 		o.stopPlanning("the lease expired")
 		return
 	}
@@ -92,9 +92,9 @@
 	f.lastPlan.took = time.Since(started)
 }
 
-// leaseEnded reports whether another daemon may have become planner. Time in which the machine was
+// leaseExpired reports whether another daemon may have become planner. Time in which the machine was
 // suspended counts: a planner that resumes would send orders in parallel to its successor.
-func (o *owner) leaseEnded(now time.Time) bool {
+func (o *owner) leaseExpired(now time.Time) bool {
 	// The lease may have been renewed during the last round, which can take long.
 	if l := o.n.lease.Load(); l != nil && l.term == o.fleet.heldTerm {
 		o.fleet.leaseUntil = l.until
@@ -142,7 +142,7 @@
 
 // sendOrders sends queued orders, unless the lease has ended.
 func (o *owner) sendOrders() {
-	if o.fleet.planner != nil && o.leaseEnded(time.Now()) {
+	if o.fleet.planner != nil && o.leaseExpired(time.Now()) {
 		o.stopPlanning("the lease expired")
 	}
 	o.startCalls()
@@ -167,13 +167,13 @@
 // probeUnconfirmed probes the service's instances that have not been seen in this term, and those
 // whose entries are overdue although the store is up.
 func (o *owner) probeUnconfirmed(name models.ServiceName, now time.Time) {
-	_, away := o.storeFailingSince[platform.InstancesTopic]
+	_, storeDown := o.storeFailingSince[platform.InstancesTopic]
 	overdue := time.Duration(overdueFactor * float64(o.n.cfg.InstanceHeartbeat))
 	for _, i := range o.fleet.instances {
 		if i.Service != name || !i.lostSince.IsZero() {
 			continue
 		}
-		overdueEntry := !away && now.Sub(i.entrySeenAt) > overdue && now.Sub(i.stateAt) > overdue
+		overdueEntry := !storeDown && now.Sub(i.entrySeenAt) > overdue && now.Sub(i.stateAt) > overdue
 		if overdueEntry || o.fleet.unconfirmed(i) {
 			o.probe(i, now, probeTimeout)
 		}
--- a/cluster/topology.go
+++ b/cluster/topology.go
@@ -17,7 +17,7 @@
 // daemons this one sends what.
 
 // topologyInterval is how often the topology is computed when no roster entry or heartbeat has
-// changed it: peers may have timed out, or passed-over peers may count again.
+// changed it: peers may have timed out, or not be excluded after a timeout any more.
 const topologyInterval = 300 * time.Millisecond
 
 // handleRoster applies roster entries read from the store.
@@ -94,7 +94,7 @@
 		o.n.log.Info().Str("first", string(a.First)).Bool("relay", a.Relay).Bool("mesh", a.Mesh).Int("daemons", a.Size).Msg("arranged")
 	}
 	if a.First != p.topology.First {
-		o.n.peerLoads.removeAggregates()
+		o.n.peerLoads.removeTotals()
 	}
 	p.topology, p.topologyAt, p.topologyStale, o.viewStale = a, now, false, true
 	targets := make(map[models.DaemonID]target, len(a.Links))
--- a/cluster/updates.go
+++ b/cluster/updates.go
@@ -144,7 +144,7 @@
 	case m.entries != nil && k.knownThrough.Compare(m.entries.End) <= 0, m.entries == nil && m.receivedAt.Add(-u.Age).After(k.entrySeenAt):
 		o.handleEntryGone(id)
 	}
-	if _, known := o.fleet.instances[id]; !known && u.Instance.Heartbeat > 0 {
+	if _, stillKnown := o.fleet.instances[id]; !stillKnown && u.Instance.Heartbeat > 0 {
 		o.fleet.markEnded(u.Instance, now)
 	}
 }
--- a/cluster/wire.go
+++ b/cluster/wire.go
@@ -73,9 +73,9 @@
 	// ZoneWork is the total Work of all daemons in the sender's zone. Relays send it to relays of
 	// other zones.
 	ZoneWork map[models.ModelName]float32 `msgpack:"zw,omitempty"`
-	// Grants is the number of daemons, by zone of the instances, on whose behalf the sender takes
-	// the receiver for the granter of permits. Granters are the granters as the sender, a relay,
-	// knows them. Both are sent only while some instance has a rate limit.
+	// Grants is, by zone of the instances, the number of daemons for which the sender requests
+	// permits from the receiver. Granters are the granters of permits as the sender, a relay, knows
+	// them. Both are sent only while some instance has a rate limit.
 	Grants   map[models.Zone]int             `msgpack:"gr,omitempty"`
 	Granters map[models.Zone]models.DaemonID `msgpack:"gs,omitempty"`
 }
