--- a/cluster/planning.go
+++ b/cluster/planning.go
@@ -10,74 +10,74 @@
 )
 
 const (
-	// planLeast is the least time between two plannings; what comes in between
-	// waits for the next tick.
-	planLeast = 20 * time.Millisecond
-	// overdueFactor is how many heartbeats an instance may miss in the store
-	// before it is asked itself.
+	// minPlanInterval is the minimum time between two planning rounds. Changes in between wait for
+	// the next tick.
+	minPlanInterval = 20 * time.Millisecond
+	// overdueFactor is how many heartbeats of an instance the store may lack before the instance is
+	// probed.
 	overdueFactor = 2.2
-	// leastCalls and mostCalls bound how many orders and questions may be under way,
-	// callsWait how much longer than the quickest they may take: then they wait for the
-	// node's own processor, and so does the renewal of its lease.
-	leastCalls = 8
-	mostCalls  = 128
-	callsWait  = 40 * time.Millisecond
+	// minCalls and maxCalls bound the limit on orders and probes in flight. The limit is lowered
+	// when calls take longer than the fastest by maxCallQueueing: then they queue for this node's
+	// processor, and so does the renewal of its lease.
+	minCalls        = 8
+	maxCalls        = 128
+	maxCallQueueing = 40 * time.Millisecond
 )
 
-// handleLease has this node plan in a new term, or go on in the one it is in.
+// handleLease makes this node planner in a new term, or extends the current one.
 func (o *owner) handleLease(m leaseHeld) {
 	f := &o.fleet
-	if m.term == o.n.spentTerm.Load() {
-		// The store is asked for another term at the next renewal.
+	if m.term == o.n.lastEndedTerm.Load() {
+		// The next renewal asks the store for another term.
 		return
 	}
-	f.until = m.until
+	f.leaseUntil = m.until
 	if f.planner != nil && f.heldTerm == m.term {
 		return
 	}
-	f.began = time.Now()
-	f.planner, f.heldTerm, f.busy, f.feed = fleet.NewPlanner(m.term, f.began), m.term, nil, 0
-	// What was to be told in an earlier term is outdated.
-	f.news, f.toldTo = nil, f.entries.end
+	f.termBegan = time.Now()
+	f.planner, f.heldTerm, f.busy, f.updateSeq = fleet.NewPlanner(m.term, f.termBegan), m.term, nil, 0
+	// Updates pending from an earlier term are outdated.
+	f.pendingUpdates, f.broadcastEnd = nil, f.entries.end
 	for _, i := range f.instances {
-		// What others told may be old; each is asked now.
-		i.lost, i.failed = time.Time{}, time.Time{}
-		// Whatever they were told before was told in another term.
-		i.spread = models.UpstreamInstance{}
+		// The state from other daemons may be old; each instance is probed now.
+		i.lostSince, i.probeFailedAt = time.Time{}, time.Time{}
+		// Earlier broadcasts belong to another term.
+		i.lastBroadcast = models.UpstreamInstance{}
 	}
 	o.n.planning.Store(true)
 	o.viewStale = true
 	o.n.log.Info().Int64("term", m.term).Msg("planning-begun")
 }
 
-// stopPlanning ends the term for good: its fences are not to be used again.
+// stopPlanning ends the term for good: its fences must not be used again.
 func (o *owner) stopPlanning(reason string) {
 	if o.fleet.planner == nil {
 		return
 	}
 	o.n.log.Info().Int64("term", o.fleet.heldTerm).Str("reason", reason).Msg("planning-ended")
-	o.n.links.send(News{From: o.n.cfg.ID, Term: o.fleet.heldTerm, Ended: true})
-	o.fleet.planner, o.fleet.orders, o.fleet.questions = nil, nil, nil
+	o.n.links.broadcast(Update{From: o.n.cfg.ID, Term: o.fleet.heldTerm, TermEnded: true})
+	o.fleet.planner, o.fleet.orders, o.fleet.probes = nil, nil, nil
 	for _, k := range o.fleet.instances {
-		k.waits = false
+		k.probeQueued = false
 	}
-	// Whoever took the lease is heard of in a moment.
-	o.peers.planned = time.Now()
+	// The next planner will be seen shortly.
+	o.peers.plannerSeenAt = time.Now()
 	o.viewStale = true
-	o.n.spentTerm.Store(o.fleet.heldTerm)
+	o.n.lastEndedTerm.Store(o.fleet.heldTerm)
 	o.n.planning.Store(false)
 }
 
-// planGroups gives the orders that are due, if this node plans.
+// planGroups runs a planning round, if this node is the planner and a round is due.
 func (o *owner) planGroups(now time.Time) {
 	f := &o.fleet
-	if f.planner == nil || o.config.routing == nil || len(f.orders) > 0 || !f.planned.due(now, planLeast) {
+	if f.planner == nil || o.config.routing == nil || len(f.orders) > 0 || !f.lastPlan.ready(now, minPlanInterval) {
 		return
 	}
 	started := time.Now()
-	f.planned = spacing{began: now}
-	if o.leaseEnded(now) {
-		o.stopPlanning("the lease ended")
+	f.lastPlan = throttle{started: now}
+	if o.leaseExpired(now) {
+		o.stopPlanning("the lease expired")
 		return
 	}
 	if f.planner.Superseded() {
@@ -89,100 +89,98 @@
 			o.planService(name, service.Engine, now)
 		}
 	}
-	f.planned.took = time.Since(started)
+	f.lastPlan.took = time.Since(started)
 }
 
-// leaseEnded reports whether another daemon may plan by now. Time in which the machine was
-// suspended counts: a planner that wakes would give orders beside the one that took over.
-func (o *owner) leaseEnded(now time.Time) bool {
-	// It may have been renewed at any time: a round of planning takes long, and rounds are
-	// far apart then.
+// leaseExpired reports whether another daemon may have become planner. Time in which the machine was
+// suspended counts: a planner that resumes would send orders in parallel to its successor.
+func (o *owner) leaseExpired(now time.Time) bool {
+	// The lease may have been renewed during the last round, which can take long.
 	if l := o.n.lease.Load(); l != nil && l.term == o.fleet.heldTerm {
-		o.fleet.until = l.until
+		o.fleet.leaseUntil = l.until
 	}
-	renewed := o.fleet.until.Add(leaseMargin - o.n.cfg.LeaseMin)
+	renewed := o.fleet.leaseUntil.Add(leaseMargin - o.n.cfg.LeaseMin)
 	suspended := o.n.clock.Suspended(renewed)
 	if suspended > o.n.cfg.LeaseMin {
 		return true
 	}
-	return now.Add(suspended).After(o.fleet.until) && !o.mayOutlast(now)
+	return now.Add(suspended).After(o.fleet.leaseUntil) && !o.mayOutliveLease(now)
 }
 
-// mayOutlast reports whether the planner goes on although its lease could not
-// be renewed: the store is away for the other daemons as well, so that no
-// other can have begun.
-func (o *owner) mayOutlast(now time.Time) bool {
+// mayOutliveLease reports whether the planner continues although its lease could not be renewed. It
+// does while the store is down for the other daemons too, so that none can have become planner.
+func (o *owner) mayOutliveLease(now time.Time) bool {
 	if o.peers.term > o.fleet.heldTerm {
 		return false
 	}
 	for _, p := range o.peers.seen {
-		if p.beat.ConfigAge < now.Sub(o.fleet.until) || p.readSince(o.fleet.until) {
+		if p.heartbeat.ConfigAge < now.Sub(o.fleet.leaseUntil) || p.storeServedSince(o.fleet.leaseUntil) {
 			return false
 		}
 	}
 	return len(o.peers.seen) > 0
 }
 
-// readSince reports whether the store served another daemon after a time. The word of
-// configurations does not tell that soon: all have it from the planner, and read for
-// themselves 1.8 s after it last came. A planner that the store had turned away went on
-// for 1.6 s after its lease had ended.
-func (p seenPeer) readSince(at time.Time) bool {
-	return p.beat.EntriesAge > 0 && p.at.Add(-p.beat.EntriesAge).After(at)
+// storeServedSince reports whether the store has answered a peer since a time. The age of the
+// peer's configuration does not show that soon enough: all peers get their confirmation from the
+// planner, and read the store 1.8 s after the last one. By that alone, a planner that was cut off
+// from the store continued for 1.6 s after its lease had ended.
+func (p peerStatus) storeServedSince(at time.Time) bool {
+	return p.heartbeat.EntriesAge > 0 && p.receivedAt.Add(-p.heartbeat.EntriesAge).After(at)
 }
 
-// planService gives the orders that are due for one service's instances.
+// planService plans one service's instances and sends the orders that are due.
 func (o *owner) planService(name models.ServiceName, engine *models.EngineProfile, now time.Time) {
 	f := &o.fleet
-	o.askDoubtful(name, now)
+	o.probeUnconfirmed(name, now)
 	world := o.world(name, engine, now)
 	o.n.stats.plans.Inc()
 	o.logSupply(engine, world)
 	f.orders = append(f.orders, f.planner.Step(world)...)
-	o.giveOrders()
+	o.sendOrders()
 }
 
-// giveOrders gives the orders that are due, unless the lease has ended.
-func (o *owner) giveOrders() {
-	if o.fleet.planner != nil && o.leaseEnded(time.Now()) {
-		o.stopPlanning("the lease ended")
+// sendOrders sends queued orders, unless the lease has ended.
+func (o *owner) sendOrders() {
+	if o.fleet.planner != nil && o.leaseExpired(time.Now()) {
+		o.stopPlanning("the lease expired")
 	}
-	o.makeCalls()
+	o.startCalls()
 }
 
-// giveFirst gives the first order that is due.
-func (o *owner) giveFirst() {
+// sendFirstOrder sends the first queued order.
+func (o *owner) sendFirstOrder() {
 	f := &o.fleet
 	order := f.orders[0]
 	f.orders = f.orders[1:]
 	k := f.instances[order.Instance]
 	if k == nil {
-		// Its entry went meanwhile; the next round knows.
+		// The instance was removed meanwhile; the next round takes that into account.
 		return
 	}
-	f.underWay++
+	f.ordersInFlight++
 	o.n.log.Info().Str("order", string(order.Kind)).Str("instance", string(order.Instance)).Str("group", string(order.Group.Name)).
 		Int64("fence", order.Fence).Msg("order-given")
-	o.n.giveOrder(o.ctx, k.Addr, order)
+	o.n.sendOrder(o.ctx, k.Addr, order)
 }
 
-// askDoubtful asks the service's instances that were not heard in this term,
-// and those that write no more although the store can be read.
-func (o *owner) askDoubtful(name models.ServiceName, now time.Time) {
-	_, away := o.away[platform.InstancesTopic]
+// probeUnconfirmed probes the service's instances that have not been seen in this term, and those
+// whose entries are overdue although the store is up.
+func (o *owner) probeUnconfirmed(name models.ServiceName, now time.Time) {
+	_, storeDown := o.storeFailingSince[platform.InstancesTopic]
 	overdue := time.Duration(overdueFactor * float64(o.n.cfg.InstanceHeartbeat))
 	for _, i := range o.fleet.instances {
-		if i.Service != name || !i.lost.IsZero() {
+		if i.Service != name || !i.lostSince.IsZero() {
 			continue
 		}
-		silent := !away && now.Sub(i.written) > overdue && now.Sub(i.told) > overdue
-		if silent || o.fleet.unproven(i) {
-			o.ask(i, now, patientReport)
+		overdueEntry := !storeDown && now.Sub(i.entrySeenAt) > overdue && now.Sub(i.stateAt) > overdue
+		if overdueEntry || o.fleet.unconfirmed(i) {
+			o.probe(i, now, probeTimeout)
 		}
 	}
 }
 
-// world is what the planner is told of one service's instances.
+// world returns the planner's input for one service.
 func (o *owner) world(name models.ServiceName, engine *models.EngineProfile, now time.Time) fleet.World {
 	busy, withheld := o.busy(engine, now)
 	w := fleet.World{
@@ -190,59 +188,59 @@
 		Instances: map[models.InstanceID]models.UpstreamInstance{}, Lost: map[models.InstanceID]bool{},
 		Unproven: map[models.InstanceID]bool{}, Unlisted: map[models.InstanceID]bool{},
 	}
-	// Demand has just noted whether there is traffic.
-	w.Traffic = o.fleet.traffic
+	// demand has updated hasTraffic.
+	w.Traffic = o.fleet.hasTraffic
 	for id, i := range o.fleet.instances {
 		if i.Service != name {
 			continue
 		}
 		w.Instances[id] = i.UpstreamInstance
-		if !i.lost.IsZero() {
+		if !i.lostSince.IsZero() {
 			w.Lost[id] = true
 		}
 		if i.unlisted {
 			w.Unlisted[id] = true
 		}
-		if o.fleet.unproven(i) {
+		if o.fleet.unconfirmed(i) {
 			w.Unproven[id] = true
 		}
 	}
 	return w
 }
 
-// firstTerm is that of the first planner that the store ever knew.
+// firstTerm is the term of the first planner in a new store.
 const firstTerm = 1
 
-// unproven reports whether the instance was not heard since this node began to
-// plan. In the first term nobody has given orders that its entry might not tell yet.
-func (f *fleetState) unproven(i *knownInstance) bool {
-	return f.heldTerm != firstTerm && !i.told.After(f.began)
+// unconfirmed reports whether the instance's state is older than this term. In the first term
+// entries are current, because no planner has sent orders before.
+func (f *fleetState) unconfirmed(i *knownInstance) bool {
+	return f.heldTerm != firstTerm && !i.stateAt.After(f.termBegan)
 }
 
-// handleOrderEnded takes in what came of an order, and sees to it that the
-// instance is asked where the planner needs to know more.
-func (o *owner) handleOrderEnded(m orderEnded) {
+// handleOrderResult passes the result of an order to the planner, and schedules a probe of the
+// instance where its state is needed.
+func (o *owner) handleOrderResult(m orderFinished) {
 	event := o.n.log.Info()
 	if m.err != nil {
 		event = o.n.log.Warn().Err(m.err)
 	}
 	event.Str("order", string(m.order.Kind)).Str("instance", string(m.order.Instance)).Str("group", string(m.order.Group.Name)).
 		Int64("fence", m.order.Fence).Str("outcome", string(m.outcome)).Dur("took", m.took).Msg("order-ended")
-	o.fleet.underWay--
-	o.fleet.calls.Note(m.took)
-	o.giveOrders()
+	o.fleet.ordersInFlight--
+	o.fleet.callLimit.Note(m.took)
+	o.sendOrders()
 	if p := o.fleet.planner; p != nil && fleet.TermOf(m.order.Fence) == o.fleet.heldTerm {
-		p.Note(m.order, m.outcome, m.at)
+		p.Note(m.order, m.outcome, m.finishedAt)
 	}
 	k := o.fleet.instances[m.order.Instance]
 	if k == nil || k.LifeOf(m.order.Born) != models.SameLife {
-		// An earlier life's order is void.
+		// The order was for an earlier incarnation.
 		return
 	}
 	if m.outcome == types.OrderUnknown {
-		o.ask(k, m.at, patientReport)
-	} else if d, known := o.expected(m.order, k.UpstreamInstance); known {
-		o.fleet.due[k.ID] = m.at.Add(d)
+		o.probe(k, m.finishedAt, probeTimeout)
+	} else if d, known := o.expectedDuration(m.order, k.UpstreamInstance); known {
+		o.fleet.probeAt[k.ID] = m.finishedAt.Add(d)
 	}
-	o.planGroups(m.at)
+	o.planGroups(m.finishedAt)
 }
--- a/cluster/restored.go
+++ b/cluster/restored.go
@@ -8,145 +8,142 @@
 	"github.com/lupinkeel/lupinkeel/platform"
 )
 
-// The store may come back from a copy some seconds old. What was written since is gone,
-// and offsets are given out again; instances and operators write again what they wrote.
-// Each time begins another era. What a daemon knows outlasts it:
+// The store may be restored from a backup that is some seconds old. Then the records written since
+// are lost, and their offsets are assigned again; instances and operators rewrite what they wrote.
+// Each restore begins a new era. The state of daemons outlasts it:
 //
-//   - The configuration in force is newer than that of the copy, and stays.
-//   - An instance that the copy lacks is kept until it has had the time to write again;
-//     one that has left is not used again because the copy still lists it.
-//   - A daemon enters itself into the roster anew.
-//   - A planner begins another term: its own may be given to another.
+//   - The configuration in force is newer than the restored one, and stays in force.
+//   - An instance that the restored store lacks is kept until it has had time to write its entry again.
+//     One that has left is not used again although the restored store lists it.
+//   - Each daemon registers in the roster again.
+//   - The planner begins a new term, since the store may assign its term to another daemon.
 
 const (
-	// restoreGrace is how long an instance is kept that a store lacks which has just
-	// come back: instances write again with their next heartbeat, 1.2 s where the users
-	// are, and the planner needs some time more to read that.
+	// restoreGrace is how long an instance is kept that a restored store lacks. Instances rewrite
+	// their entries with the next heartbeat, every 1.2 s in production, and the planner needs some
+	// more time to read them.
 	restoreGrace = 2 * time.Second
-	// enrollCheck is how often a daemon looks whether it has to enter itself anew.
-	enrollCheck = time.Second
+	// registerCheckInterval is how often a daemon checks whether it has to register again.
+	registerCheckInterval = time.Second
 )
 
-// noteEra takes in the era of the store, as it or another daemon tells, and has entries
-// of instances told or read anew if it is a new one.
-func (o *owner) noteEra(era int64, now time.Time) {
-	if o.beginEra(era, now) {
-		o.noteMissed(now)
+// observeEra handles the store's era as seen by this or another daemon. For a new era, entries are
+// requested from a relay or read again.
+func (o *owner) observeEra(era int64, now time.Time) {
+	if o.advanceEra(era, now) {
+		o.requestMissed(now)
 	}
 }
 
-// beginEra notes an era, and reports whether it began while this daemon ran.
-func (o *owner) beginEra(era int64, now time.Time) bool {
-	was := o.n.era.Load()
-	if era <= was {
+// advanceEra records an era, and reports whether it began while this daemon was running.
+func (o *owner) advanceEra(era int64, now time.Time) bool {
+	previous := o.n.era.Load()
+	if era <= previous {
 		return false
 	}
 	o.n.era.Store(era)
-	if o.fleet.entries.at.IsZero() {
-		// This daemon has just started, and knows nothing of before.
+	if o.fleet.entries.currentAt.IsZero() {
+		// This daemon has just started and has no state of an earlier era.
 		return false
 	}
 	o.n.stats.restores.Inc()
-	o.n.log.Warn().Int64("era", era).Int64("was", was).Dur("entries-age", o.n.entriesAge()).Msg("store-restored")
-	o.fleet.restored = now
+	o.n.log.Warn().Int64("era", era).Int64("was", previous).Dur("entries-age", o.n.entriesAge()).Msg("store-restored")
+	o.fleet.restoredAt = now
 	return true
 }
 
-// noteKnownAnew notes that all entries of the present era are known.
-func (o *owner) noteKnownAnew(now time.Time) {
-	if o.fleet.restored.IsZero() || o.fleet.entries.end.Era < o.n.era.Load() {
+// markResynced ends the recovery once all entries of the current era are known.
+func (o *owner) markResynced(now time.Time) {
+	if o.fleet.restoredAt.IsZero() || o.fleet.entries.end.Era < o.n.era.Load() {
 		return
 	}
-	o.n.log.Info().Int64("era", o.n.era.Load()).Dur("after", now.Sub(o.fleet.restored)).Int("instances", len(o.fleet.instances)).
+	o.n.log.Info().Int64("era", o.n.era.Load()).Dur("after", now.Sub(o.fleet.restoredAt)).Int("instances", len(o.fleet.instances)).
 		Msg("store-known-anew")
-	o.fleet.restored = time.Time{}
+	o.fleet.restoredAt = time.Time{}
 }
 
-// markMissing notes which instances a store lacks that has come back. They are kept for a
-// while.
+// markMissing marks the instances that a restored store lacks. They are kept for restoreGrace.
 func (o *owner) markMissing(listed map[models.InstanceID]bool, now time.Time) {
 	for id, k := range o.fleet.instances {
-		if !listed[id] && k.missing.IsZero() {
-			k.missing = now
-			o.tellOthers(k, k.knownAt())
+		if !listed[id] && k.missingSince.IsZero() {
+			k.missingSince = now
+			o.broadcastInstance(k, k.stateTime())
 		}
 	}
 }
 
-// dropMissing drops those that have not written again.
-func (o *owner) dropMissing(now time.Time) {
+// removeMissing removes the instances that have not rewritten their entries within restoreGrace.
+func (o *owner) removeMissing(now time.Time) {
 	for id, k := range o.fleet.instances {
-		if !k.missing.IsZero() && now.Sub(k.missing) >= restoreGrace {
-			o.dropInstance(id)
-			o.spread(o.fleet.goneNews(id, now))
-			k.missing = time.Time{}
+		if !k.missingSince.IsZero() && now.Sub(k.missingSince) >= restoreGrace {
+			o.handleEntryGone(id)
+			o.queueUpdates(o.fleet.goneUpdate(id, now))
+			k.missingSince = time.Time{}
 		}
 	}
 }
 
-// keepEnrolled enters the node into the roster anew whenever the store came back.
-func (n *Node) keepEnrolled(ctx context.Context) error {
+// keepRegistered registers the node again whenever the store was restored.
+func (n *Node) keepRegistered(ctx context.Context) error {
 	for era := n.era.Load(); ; {
-		if err := pause(ctx, enrollCheck); err != nil {
+		if err := sleep(ctx, registerCheckInterval); err != nil {
 			return err
 		}
 		now := n.era.Load()
 		if now <= era {
 			continue
 		}
-		if err := n.enroll(ctx); err != nil {
+		if err := n.register(ctx); err != nil {
 			return err
 		}
 		era = now
 	}
 }
 
-// heldConfig is a configuration that a starting daemon does not put in force yet.
-type heldConfig struct {
+// pendingConfig is a configuration that a starting daemon has read and not yet put in force.
+type pendingConfig struct {
 	configRead
 	version int64
 }
 
-// takeConfig takes in what was read of the configuration. That of a store which came
-// back may be older than what others have in force, with keys that were taken away since:
-// a daemon that starts waits for their word.
-func (o *owner) takeConfig(m configRead, now time.Time) {
-	o.noteEra(m.era, now)
+// handleConfigRead handles a configuration read from the store. A restored store may hold an older
+// one than other daemons have in force, with keys that have been revoked since. A starting daemon
+// therefore waits for the heartbeats of its peers.
+func (o *owner) handleConfigRead(m configRead, now time.Time) {
+	o.observeEra(m.era, now)
 	if o.config.routing == nil && m.data != nil && m.era > 0 {
 		routing, err := platform.DecodeRouting(m.data)
-		if err == nil && !o.knowsNewest(routing.Version, now) {
-			o.config.held = &heldConfig{configRead: m, version: routing.Version}
+		if err == nil && !o.isNewestConfig(routing.Version, now) {
+			o.config.pending = &pendingConfig{configRead: m, version: routing.Version}
 			return
 		}
 	}
-	o.handleConfig(m.data, m.asked, "store")
+	o.applyConfig(m.data, m.requestedAt, "store")
 }
 
-// releaseConfig puts a configuration in force that was held, once no other daemon can
-// have a newer one.
-func (o *owner) releaseConfig(now time.Time) {
-	if h := o.config.held; h != nil && o.knowsNewest(h.version, now) {
-		o.config.held = nil
-		o.handleConfig(h.data, h.asked, "store")
+// applyPendingConfig puts the pending configuration in force once no peer can have a newer one.
+func (o *owner) applyPendingConfig(now time.Time) {
+	if h := o.config.pending; h != nil && o.isNewestConfig(h.version, now) {
+		o.config.pending = nil
+		o.applyConfig(h.data, h.requestedAt, "store")
 	}
 }
 
-// knowsNewest reports whether no daemon that this one is linked to has a newer
-// configuration than a version. Those that say nothing are waited for as long as for word
-// of the planner.
-func (o *owner) knowsNewest(version int64, now time.Time) bool {
+// isNewestConfig reports whether no linked daemon has a newer configuration than a version. Daemons
+// that send no heartbeat are waited for during plannerDiscoveryTimeout.
+func (o *owner) isNewestConfig(version int64, now time.Time) bool {
 	for _, p := range o.peers.seen {
-		if p.beat.ConfigVersion > version {
+		if p.heartbeat.ConfigVersion > version {
 			return false
 		}
 	}
-	if o.running(now) >= plannerWord {
+	if o.uptime(now) >= plannerDiscoveryTimeout {
 		return true
 	}
-	for id := range o.peers.arranged.Links {
-		if _, heard := o.peers.seen[id]; !heard {
+	for id := range o.peers.topology.Links {
+		if _, known := o.peers.seen[id]; !known {
 			return false
 		}
 	}
-	return len(o.peers.arranged.Links) > 0
+	return len(o.peers.topology.Links) > 0
 }
--- /dev/null
+++ b/cluster/topology.go
@@ -0,0 +1,109 @@
+package cluster
+
+import (
+	"cmp"
+	"net/netip"
+	"time"
+
+	"github.com/gravitational/trace"
+
+	"github.com/lupinkeel/lupinkeel/lib/pack"
+	"github.com/lupinkeel/lupinkeel/membership"
+	"github.com/lupinkeel/lupinkeel/models"
+	"github.com/lupinkeel/lupinkeel/platform"
+)
+
+// The topology follows from the roster and the heartbeats: which daemons are relays, and to which
+// daemons this one sends what.
+
+// topologyInterval is how often the topology is computed when no roster entry or heartbeat has
+// changed it: peers may have timed out, or not be excluded after a timeout any more.
+const topologyInterval = 300 * time.Millisecond
+
+// handleRoster applies roster entries read from the store.
+func (o *owner) handleRoster(records []platform.KeyedRecord) {
+	defer o.markRosterReady()
+	for _, r := range records {
+		var entry rosterEntry
+		err := pack.Unmarshal(r.Value, &entry)
+		if err == nil {
+			err = o.addPeer(models.DaemonID(r.Key), entry)
+		}
+		if err != nil {
+			o.n.log.Error().Err(err).Str("peer", r.Key).Msg("roster-entry-unreadable")
+		}
+	}
+}
+
+// markRosterReady releases the loops that wait to know whether this node uses a relay.
+func (o *owner) markRosterReady() {
+	select {
+	case <-o.n.rosterReady:
+	default:
+		o.updateTopology(time.Now())
+		o.publish()
+		close(o.n.rosterReady)
+	}
+}
+
+// isRosterReady reports whether the roster has been read.
+func (n *Node) isRosterReady() bool {
+	select {
+	case <-n.rosterReady:
+		return true
+	default:
+		return false
+	}
+}
+
+// addPeer records the address of a daemon, unless a later incarnation of it is known.
+func (o *owner) addPeer(id models.DaemonID, entry rosterEntry) error {
+	addr, err := netip.ParseAddrPort(entry.Addr)
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	if id == o.n.cfg.ID || entry.Incarnation < o.peers.addrs[id].incarnation {
+		return nil
+	}
+	if _, known := o.peers.addrs[id]; !known {
+		o.peers.lastJoinAt = time.Now()
+	}
+	o.peers.addrs[id] = peerAddr{addr: addr, zone: entry.Zone, incarnation: entry.Incarnation, acceptsCompressed: entry.AcceptsCompressed}
+	o.peers.roster.Enter(membership.Daemon{ID: id, Zone: entry.Zone, Power: entry.Power})
+	o.peers.topologyStale = true
+	return nil
+}
+
+// membershipBeat returns the part of a heartbeat from which the topology is computed.
+func (b Heartbeat) membershipBeat() membership.Beat {
+	return membership.Beat{
+		Daemon: membership.Daemon{ID: b.From, Zone: b.Zone, Power: b.Power}, Every: cmp.Or(b.Interval, heartbeatInterval),
+		Relies: b.UsesRelay, RelaysFirst: b.UsesPrimaryRelay, Size: b.Size,
+		Grants: b.Grants, Granters: b.Granters,
+	}
+}
+
+// updateTopology computes the topology and opens and closes links accordingly.
+func (o *owner) updateTopology(now time.Time) {
+	p := &o.peers
+	if !p.topologyStale && now.Sub(p.topologyAt) < topologyInterval {
+		return
+	}
+	a := p.roster.Arrange(now)
+	if a.First != p.topology.First || a.Relay != p.topology.Relay || a.Mesh != p.topology.Mesh {
+		o.n.log.Info().Str("first", string(a.First)).Bool("relay", a.Relay).Bool("mesh", a.Mesh).Int("daemons", a.Size).Msg("arranged")
+	}
+	if a.First != p.topology.First {
+		o.n.peerLoads.removeTotals()
+	}
+	p.topology, p.topologyAt, p.topologyStale, o.viewStale = a, now, false, true
+	targets := make(map[models.DaemonID]target, len(a.Links))
+	for id, link := range a.Links {
+		e, known := p.addrs[id]
+		if !known {
+			continue
+		}
+		targets[id] = target{peerAddr: e, role: link}
+	}
+	o.n.links.reconcile(o.ctx, a, targets)
+}
--- a/cluster/work.go
+++ b/cluster/work.go
@@ -6,38 +6,37 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// What callers ask of each model, in seconds of a replica group for each second, is
-// summed by zone, for the daemon that plans.
+// The demand for each model, in group-seconds per second, is summed up by zone for the planner.
 
-// work sums what the callers of all daemons ask of each model. What those of other
-// zones ask is told by the first relay of each that is heard.
+// work returns the demand of all daemons' callers for each model. The demand of another zone comes
+// from the first of its relays that sends it.
 func (o *owner) work() map[models.ModelName]float64 {
 	sum := o.zoneWork()
-	if o.peers.arranged.Mesh {
+	if o.peers.topology.Mesh {
 		return sum
 	}
-	told := map[models.Zone]bool{}
-	for _, d := range o.peers.arranged.Planners {
+	counted := map[models.Zone]bool{}
+	for _, d := range o.peers.topology.Planners {
 		p, seen := o.peers.seen[d.ID]
-		if d.Zone == o.n.cfg.Zone || !seen || told[d.Zone] || len(p.beat.ZoneWork) == 0 {
+		if d.Zone == o.n.cfg.Zone || !seen || counted[d.Zone] || len(p.heartbeat.ZoneWork) == 0 {
 			continue
 		}
-		told[d.Zone] = true
-		addWork(sum, p.beat.ZoneWork)
+		counted[d.Zone] = true
+		addWork(sum, p.heartbeat.ZoneWork)
 	}
 	return sum
 }
 
-// zoneWork sums what the callers of the daemons of this one's zone ask of each
-// model; in a mesh, of all daemons.
+// zoneWork returns the demand of the callers of this zone's daemons for each model; in a mesh, of
+// all daemons.
 func (o *owner) zoneWork() map[models.ModelName]float64 {
 	sum := maps.Clone(o.n.traffic.Work())
 	if sum == nil {
 		sum = map[models.ModelName]float64{}
 	}
 	for _, p := range o.peers.seen {
-		if o.peers.arranged.Mesh || p.beat.Zone == o.n.cfg.Zone {
-			addWork(sum, p.beat.Work)
+		if o.peers.topology.Mesh || p.heartbeat.Zone == o.n.cfg.Zone {
+			addWork(sum, p.heartbeat.Work)
 		}
 	}
 	return sum
@@ -49,9 +48,9 @@
 	}
 }
 
-// shownZoneWork is what this daemon tells of its zone, as a relay.
-func (o *owner) shownZoneWork() map[models.ModelName]float32 {
-	if o.peers.arranged.Mesh || !o.peers.arranged.Relay {
+// zoneWorkUpdate returns the zone's demand to be sent to other zones, if this daemon is a relay.
+func (o *owner) zoneWorkUpdate() map[models.ModelName]float32 {
+	if o.peers.topology.Mesh || !o.peers.topology.Relay {
 		return nil
 	}
 	out := map[models.ModelName]float32{}
