--- a/api/auth.go
+++ b/api/auth.go
@@ -28,7 +28,7 @@
 }
 
 // hasHash compares with every hash in constant time.
-func hasHash(hashes []string, hash string) bool {
+func containsHash(hashes []string, hash string) bool {
 	found := 0
 	for _, h := range hashes {
 		found |= subtle.ConstantTimeCompare([]byte(h), []byte(hash))
@@ -36,14 +36,14 @@
 	return found == 1
 }
 
-func workspaceOf(s *state.State, r *http.Request) (models.Workspace, error) {
+func authenticateWorkspace(s *state.State, r *http.Request) (models.Workspace, error) {
 	hash := tokenHash(r)
 	for _, w := range s.Workspaces {
-		if hash != "" && hasHash(w.Tokens, hash) {
+		if hash != "" && containsHash(w.Tokens, hash) {
 			return w, nil
 		}
 	}
-	return models.Workspace{}, ErrToken
+	return models.Workspace{}, ErrUnknownToken
 }
 
 // bootstrapOperator is who acts with the bootstrap token.
@@ -51,20 +51,20 @@
 
 // operatorOf returns the operator who sent the request. The bootstrap token
 // counts only while nobody else may change the configuration.
-func operatorOf(s *state.State, bootstrap string, r *http.Request) (models.Operator, error) {
+func authenticateOperator(s *state.State, bootstrap string, r *http.Request) (models.Operator, error) {
 	hash := tokenHash(r)
 	if hash == "" {
-		return models.Operator{}, ErrToken
+		return models.Operator{}, ErrUnknownToken
 	}
-	someoneChanges := false
+	changerExists := false
 	for _, o := range s.Operators {
-		if hasHash(o.Tokens, hash) {
+		if containsHash(o.Tokens, hash) {
 			return o, nil
 		}
-		someoneChanges = someoneChanges || (o.Right == models.RightChange && len(o.Tokens) > 0)
+		changerExists = changerExists || (o.Right == models.RightChange && len(o.Tokens) > 0)
 	}
-	if !someoneChanges && bootstrap != "" && hasHash([]string{bootstrap}, hash) {
+	if !changerExists && bootstrap != "" && containsHash([]string{bootstrap}, hash) {
 		return models.Operator{Name: bootstrapOperator, Right: models.RightChange}, nil
 	}
-	return models.Operator{}, ErrToken
+	return models.Operator{}, ErrUnknownToken
 }
--- a/api/callers.go
+++ b/api/callers.go
@@ -31,23 +31,23 @@
 // begin checks what every request has in common. It returns nil after it
 // has answered a request that can't go on. The caller of begin must call
 // done.
-func (s *Server) begin(w http.ResponseWriter, r *http.Request, repeatable bool) (*exchange, context.Context, func()) {
+func (s *Server) beginExchange(w http.ResponseWriter, r *http.Request, repeatable bool) (*exchange, context.Context, func()) {
 	id := models.RequestID(uuid.NewString())
 	w.Header().Set(HeaderRequest, string(id))
 	w.Header().Set(HeaderDaemon, string(s.cfg.ID))
-	if err := s.flights.begin(); err != nil {
-		s.refuse(w, err)
+	if err := s.inFlight.begin(); err != nil {
+		s.reject(w, err)
 		return nil, nil, nil
 	}
 	e, timeout, err := s.newExchange(w, r, id, repeatable)
 	if err != nil {
-		s.flights.end()
-		s.refuse(w, err)
+		s.inFlight.end()
+		s.reject(w, err)
 		return nil, nil, nil
 	}
-	if err := s.limits.Take(e.workspace, s.allotment(e.workspace)); err != nil {
-		s.flights.end()
-		s.refuse(w, err)
+	if err := s.limits.Take(e.workspace, s.workspaceShare(e.workspace)); err != nil {
+		s.inFlight.end()
+		s.reject(w, err)
 		return nil, nil, nil
 	}
 	s.budget.Earn()
@@ -55,21 +55,21 @@
 	return e, ctx, func() {
 		cancel()
 		s.limits.Give(e.workspace.Name)
-		s.flights.end()
+		s.inFlight.end()
 	}
 }
 
 // allotment is this daemon's part of a workspace's limit.
-func (s *Server) allotment(w models.Workspace) int {
+func (s *Server) workspaceShare(w models.Workspace) int {
 	if w.Concurrent == 0 {
 		return 0
 	}
 	return router.Allotment(w.Concurrent, s.cfg.ID, s.daemon.View().Serving(time.Now()), string(w.Name))
 }
 
-func (s *Server) refuse(w http.ResponseWriter, err error) {
+func (s *Server) reject(w http.ResponseWriter, err error) {
 	s.stats.refused.Inc()
-	writeProblem(w, err, router.EndNotRun)
+	writeError(w, err, router.EndNotRun)
 }
 
 func (s *Server) newExchange(w http.ResponseWriter, r *http.Request, id models.RequestID, repeatable bool) (*exchange, time.Duration, error) {
@@ -77,11 +77,11 @@
 	if !view.Current(time.Now()) {
 		return nil, 0, ErrNotCurrent
 	}
-	workspace, err := workspaceOf(view.State, r)
+	workspace, err := authenticateWorkspace(view.State, r)
 	if err != nil {
 		return nil, 0, err
 	}
-	settings, err := s.readSettings(r, repeatable)
+	opts, err := s.parseOptions(r, repeatable)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -89,23 +89,23 @@
 	var tooLong *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLong):
-		return nil, 0, fmt.Errorf("%w: allowed are %d bytes", ErrBodyLength, tooLong.Limit)
+		return nil, 0, fmt.Errorf("%w: allowed are %d bytes", ErrBodyTooLong, tooLong.Limit)
 	case err != nil:
-		return nil, 0, fmt.Errorf("%w: %w", ErrBody, err)
+		return nil, 0, fmt.Errorf("%w: %w", ErrBadBody, err)
 	}
 	return &exchange{
-		s: s, w: w, r: r, workspace: workspace, body: body, priority: settings.priority, started: time.Now(),
-		req: &router.Request{ID: id, Repeatable: settings.repeatable}, key: settings.keyIn(workspace.Name),
+		s: s, w: w, r: r, workspace: workspace, body: body, priority: opts.priority, started: time.Now(),
+		req: &router.Request{ID: id, Repeatable: opts.repeatable}, keyHash: opts.keyHash(workspace.Name),
 		entry: models.TrailEntry{Request: id, Workspace: workspace.Name, Daemon: s.cfg.ID, Started: time.Now().UTC()},
-	}, settings.timeout, nil
+	}, opts.timeout, nil
 }
 
 // serveModels lists the models that the workspace may use.
 func (s *Server) serveModels(w http.ResponseWriter, r *http.Request) {
 	view := s.daemon.View()
-	workspace, err := workspaceOf(view.State, r)
+	workspace, err := authenticateWorkspace(view.State, r)
 	if err != nil {
-		writeProblem(w, err, router.EndNone)
+		writeError(w, err, router.EndNone)
 		return
 	}
 	type model struct {
--- a/api/chat.go
+++ b/api/chat.go
@@ -29,13 +29,13 @@
 func parseChat(body []byte) (chatRequest, error) {
 	var chat chatRequest
 	if err := json.Unmarshal(body, &chat); err != nil {
-		return chat, fmt.Errorf("%w: %w", ErrBody, err)
+		return chat, fmt.Errorf("%w: %w", ErrBadBody, err)
 	}
 	if chat.Model == "" {
-		return chat, fmt.Errorf("%w: model is missing", ErrBody)
+		return chat, fmt.Errorf("%w: model is missing", ErrBadBody)
 	}
 	if len(chat.Messages) == 0 {
-		return chat, fmt.Errorf("%w: messages is missing or empty", ErrBody)
+		return chat, fmt.Errorf("%w: messages is missing or empty", ErrBadBody)
 	}
 	return chat, nil
 }
@@ -45,7 +45,7 @@
 const prefixLen = 256
 
 // prefixOf is a hash of the beginning of the first message.
-func prefixOf(chat chatRequest) uint64 {
+func prefixHash(chat chatRequest) uint64 {
 	first := chat.Messages[0]
 	h := fnv.New64a()
 	h.Write(first[:min(len(first), prefixLen)])
@@ -53,48 +53,48 @@
 }
 
 func (s *Server) serveChat(w http.ResponseWriter, r *http.Request) {
-	e, ctx, done := s.begin(w, r, true)
+	e, ctx, finish := s.beginExchange(w, r, true)
 	if e == nil {
 		return
 	}
-	defer done()
+	defer finish()
 	chat, err := parseChat(e.body)
 	if err != nil {
-		s.refuse(w, err)
+		s.reject(w, err)
 		return
 	}
 	e.entry.Wanted = string(chat.Model)
 	capacity := s.daemon.View().Table.CapacityFor(e.workspace, chat.Model, e.started)
-	if err := s.admitted.Enter(chat.Model, e.workspace, capacity, e.priority); err != nil {
-		s.refuse(w, err)
+	if err := s.admission.Enter(chat.Model, e.workspace, capacity, e.priority); err != nil {
+		s.reject(w, err)
 		return
 	}
-	defer s.admitted.Leave(chat.Model, e.workspace.Name)
-	prompt := router.Prompt{Prefix: prefixOf(chat)}
+	defer s.admission.Leave(chat.Model, e.workspace.Name)
+	prompt := router.Prompt{Prefix: prefixHash(chat)}
 	prompt.Seen = s.prefixes.Seen(prompt.Prefix)
-	e.choose = func(now time.Time, avoid []netip.AddrPort) (router.Target, error) {
-		return s.daemon.View().Table.ChooseGroup(e.workspace, chat.Model, prompt, now, s.flights.at, avoid)
+	e.chooseTarget = func(now time.Time, avoid []netip.AddrPort) (router.Target, error) {
+		return s.daemon.View().Table.ChooseGroup(e.workspace, chat.Model, prompt, now, s.inFlight.triesAt, avoid)
 	}
-	e.call = func(t router.Target) upstream.Call {
+	e.newCall = func(t router.Target) upstream.Call {
 		return upstream.Call{
-			Addr: t.Addr, Method: http.MethodPost, Path: chatPath, Header: passOn(r.Header), Body: e.body,
-			Request: e.req.ID, Group: t.Group.ID, Fence: t.Group.Fence, Priority: e.priority, Fresh: !e.req.Repeatable,
+			Addr: t.Addr, Method: http.MethodPost, Path: chatPath, Header: forwardedHeaders(r.Header), Body: e.body,
+			Request: e.req.ID, Group: t.Group.ID, Fence: t.Group.Fence, Priority: e.priority, NewConn: !e.req.Repeatable,
 		}
 	}
-	e.answer = e.answerWhole
+	e.forward = e.forwardBuffered
 	if chat.Stream {
-		e.answer = e.answerStream
+		e.forward = e.forwardStream
 	}
-	var last netip.AddrPort
+	var lastTarget netip.AddrPort
 	defer func() {
-		if e.req.End() == router.EndMayHaveRun && last.IsValid() {
-			s.cancelRun(last, e.req.ID)
+		if e.req.End() == router.EndMayHaveRun && lastTarget.IsValid() {
+			s.cancelRun(lastTarget, e.req.ID)
 		}
 	}()
-	answer := e.answer
-	e.answer = func(ctx context.Context, t router.Target, a *upstream.Answer) error {
-		last = t.Addr
-		return answer(ctx, t, a)
+	forward := e.forward
+	e.forward = func(ctx context.Context, t router.Target, resp *upstream.Answer) error {
+		lastTarget = t.Addr
+		return forward(ctx, t, resp)
 	}
 	e.run(ctx)
 }
@@ -104,35 +104,35 @@
 // be away.
 func (s *Server) cancelRun(addr netip.AddrPort, id models.RequestID) {
 	task.Start(context.Background(), "cancel", func(ctx context.Context) error {
-		ctx, cancel := context.WithTimeout(ctx, cancelWithin)
+		ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 		defer cancel()
-		answer, err := s.upstream.Do(ctx, upstream.Call{Addr: addr, Method: http.MethodDelete, Path: "/v1/runs/" + string(id), Request: id})
+		resp, err := s.upstream.Do(ctx, upstream.Call{Addr: addr, Method: http.MethodDelete, Path: "/v1/runs/" + string(id), Request: id})
 		if err != nil {
 			s.log.Debug().Err(err).Str("request", string(id)).Msg("cancel-failed")
 			return err
 		}
-		return answer.Body.Close()
+		return resp.Body.Close()
 	})
 }
 
 // answerStream passes events on, each whole, until the end mark. It says
 // nothing to the caller before the first event.
-func (e *exchange) answerStream(ctx context.Context, target router.Target, answer *upstream.Answer) error {
-	if answer.Status != http.StatusOK {
-		return e.answerWhole(ctx, target, answer)
+func (e *exchange) forwardStream(ctx context.Context, target router.Target, resp *upstream.Answer) error {
+	if resp.Status != http.StatusOK {
+		return e.forwardBuffered(ctx, target, resp)
 	}
-	events := upstream.NewEvents(answer.Body)
+	events := upstream.NewEventReader(resp.Body)
 	defer events.Close()
 	event, err := events.Next()
 	if err != nil {
 		return fmt.Errorf("%w: %w", upstream.ErrMayHaveRun, err)
 	}
 	e.w.Header().Set("Cache-Control", "no-store")
-	if err := e.writeHead(target, answer); err != nil {
+	if err := e.writeHeader(target, resp); err != nil {
 		return err
 	}
 	flush := http.NewResponseController(e.w).Flush
-	last := 0
+	lastID := 0
 	for {
 		if _, err := event.WriteTo(e.w); err != nil {
 			return err
@@ -140,14 +140,14 @@
 		if err := flush(); err != nil {
 			return err
 		}
-		if event.Last() {
+		if event.IsDone() {
 			return nil
 		}
-		last = max(last, event.ID)
+		lastID = max(lastID, event.ID)
 		if event, err = events.Next(); err == nil {
 			continue
 		}
-		if events, event, err = e.resume(ctx, target, last, err); err != nil {
+		if events, event, err = e.resume(ctx, target, lastID, err); err != nil {
 			e.writeErrorEvent(err)
 			return fmt.Errorf("%w: %w", upstream.ErrMayHaveRun, err)
 		}
@@ -156,27 +156,27 @@
 }
 
 const (
-	resumeTries = 5
-	resumePause = 200 * time.Millisecond
+	maxResumeTries = 5
+	resumeDelay    = 200 * time.Millisecond
 )
 
 // resume asks the engine for the rest of the same run, after the event that
 // the caller got last. The rest of another run never takes its place.
-func (e *exchange) resume(ctx context.Context, target router.Target, after int, cause error) (*upstream.Events, upstream.Event, error) {
+func (e *exchange) resume(ctx context.Context, target router.Target, after int, cause error) (*upstream.EventReader, upstream.Event, error) {
 	if after == 0 {
 		return nil, upstream.Event{}, cause
 	}
-	for try := range resumeTries {
-		answer, err := e.s.upstream.Do(ctx, upstream.Call{
+	for try := range maxResumeTries {
+		resp, err := e.s.upstream.Do(ctx, upstream.Call{
 			Addr: target.Addr, Method: http.MethodGet, Path: fmt.Sprintf("/v1/runs/%s?after=%d", e.req.ID, after),
-			Request: e.req.ID, Group: target.Group.ID, Fence: target.Group.Fence, Fresh: true,
+			Request: e.req.ID, Group: target.Group.ID, Fence: target.Group.Fence, NewConn: true,
 		})
-		if err == nil && answer.Status != http.StatusOK {
-			answer.Body.Close()
-			return nil, upstream.Event{}, errors.Join(cause, fmt.Errorf("resume: status %d", answer.Status))
+		if err == nil && resp.Status != http.StatusOK {
+			resp.Body.Close()
+			return nil, upstream.Event{}, errors.Join(cause, fmt.Errorf("resume: status %d", resp.Status))
 		}
 		if err == nil {
-			events := upstream.NewEvents(answer.Body)
+			events := upstream.NewEventReader(resp.Body)
 			event, err := events.Next()
 			if err == nil {
 				e.s.log.Info().Str("request", string(e.req.ID)).Int("after", after).Int("try", try+1).Msg("stream-resumed")
@@ -187,7 +187,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, upstream.Event{}, errors.Join(cause, ctx.Err())
-		case <-time.After(resumePause):
+		case <-time.After(resumeDelay):
 		}
 	}
 	return nil, upstream.Event{}, cause
@@ -196,9 +196,9 @@
 // writeErrorEvent tells a caller within the stream that it ends here. The
 // connection is broken off afterwards.
 func (e *exchange) writeErrorEvent(cause error) {
-	err := fmt.Errorf("%w: %w", ErrUpstream, cause)
-	data, merr := json.Marshal(errorBody{Error: detailOf(err, router.EndMayHaveRun)})
-	if merr != nil {
+	err := fmt.Errorf("%w: %w", ErrUpstreamFailed, cause)
+	data, marshalErr := json.Marshal(errorBody{Error: newErrorDetail(err, router.EndMayHaveRun)})
+	if marshalErr != nil {
 		return
 	}
 	// If this fails the caller is gone and needs no telling.
--- a/api/claim.go
+++ b/api/claim.go
@@ -13,30 +13,30 @@
 
 const (
 	// claimWithin bounds how long a request waits for its key to be recorded.
-	claimWithin = 3 * time.Second
+	claimTimeout = 3 * time.Second
 	// releaseWithin bounds the giving up of a key, for which nobody waits.
-	releaseWithin = 10 * time.Second
+	releaseTimeout = 10 * time.Second
 )
 
 // claim records the request's key on the log before anything is sent. Only
 // the request whose claim is the first on the log goes on.
 func (e *exchange) claim(ctx context.Context) error {
-	if e.key == "" {
+	if e.keyHash == "" {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, claimWithin)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	holder, err := e.s.daemon.Claim(ctx, e.key, e.req.ID)
+	holder, err := e.s.daemon.Claim(ctx, e.keyHash, e.req.ID)
 	switch {
 	case err != nil:
 		// If the outcome is unknown the key may stay claimed for nothing: it
 		// is to be released, since nothing was sent.
-		e.claimed = errors.Is(err, daemon.ErrOutcomeUnknown)
-		return fmt.Errorf("%w: %w", ErrNoClaim, err)
+		e.keyClaimed = errors.Is(err, daemon.ErrOutcomeUnknown)
+		return fmt.Errorf("%w: %w", ErrKeyNotRecorded, err)
 	case holder != e.req.ID:
 		return errors.Join(ErrKeyInUse, e.req.HeldElsewhere())
 	}
-	e.claimed = true
+	e.keyClaimed = true
 	return nil
 }
 
@@ -44,7 +44,7 @@
 // with it. If that fails the key stays claimed, which is safe.
 func (s *Server) release(key string, id models.RequestID) {
 	task.Start(context.Background(), "release", func(ctx context.Context) error {
-		ctx, cancel := context.WithTimeout(ctx, releaseWithin)
+		ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 		defer cancel()
 		err := s.daemon.Release(ctx, key, id)
 		if err != nil {
--- a/api/client.go
+++ b/api/client.go
@@ -11,7 +11,7 @@
 )
 
 // askTimeout is longer than a daemon takes for any command.
-const askTimeout = changeTimeout + forceTimeout + 2*time.Second
+const askTimeout = changeTimeout + inForceTimeout + 2*time.Second
 
 // Ask sends an operator's commands to the daemon at the address. Its error
 // means that no daemon answered; the answer tells of everything else.
--- a/api/errors.go
+++ b/api/errors.go
@@ -31,63 +31,63 @@
 
 // Reasons for which a request is refused before it is routed.
 var (
-	ErrBody       = errors.New("bad request body")
-	ErrBodyLength = errors.New("request body too long")
-	ErrToken      = errors.New("no workspace or operator has this token")
-	ErrRight      = errors.New("this operator may only ask")
-	ErrNotCurrent = errors.New("this daemon can't show that its configuration is current")
-	ErrStopping   = errors.New("this daemon is stopping")
-	ErrUpstream   = errors.New("the upstream failed")
+	ErrBadBody        = errors.New("bad request body")
+	ErrBodyTooLong    = errors.New("request body too long")
+	ErrUnknownToken   = errors.New("no workspace or operator has this token")
+	ErrReadOnly       = errors.New("this operator may only ask")
+	ErrNotCurrent     = errors.New("this daemon can't show that its configuration is current")
+	ErrStopping       = errors.New("this daemon is stopping")
+	ErrUpstreamFailed = errors.New("the upstream failed")
 	// ErrKeyInUse: a request with this key was sent before.
 	ErrKeyInUse = errors.New("a request with this idempotency key may have run already")
 	// ErrNoClaim: the log can't record the key now.
-	ErrNoClaim = errors.New("the idempotency key can't be recorded now")
+	ErrKeyNotRecorded = errors.New("the idempotency key can't be recorded now")
 )
 
 // retrySoon is when a caller should come back after something that passes.
-const retrySoon = time.Second
+const shortRetryAfter = time.Second
 
 // problem is how an error looks to a caller.
-type problem struct {
-	status int
-	kind   string
-	code   string
+type errorClass struct {
+	status  int
+	errType string
+	code    string
 	// retry is when to come back; 0 if that would not help.
-	retry time.Duration
+	retryAfter time.Duration
 }
 
 // problems maps sentinels to what callers see; the first that matches
 // counts.
-var problems = []struct {
+var errorClasses = []struct {
 	is error
-	problem
+	errorClass
 }{
-	{ErrBodyLength, problem{http.StatusRequestEntityTooLarge, "invalid_request_error", "body_too_long", 0}},
-	{ErrBody, problem{http.StatusBadRequest, "invalid_request_error", "bad_body", 0}},
-	{ErrToken, problem{http.StatusUnauthorized, "authentication_error", "unknown_token", 0}},
-	{ErrRight, problem{http.StatusForbidden, "permission_error", "only_ask", 0}},
-	{router.ErrUnknownModel, problem{http.StatusNotFound, "invalid_request_error", "model_not_found", 0}},
-	{router.ErrUnknownService, problem{http.StatusNotFound, "invalid_request_error", "service_not_found", 0}},
-	{router.ErrNotAllowed, problem{http.StatusForbidden, "permission_error", "not_allowed", 0}},
-	{router.ErrNoUpstream, problem{http.StatusServiceUnavailable, "overloaded_error", "no_upstream", retrySoon}},
-	{router.ErrOverLimit, problem{http.StatusTooManyRequests, "rate_limit_error", "over_limit", retrySoon}},
-	{router.ErrOverloaded, problem{http.StatusServiceUnavailable, "overloaded_error", "overloaded", retrySoon}},
-	{ErrNotCurrent, problem{http.StatusServiceUnavailable, "overloaded_error", "not_current", retrySoon}},
-	{ErrStopping, problem{http.StatusServiceUnavailable, "overloaded_error", "stopping", retrySoon}},
-	{ErrKeyInUse, problem{http.StatusConflict, "invalid_request_error", "key_in_use", 0}},
-	{ErrNoClaim, problem{http.StatusServiceUnavailable, "overloaded_error", "no_claim", retryLog}},
-	{daemon.ErrLogAway, problem{http.StatusServiceUnavailable, "api_error", "log_away", retryLog}},
-	{query.ErrNotFound, problem{http.StatusNotFound, "invalid_request_error", "not_found", 0}},
-	{ErrUpstream, problem{http.StatusBadGateway, "api_error", "upstream_failed", retrySoon}},
+	{ErrBodyTooLong, errorClass{http.StatusRequestEntityTooLarge, "invalid_request_error", "body_too_long", 0}},
+	{ErrBadBody, errorClass{http.StatusBadRequest, "invalid_request_error", "bad_body", 0}},
+	{ErrUnknownToken, errorClass{http.StatusUnauthorized, "authentication_error", "unknown_token", 0}},
+	{ErrReadOnly, errorClass{http.StatusForbidden, "permission_error", "only_ask", 0}},
+	{router.ErrUnknownModel, errorClass{http.StatusNotFound, "invalid_request_error", "model_not_found", 0}},
+	{router.ErrUnknownService, errorClass{http.StatusNotFound, "invalid_request_error", "service_not_found", 0}},
+	{router.ErrNotAllowed, errorClass{http.StatusForbidden, "permission_error", "not_allowed", 0}},
+	{router.ErrNoUpstream, errorClass{http.StatusServiceUnavailable, "overloaded_error", "no_upstream", shortRetryAfter}},
+	{router.ErrOverLimit, errorClass{http.StatusTooManyRequests, "rate_limit_error", "over_limit", shortRetryAfter}},
+	{router.ErrOverloaded, errorClass{http.StatusServiceUnavailable, "overloaded_error", "overloaded", shortRetryAfter}},
+	{ErrNotCurrent, errorClass{http.StatusServiceUnavailable, "overloaded_error", "not_current", shortRetryAfter}},
+	{ErrStopping, errorClass{http.StatusServiceUnavailable, "overloaded_error", "stopping", shortRetryAfter}},
+	{ErrKeyInUse, errorClass{http.StatusConflict, "invalid_request_error", "key_in_use", 0}},
+	{ErrKeyNotRecorded, errorClass{http.StatusServiceUnavailable, "overloaded_error", "no_claim", logRetryAfter}},
+	{daemon.ErrLogUnavailable, errorClass{http.StatusServiceUnavailable, "api_error", "log_away", logRetryAfter}},
+	{query.ErrNotFound, errorClass{http.StatusNotFound, "invalid_request_error", "not_found", 0}},
+	{ErrUpstreamFailed, errorClass{http.StatusBadGateway, "api_error", "upstream_failed", shortRetryAfter}},
 }
 
-func problemOf(err error) problem {
-	for _, p := range problems {
+func classify(err error) errorClass {
+	for _, p := range errorClasses {
 		if errors.Is(err, p.is) {
-			return p.problem
+			return p.errorClass
 		}
 	}
-	return problem{http.StatusInternalServerError, "api_error", "internal", 0}
+	return errorClass{http.StatusInternalServerError, "api_error", "internal", 0}
 }
 
 // errorBody is the OpenAI-style form of an error.
@@ -102,22 +102,22 @@
 	End     router.End `json:"end,omitempty"`
 }
 
-func detailOf(err error, end router.End) errorDetail {
-	p := problemOf(err)
-	return errorDetail{Message: err.Error(), Type: p.kind, Code: p.code, End: end}
+func newErrorDetail(err error, end router.End) errorDetail {
+	p := classify(err)
+	return errorDetail{Message: err.Error(), Type: p.errType, Code: p.code, End: end}
 }
 
 // writeProblem answers with an error. end tells whether the request may have
 // been run; it is empty for calls that run nothing.
-func writeProblem(w http.ResponseWriter, err error, end router.End) {
-	p := problemOf(err)
-	if p.retry > 0 {
-		w.Header().Set("Retry-After", fmt.Sprint(int(math.Ceil(p.retry.Seconds()))))
+func writeError(w http.ResponseWriter, err error, end router.End) {
+	p := classify(err)
+	if p.retryAfter > 0 {
+		w.Header().Set("Retry-After", fmt.Sprint(int(math.Ceil(p.retryAfter.Seconds()))))
 	}
 	if end != router.EndNone {
 		w.Header().Set(HeaderEnd, string(end))
 	}
-	writeJSON(w, p.status, errorBody{Error: detailOf(err, end)})
+	writeJSON(w, p.status, errorBody{Error: newErrorDetail(err, end)})
 }
 
 func writeJSON(w http.ResponseWriter, status int, value any) {
--- a/api/exchange.go
+++ b/api/exchange.go
@@ -16,35 +16,35 @@
 
 const (
 	// maxTries is how often one request is sent at most.
-	maxTries     = 3
-	maxUnary     = 16 << 20
-	maxPriority  = 9
-	cancelWithin = time.Second
+	maxTriesPerRequest  = 3
+	maxBufferedResponse = 16 << 20
+	maxPriority         = 9
+	cancelTimeout       = time.Second
 )
 
 // exchange is one caller's request on its way through the daemon.
 type exchange struct {
-	s         *Server
-	w         http.ResponseWriter
-	r         *http.Request
-	req       *router.Request
-	workspace models.Workspace
-	body      []byte
-	priority  int
-	started   time.Time
-	tried     []netip.AddrPort
+	s          *Server
+	w          http.ResponseWriter
+	r          *http.Request
+	req        *router.Request
+	workspace  models.Workspace
+	body       []byte
+	priority   int
+	started    time.Time
+	triedAddrs []netip.AddrPort
 	// key is the hash of workspace and idempotency key; empty without one.
-	key     string
-	claimed bool
+	keyHash    string
+	keyClaimed bool
 	// entry is what the trail tells of the request.
 	entry models.TrailEntry
 	// choose picks the upstream of the next try, none of those to avoid.
-	choose func(now time.Time, avoid []netip.AddrPort) (router.Target, error)
+	chooseTarget func(now time.Time, avoid []netip.AddrPort) (router.Target, error)
 	// call makes the try at the target.
-	call func(router.Target) upstream.Call
+	newCall func(router.Target) upstream.Call
 	// answer passes an upstream's answer on. It returns an error for an
 	// answer that is not whole.
-	answer func(context.Context, router.Target, *upstream.Answer) error
+	forward func(context.Context, router.Target, *upstream.Answer) error
 }
 
 // run sends the request until it has its end.
@@ -53,13 +53,13 @@
 	if err == nil {
 		err = e.tryAll(ctx)
 	}
-	answering := e.req.Phase() == router.PhaseAnswering
+	responseStarted := e.req.Phase() == router.PhaseAnswering
 	end := e.req.Finish(err == nil)
-	e.s.stats.ends[end].Inc()
-	if e.claimed && end == router.EndNotRun {
-		e.s.release(e.key, e.req.ID)
+	e.s.stats.byEnd[end].Inc()
+	if e.keyClaimed && end == router.EndNotRun {
+		e.s.release(e.keyHash, e.req.ID)
 	}
-	e.note(end, err)
+	e.recordEnd(end, err)
 	log := e.s.log.Info()
 	if err != nil {
 		log = e.s.log.Warn().Err(err)
@@ -68,72 +68,72 @@
 		Int("tries", e.req.Tries()).Dur("took", time.Since(e.started)).Msg("request-ended")
 	switch {
 	case err == nil:
-	case answering:
+	case responseStarted:
 		// The head has gone out, so only a broken connection tells the
 		// caller that the answer is not whole.
 		panic(http.ErrAbortHandler)
 	default:
-		writeProblem(e.w, err, end)
+		writeError(e.w, err, end)
 	}
 }
 
 // note puts the request's end on the trail.
-func (e *exchange) note(end router.End, err error) {
+func (e *exchange) recordEnd(end router.End, err error) {
 	e.entry.End, e.entry.Tries, e.entry.Took = string(end), e.req.Tries(), time.Since(e.started)
 	if err != nil {
 		e.entry.Reason = err.Error()
 	}
-	e.s.daemon.Note(e.entry)
+	e.s.daemon.RecordTrail(e.entry)
 }
 
 // noteTarget puts on the trail where the request is about to be sent.
-func (e *exchange) noteTarget(t router.Target) {
+func (e *exchange) recordTarget(t router.Target) {
 	e.entry.Group, e.entry.Version, e.entry.Instances = t.Group.ID, t.Group.Version, t.Instances
 	e.entry.Zone, e.entry.Domain = t.Zone, t.Domain
-	e.s.daemon.Note(e.entry)
+	e.s.daemon.RecordTrail(e.entry)
 }
 
 // tryAll makes one try after another while that is allowed, and returns the
 // error of the last.
 func (e *exchange) tryAll(ctx context.Context) error {
-	var last error
-	for e.req.MayRetry() && e.req.Tries() < maxTries && ctx.Err() == nil {
-		target, err := e.pick(time.Now())
+	var lastErr error
+	for e.req.MayRetry() && e.req.Tries() < maxTriesPerRequest && ctx.Err() == nil {
+		target, err := e.pickTarget(time.Now())
 		if err != nil {
-			return errors.Join(err, last)
+			return errors.Join(err, lastErr)
 		}
 		if e.req.Tries() > 0 && !e.s.budget.Spend() {
-			return fmt.Errorf("%w: too many requests are tried again already: %w", ErrUpstream, last)
+			return fmt.Errorf("%w: too many requests are tried again already: %w", ErrUpstreamFailed, lastErr)
 		}
 		if e.req.Tries() > 0 {
 			e.s.stats.retries.Inc()
 		}
-		if last = e.try(ctx, target); last == nil {
+		if lastErr = e.try(ctx, target); lastErr == nil {
 			return nil
 		}
 	}
-	if last == nil {
-		last = ctx.Err()
+	if lastErr == nil {
+		lastErr = ctx.Err()
 	}
-	return fmt.Errorf("%w: %w", ErrUpstream, last)
+	return fmt.Errorf("%w: %w", ErrUpstreamFailed, lastErr)
 }
 
 // pick chooses the upstream of the next try. Suspects are asked only if
 // nothing else is there.
-func (e *exchange) pick(now time.Time) (router.Target, error) {
+func (e *exchange) pickTarget(now time.Time) (router.Target, error) {
 	suspects := e.s.suspects.List(now)
 	if len(suspects) == 0 {
-		return e.choose(now, e.tried)
+		return e.chooseTarget(now, e.triedAddrs)
 	}
-	target, err := e.choose(now, append(suspects, e.tried...))
+	target, err := e.chooseTarget(now, append(suspects, e.triedAddrs...))
 	if errors.Is(err, router.ErrNoUpstream) {
-		return e.choose(now, e.tried)
+		return e.chooseTarget(now, e.triedAddrs)
 	}
 	return target, err
 }
 
 // judge notes whether the upstream of a try serves.
-func (e *exchange) judge(ctx context.Context, target router.Target, err error) {
+func (e *exchange) recordHealth(ctx context.Context, target router.Target, err error) {
 	switch {
 	case err == nil:
 		e.s.suspects.Clear(target.Addr)
@@ -145,20 +145,20 @@
 
 // try sends the request to one upstream and passes its answer on.
 func (e *exchange) try(ctx context.Context, target router.Target) error {
-	e.tried = append(e.tried, target.Addr)
-	e.s.flights.take(target.Addr)
-	defer e.s.flights.give(target.Addr)
+	e.triedAddrs = append(e.triedAddrs, target.Addr)
+	e.s.inFlight.startTry(target.Addr)
+	defer e.s.inFlight.endTry(target.Addr)
 	if err := e.req.Send(); err != nil {
 		return err
 	}
-	e.noteTarget(target)
-	answer, err := e.s.upstream.Do(ctx, e.call(target))
-	e.judge(ctx, target, err)
+	e.recordTarget(target)
+	resp, err := e.s.upstream.Do(ctx, e.newCall(target))
+	e.recordHealth(ctx, target, err)
 	if errors.Is(err, upstream.ErrNotRun) {
 		return errors.Join(err, e.req.NotRun())
 	}
 	if err == nil {
-		err = e.answer(ctx, target, answer)
+		err = e.forward(ctx, target, resp)
 	}
 	if err != nil && e.req.Phase() == router.PhaseSent {
 		return errors.Join(err, e.req.Failed())
@@ -168,21 +168,21 @@
 
 // writeHead writes the place where the request ran and the answer's head,
 // and notes that the answer has begun.
-func (e *exchange) writeHead(target router.Target, answer *upstream.Answer) error {
+func (e *exchange) writeHeader(target router.Target, resp *upstream.Answer) error {
 	if err := e.req.Answer(); err != nil {
 		return err
 	}
 	h := e.w.Header()
-	setPlace(h, target)
-	if t := answer.Header.Get("Content-Type"); t != "" {
-		h.Set("Content-Type", t)
+	setPlacementHeaders(h, target)
+	if contentType := resp.Header.Get("Content-Type"); contentType != "" {
+		h.Set("Content-Type", contentType)
 	}
 	e.s.stats.firstToken.Update(time.Since(e.started).Seconds())
-	e.w.WriteHeader(answer.Status)
+	e.w.WriteHeader(resp.Status)
 	return nil
 }
 
-func setPlace(h http.Header, target router.Target) {
+func setPlacementHeaders(h http.Header, target router.Target) {
 	if target.Group.ID != "" {
 		h.Set(HeaderGroup, string(target.Group.ID))
 		h.Set(HeaderVersion, string(target.Group.Version))
--- a/api/flight.go
+++ b/api/inflight.go
@@ -8,22 +8,22 @@
 
 // flights counts the requests in flight, for the choice of upstreams and for
 // a planned stop.
-type flights struct {
-	mu       sync.Mutex
-	stopping bool
-	total    int
-	byAddr   map[netip.AddrPort]int
+type inFlightCounter struct {
+	mu          sync.Mutex
+	stopping    bool
+	total       int
+	triesByAddr map[netip.AddrPort]int
 	// quiet is closed when a stop was asked for and nothing is in flight.
-	quiet chan struct{}
+	drained chan struct{}
 }
 
-func newFlights() *flights {
-	return &flights{byAddr: map[netip.AddrPort]int{}, quiet: make(chan struct{})}
+func newInFlightCounter() *inFlightCounter {
+	return &inFlightCounter{triesByAddr: map[netip.AddrPort]int{}, drained: make(chan struct{})}
 }
 
 // begin counts a request in; it returns ErrStopping once a stop was asked
 // for.
-func (f *flights) begin() error {
+func (f *inFlightCounter) begin() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.stopping {
@@ -33,41 +33,41 @@
 	return nil
 }
 
-func (f *flights) end() {
+func (f *inFlightCounter) end() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.total--
-	f.closeIfQuiet()
+	f.closeIfDrained()
 }
 
-func (f *flights) closeIfQuiet() {
+func (f *inFlightCounter) closeIfDrained() {
 	if f.stopping && f.total == 0 {
-		close(f.quiet)
+		close(f.drained)
 	}
 }
 
 // take and give count the tries at one upstream.
-func (f *flights) take(addr netip.AddrPort) {
+func (f *inFlightCounter) startTry(addr netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.byAddr[addr]++
+	f.triesByAddr[addr]++
 }
 
-func (f *flights) give(addr netip.AddrPort) {
+func (f *inFlightCounter) endTry(addr netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.byAddr[addr]--; f.byAddr[addr] == 0 {
-		delete(f.byAddr, addr)
+	if f.triesByAddr[addr]--; f.triesByAddr[addr] == 0 {
+		delete(f.triesByAddr, addr)
 	}
 }
 
-func (f *flights) at(addr netip.AddrPort) int {
+func (f *inFlightCounter) triesAt(addr netip.AddrPort) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.byAddr[addr]
+	return f.triesByAddr[addr]
 }
 
-func (f *flights) count() int {
+func (f *inFlightCounter) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.total
@@ -75,15 +75,15 @@
 
 // drain refuses new requests and waits until none is in flight or the
 // context ends.
-func (f *flights) drain(ctx context.Context) {
+func (f *inFlightCounter) drain(ctx context.Context) {
 	f.mu.Lock()
 	if !f.stopping {
 		f.stopping = true
-		f.closeIfQuiet()
+		f.closeIfDrained()
 	}
 	f.mu.Unlock()
 	select {
-	case <-f.quiet:
+	case <-f.drained:
 	case <-ctx.Done():
 	}
 }
--- a/api/operators.go
+++ b/api/operators.go
@@ -30,7 +30,7 @@
 
 // ChangeResult tells what became of a change.
 type ChangeResult struct {
-	Result ChangeEnd     `json:"result"`
+	Result ChangeOutcome `json:"result"`
 	Reason string        `json:"reason,omitempty"`
 	Offset models.Offset `json:"offset,omitempty"`
 	// InForce of Of daemons of the roster have the change in force.
@@ -42,24 +42,24 @@
 }
 
 // ChangeEnd is what became of a change.
-type ChangeEnd string
+type ChangeOutcome string
 
 // The ends of a change.
 const (
 	// ChangeAccepted: a majority of the daemons has it in force, and it
 	// will never revert.
-	ChangeAccepted ChangeEnd = "accepted"
+	ChangeAccepted ChangeOutcome = "accepted"
 	// ChangeRecorded: the change is agreed, but not known to be in force on
 	// a majority of the daemons yet.
-	ChangeRecorded ChangeEnd = "recorded"
+	ChangeRecorded ChangeOutcome = "recorded"
 	// ChangeRefused: the change did not and will not take effect.
-	ChangeRefused ChangeEnd = "refused"
+	ChangeRefused ChangeOutcome = "refused"
 	// ChangeUnknown: the change may take effect; show audit tells.
-	ChangeUnknown ChangeEnd = "unknown"
+	ChangeUnknown ChangeOutcome = "unknown"
 	// ChangeWouldRefuse: the change would be refused now.
-	ChangeWouldRefuse ChangeEnd = "would-be-refused"
+	ChangeWouldRefuse ChangeOutcome = "would-be-refused"
 	// ChangePlanned: the change would be accepted now.
-	ChangePlanned ChangeEnd = "planned"
+	ChangePlanned ChangeOutcome = "planned"
 )
 
 const (
@@ -67,7 +67,7 @@
 	changeTimeout = 8 * time.Second
 	// forceTimeout bounds how long of this a majority, or all daemons, are
 	// waited for.
-	forceTimeout = 3 * time.Second
+	inForceTimeout = 3 * time.Second
 )
 
 // AskOptions say how commands are to be carried out.
@@ -105,36 +105,36 @@
 // serveAsk carries out commands.
 func (s *Server) serveAsk(w http.ResponseWriter, r *http.Request) {
 	view := s.daemon.View()
-	operator, err := operatorOf(view.State, s.cfg.BootstrapToken, r)
+	operator, err := authenticateOperator(view.State, s.cfg.BootstrapToken, r)
 	if err != nil {
-		writeAskProblem(w, err)
+		writeAskError(w, err)
 		return
 	}
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, query.MaxScriptLen))
 	if err != nil {
-		writeAskProblem(w, fmt.Errorf("%w: %w", ErrBodyLength, err))
+		writeAskError(w, fmt.Errorf("%w: %w", ErrBodyTooLong, err))
 		return
 	}
 	commands, err := query.Parse(string(text))
 	if err != nil {
-		writeAskProblem(w, fmt.Errorf("%w: %w", ErrBody, err))
+		writeAskError(w, fmt.Errorf("%w: %w", ErrBadBody, err))
 		return
 	}
-	a := asker{s: s, view: view, operator: operator, text: string(text), opts: readAskOptions(r.URL.Query())}
-	answer, err := a.carryOut(r.Context(), commands)
+	runner := commandRunner{s: s, view: view, operator: operator, text: string(text), opts: readAskOptions(r.URL.Query())}
+	answer, err := runner.run(r.Context(), commands)
 	if err != nil {
-		writeAskProblem(w, err)
+		writeAskError(w, err)
 		return
 	}
 	writeJSON(w, statusOf(answer), answer)
 }
 
-func writeAskProblem(w http.ResponseWriter, err error) {
-	p := problemOf(err)
+func writeAskError(w http.ResponseWriter, err error) {
+	p := classify(err)
 	if p.status == http.StatusInternalServerError {
 		p.status = http.StatusBadRequest
 	}
-	detail := detailOf(err, router.EndNone)
+	detail := newErrorDetail(err, router.EndNone)
 	writeJSON(w, p.status, AskAnswer{Error: &detail})
 }
 
@@ -155,7 +155,7 @@
 }
 
 // asker carries out one operator's commands on one view.
-type asker struct {
+type commandRunner struct {
 	s        *Server
 	view     *daemon.View
 	operator models.Operator
@@ -166,7 +166,7 @@
 // errMixed is returned for commands that can't be carried out together.
 var errMixed = errors.New("changes and questions can't be mixed, and only one question or plan is answered at a time")
 
-func (a asker) carryOut(ctx context.Context, commands []*query.Command) (AskAnswer, error) {
+func (a commandRunner) run(ctx context.Context, commands []*query.Command) (AskAnswer, error) {
 	var changes []*query.Change
 	for _, c := range commands {
 		if c.Change != nil {
@@ -175,7 +175,7 @@
 	}
 	switch {
 	case len(commands) == 0:
-		return AskAnswer{}, fmt.Errorf("%w: there is no command", ErrBody)
+		return AskAnswer{}, fmt.Errorf("%w: there is no command", ErrBadBody)
 	case len(changes) == len(commands) && a.opts.Diff:
 		return a.preview(changes)
 	case len(changes) == len(commands):
@@ -194,7 +194,7 @@
 	}
 }
 
-func (a asker) facts() query.Facts {
+func (a commandRunner) facts() query.Facts {
 	now := time.Now()
 	f := query.Facts{
 		Now: now, Self: a.s.cfg.ID, State: a.view.State, Instances: a.view.Instances,
@@ -211,10 +211,10 @@
 }
 
 // findWithin bounds the search of the log for a request.
-const findWithin = 5 * time.Second
+const findTimeout = 5 * time.Second
 
-func (a asker) find(ctx context.Context, id string) (models.TrailEntry, error) {
-	ctx, cancel := context.WithTimeout(ctx, findWithin)
+func (a commandRunner) findRequest(ctx context.Context, id string) (models.TrailEntry, error) {
+	ctx, cancel := context.WithTimeout(ctx, findTimeout)
 	defer cancel()
 	entry, found, err := a.s.daemon.FindTrail(ctx, models.RequestID(id))
 	if err == nil && !found {
@@ -224,8 +224,8 @@
 }
 
 // where tells where a request ran.
-func (a asker) where(ctx context.Context, id string) (AskAnswer, error) {
-	entry, err := a.find(ctx, id)
+func (a commandRunner) where(ctx context.Context, id string) (AskAnswer, error) {
+	entry, err := a.findRequest(ctx, id)
 	if err != nil {
 		return AskAnswer{}, err
 	}
@@ -233,17 +233,17 @@
 }
 
 // whyRequest tells in a sentence why a request ended as it did.
-func (a asker) whyRequest(ctx context.Context, id string) (AskAnswer, error) {
-	entry, err := a.find(ctx, id)
+func (a commandRunner) whyRequest(ctx context.Context, id string) (AskAnswer, error) {
+	entry, err := a.findRequest(ctx, id)
 	if err != nil {
 		return AskAnswer{}, err
 	}
 	return AskAnswer{Answer: query.WhyRequest(entry)}, nil
 }
 
-func (a asker) compile(changes []*query.Change) (state.ChangeConfig, error) {
+func (a commandRunner) compile(changes []*query.Change) (state.ChangeConfig, error) {
 	if a.operator.Right != models.RightChange {
-		return state.ChangeConfig{}, ErrRight
+		return state.ChangeConfig{}, ErrReadOnly
 	}
 	if a.opts.Prune {
 		changes = append(changes, query.Prune(a.view.State, changes)...)
@@ -265,13 +265,13 @@
 }
 
 // preview tells what a change would do, without making it.
-func (a asker) preview(changes []*query.Change) (AskAnswer, error) {
+func (a commandRunner) preview(changes []*query.Change) (AskAnswer, error) {
 	change, err := a.compile(changes)
 	if err != nil {
 		return AskAnswer{}, err
 	}
 	if len(change.Ops) == 0 {
-		return a.nothing(), nil
+		return a.unchanged(), nil
 	}
 	next, err := a.view.State.Preview(change.Ops)
 	if err != nil {
@@ -283,7 +283,7 @@
 }
 
 // nothing answers changes that leave everything as it is.
-func (a asker) nothing() AskAnswer {
+func (a commandRunner) unchanged() AskAnswer {
 	offset := a.view.State.ConfigOffset
 	have, of := a.view.InForce(a.s.cfg.ID, offset)
 	return AskAnswer{
@@ -293,42 +293,42 @@
 }
 
 // change makes a change and tells on how many daemons it is in force.
-func (a asker) change(ctx context.Context, changes []*query.Change) (AskAnswer, error) {
+func (a commandRunner) change(ctx context.Context, changes []*query.Change) (AskAnswer, error) {
 	change, err := a.compile(changes)
 	if err != nil {
 		return AskAnswer{}, err
 	}
 	if len(change.Ops) == 0 {
-		return a.nothing(), nil
+		return a.unchanged(), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	outcome, err := a.s.daemon.Propose(ctx, change)
 	switch {
-	case errors.Is(err, daemon.ErrLogAway):
-		return AskAnswer{Change: &ChangeResult{Result: ChangeRefused, Reason: err.Error(), RetryAfterMS: retryLog.Milliseconds()}}, nil
+	case errors.Is(err, daemon.ErrLogUnavailable):
+		return AskAnswer{Change: &ChangeResult{Result: ChangeRefused, Reason: err.Error(), RetryAfterMS: logRetryAfter.Milliseconds()}}, nil
 	case err != nil:
 		return AskAnswer{Change: &ChangeResult{Result: ChangeUnknown, Reason: err.Error() + "; show audit tells whether it took effect"}}, nil
 	case outcome.Refused != nil:
-		return AskAnswer{Change: &ChangeResult{Result: ChangeRefused, Offset: outcome.Offset, Reason: a.explain(ctx, outcome)}}, nil
+		return AskAnswer{Change: &ChangeResult{Result: ChangeRefused, Offset: outcome.Offset, Reason: a.refusalReason(ctx, outcome)}}, nil
 	}
-	return AskAnswer{Change: a.inForce(ctx, outcome.Offset)}, nil
+	return AskAnswer{Change: a.waitInForce(ctx, outcome.Offset)}, nil
 }
 
 // retryLog is when to try a change again that met an outage of the log.
-const retryLog = 5 * time.Second
+const logRetryAfter = 5 * time.Second
 
 const (
 	// viewWithin bounds the wait for the state to show an offset that the
 	// daemon has folded: views come ten times a second.
-	viewWithin = 500 * time.Millisecond
-	viewStep   = 10 * time.Millisecond
+	viewTimeout      = 500 * time.Millisecond
+	viewPollInterval = 10 * time.Millisecond
 )
 
 // stateAt returns the state as soon as it shows the offset, or what there is
 // in time.
-func (a asker) stateAt(ctx context.Context, offset models.Offset) *state.State {
-	ctx, cancel := context.WithTimeout(ctx, viewWithin)
+func (a commandRunner) stateAt(ctx context.Context, offset models.Offset) *state.State {
+	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
 	for {
 		s := a.s.daemon.View().State
@@ -338,13 +338,13 @@
 		select {
 		case <-ctx.Done():
 			return s
-		case <-time.After(viewStep):
+		case <-time.After(viewPollInterval):
 		}
 	}
 }
 
 // explain tells a loser which change it lost to.
-func (a asker) explain(ctx context.Context, outcome state.Outcome) string {
+func (a commandRunner) refusalReason(ctx context.Context, outcome state.Outcome) string {
 	reason := outcome.Refused.Error()
 	var conflict *state.Conflict
 	if !errors.As(outcome.Refused, &conflict) {
@@ -358,8 +358,8 @@
 	return reason
 }
 
-func (a asker) inForce(ctx context.Context, offset models.Offset) *ChangeResult {
-	ctx, cancel := context.WithTimeout(ctx, forceTimeout)
+func (a commandRunner) waitInForce(ctx context.Context, offset models.Offset) *ChangeResult {
+	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
 	enough := func(have, of int) bool {
 		if a.opts.WaitAll {
@@ -367,7 +367,7 @@
 		}
 		return have > of/2
 	}
-	have, of := a.s.daemon.OnDaemons(ctx, offset, enough)
+	have, of := a.s.daemon.WaitInForce(ctx, offset, enough)
 	result := &ChangeResult{Result: ChangeRecorded, Offset: offset, InForce: have, Of: of}
 	if have > of/2 {
 		result.Result = ChangeAccepted
--- a/api/settings.go
+++ b/api/options.go
@@ -10,7 +10,7 @@
 )
 
 // settings are what a caller says of its request.
-type settings struct {
+type requestOptions struct {
 	repeatable bool
 	priority   int
 	timeout    time.Duration
@@ -18,41 +18,41 @@
 }
 
 // maxKey is the longest idempotency key, in bytes.
-const maxKey = 256
+const maxKeyLen = 256
 
 // keyIn is the hash of a workspace's key; empty without a key.
-func (s settings) keyIn(w models.WorkspaceName) string {
+func (s requestOptions) keyHash(w models.WorkspaceName) string {
 	if s.key == "" {
 		return ""
 	}
 	return HashToken(string(w) + "/" + s.key)
 }
 
-func (s *Server) readSettings(r *http.Request, repeatable bool) (settings, error) {
-	out := settings{repeatable: repeatable, timeout: s.cfg.RequestTimeout}
+func (s *Server) parseOptions(r *http.Request, repeatable bool) (requestOptions, error) {
+	out := requestOptions{repeatable: repeatable, timeout: s.cfg.RequestTimeout}
 	var err error
 	if text := r.Header.Get(HeaderRepeatable); text != "" {
 		if out.repeatable, err = strconv.ParseBool(text); err != nil {
-			return out, fmt.Errorf("%w: header %s is %q, allowed are true and false", ErrBody, HeaderRepeatable, text)
+			return out, fmt.Errorf("%w: header %s is %q, allowed are true and false", ErrBadBody, HeaderRepeatable, text)
 		}
 	}
 	if text := r.Header.Get(HeaderPriority); text != "" {
 		out.priority, err = strconv.Atoi(text)
 		if err != nil || out.priority < 0 || out.priority > maxPriority {
-			return out, fmt.Errorf("%w: header %s is %q, allowed are 0 to %d", ErrBody, HeaderPriority, text, maxPriority)
+			return out, fmt.Errorf("%w: header %s is %q, allowed are 0 to %d", ErrBadBody, HeaderPriority, text, maxPriority)
 		}
 	}
 	if text := r.Header.Get(HeaderTimeout); text != "" {
 		out.timeout, err = time.ParseDuration(text)
 		if err != nil || out.timeout <= 0 {
-			return out, fmt.Errorf("%w: header %s is %q, not a duration such as 30s", ErrBody, HeaderTimeout, text)
+			return out, fmt.Errorf("%w: header %s is %q, not a duration such as 30s", ErrBadBody, HeaderTimeout, text)
 		}
 	}
 	if out.key = r.Header.Get(HeaderKey); out.key != "" {
 		out.repeatable = false
 	}
-	if len(out.key) > maxKey {
-		return out, fmt.Errorf("%w: header %s has %d bytes, allowed are %d", ErrBody, HeaderKey, len(out.key), maxKey)
+	if len(out.key) > maxKeyLen {
+		return out, fmt.Errorf("%w: header %s has %d bytes, allowed are %d", ErrBadBody, HeaderKey, len(out.key), maxKeyLen)
 	}
 	return out, nil
 }
--- a/api/server.go
+++ b/api/server.go
@@ -25,48 +25,48 @@
 	readHeaderTimeout = 10 * time.Second
 	// stopNotice is how long a stopping daemon still takes requests after
 	// it says that it is not ready, so that the balancer sees it first.
-	stopNotice = 2 * time.Second
+	notReadyDelay = 2 * time.Second
 	// closeGrace bounds how long connections are given to close.
-	closeGrace = time.Second
+	closeTimeout = time.Second
 )
 
 // Server serves one daemon's callers and operators.
 type Server struct {
-	cfg      config.Serve
-	log      zerolog.Logger
-	daemon   *daemon.Daemon
-	upstream *upstream.Client
-	flights  *flights
-	limits   *router.Limits
-	admitted *router.Admission
-	prefixes *router.Prefixes
-	budget   router.Budget
-	suspects router.Suspects
-	stopping atomic.Bool
-	stats    *stats
-
-	callers net.Listener
-	admin   net.Listener
+	cfg       config.Serve
+	log       zerolog.Logger
+	daemon    *daemon.Daemon
+	upstream  *upstream.Client
+	inFlight  *inFlightCounter
+	limits    *router.Limits
+	admission *router.Admission
+	prefixes  *router.Prefixes
+	budget    router.Budget
+	suspects  router.Suspects
+	stopping  atomic.Bool
+	stats     *stats
+
+	callerListener net.Listener
+	adminListener  net.Listener
 }
 
 // stats are the metrics of requests.
 type stats struct {
-	ends       map[router.End]*metrics.Counter
+	byEnd      map[router.End]*metrics.Counter
 	refused    *metrics.Counter
 	retries    *metrics.Counter
 	firstToken *metrics.Histogram
 }
 
-func newStats(set *metrics.Set, count func() int) *stats {
-	set.NewGauge("lupinkeel_requests_in_flight", func() float64 { return float64(count()) })
+func newStats(set *metrics.Set, inFlight func() int) *stats {
+	set.NewGauge("lupinkeel_requests_in_flight", func() float64 { return float64(inFlight()) })
 	s := &stats{
-		ends:       map[router.End]*metrics.Counter{},
+		byEnd:      map[router.End]*metrics.Counter{},
 		refused:    set.NewCounter("lupinkeel_requests_refused_total"),
 		retries:    set.NewCounter("lupinkeel_request_retries_total"),
 		firstToken: set.NewHistogram("lupinkeel_first_token_seconds"),
 	}
 	for _, end := range []router.End{router.EndWhole, router.EndNotRun, router.EndMayHaveRun} {
-		s.ends[end] = set.NewCounter(fmt.Sprintf("lupinkeel_requests_total{end=%q}", end))
+		s.byEnd[end] = set.NewCounter(fmt.Sprintf("lupinkeel_requests_total{end=%q}", end))
 	}
 	return s
 }
@@ -75,25 +75,25 @@
 func New(cfg config.Serve, log zerolog.Logger, d *daemon.Daemon) (*Server, error) {
 	s := &Server{
 		cfg: cfg, log: log.With().Str("daemon", string(cfg.ID)).Logger(), daemon: d,
-		upstream: upstream.NewClient(dial.Dialer{Source: cfg.Source}), flights: newFlights(), limits: router.NewLimits(), admitted: router.NewAdmission(), prefixes: router.NewPrefixes(),
+		upstream: upstream.NewClient(dial.Dialer{Source: cfg.Source}), inFlight: newInFlightCounter(), limits: router.NewLimits(), admission: router.NewAdmission(), prefixes: router.NewPrefixes(),
 	}
-	s.stats = newStats(d.Metrics(), s.flights.count)
+	s.stats = newStats(d.Metrics(), s.inFlight.count)
 	var err error
-	if s.callers, err = net.Listen("tcp", cfg.Listen.String()); err != nil {
+	if s.callerListener, err = net.Listen("tcp", cfg.Listen.String()); err != nil {
 		return nil, fmt.Errorf("listen for callers: %w", err)
 	}
-	if s.admin, err = net.Listen("tcp", cfg.Admin.String()); err != nil {
-		s.callers.Close()
+	if s.adminListener, err = net.Listen("tcp", cfg.Admin.String()); err != nil {
+		s.callerListener.Close()
 		return nil, fmt.Errorf("listen for operators: %w", err)
 	}
 	return s, nil
 }
 
 // Addr is where callers come.
-func (s *Server) Addr() netip.AddrPort { return addrOf(s.callers) }
+func (s *Server) Addr() netip.AddrPort { return addrOf(s.callerListener) }
 
 // AdminAddr is where operators come.
-func (s *Server) AdminAddr() netip.AddrPort { return addrOf(s.admin) }
+func (s *Server) AdminAddr() netip.AddrPort { return addrOf(s.adminListener) }
 
 func addrOf(l net.Listener) netip.AddrPort {
 	bound := l.Addr().(*net.TCPAddr).AddrPort()
@@ -108,8 +108,8 @@
 	admin := &http.Server{Handler: s.adminRoutes(), ReadHeaderTimeout: readHeaderTimeout}
 	background := context.WithoutCancel(ctx)
 	tasks := []task.Task{
-		task.Start(background, "callers", func(context.Context) error { return serve(callers, s.callers) }),
-		task.Start(background, "operators", func(context.Context) error { return serve(admin, s.admin) }),
+		task.Start(background, "callers", func(context.Context) error { return serve(callers, s.callerListener) }),
+		task.Start(background, "operators", func(context.Context) error { return serve(admin, s.adminListener) }),
 	}
 	err := task.WaitAny(ctx, tasks...)
 	if err == nil {
@@ -121,15 +121,15 @@
 }
 
 func (s *Server) stop(ctx context.Context) {
-	s.log.Info().Int("in-flight", s.flights.count()).Msg("stop-begun")
+	s.log.Info().Int("in-flight", s.inFlight.count()).Msg("stop-begun")
 	s.stopping.Store(true)
 	if s.cfg.StopGrace > 0 {
-		time.Sleep(min(stopNotice, s.cfg.StopGrace))
+		time.Sleep(min(notReadyDelay, s.cfg.StopGrace))
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.StopGrace)
 	defer cancel()
-	s.flights.drain(ctx)
-	s.log.Info().Int("cut-off", s.flights.count()).Msg("stop-drained")
+	s.inFlight.drain(ctx)
+	s.log.Info().Int("cut-off", s.inFlight.count()).Msg("stop-drained")
 }
 
 func serve(server *http.Server, l net.Listener) error {
@@ -140,7 +140,7 @@
 }
 
 func closeServer(ctx context.Context, server *http.Server) {
-	ctx, cancel := context.WithTimeout(ctx, closeGrace)
+	ctx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
 		server.Close()
@@ -170,9 +170,9 @@
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case s.stopping.Load():
-		writeProblem(w, ErrStopping, router.EndNone)
+		writeError(w, ErrStopping, router.EndNone)
 	case !s.daemon.View().Current(time.Now()):
-		writeProblem(w, ErrNotCurrent, router.EndNone)
+		writeError(w, ErrNotCurrent, router.EndNone)
 	default:
 		w.WriteHeader(http.StatusNoContent)
 	}
--- a/api/service.go
+++ b/api/service.go
@@ -13,33 +13,33 @@
 // serveService passes a call to a plain service on. Only methods that
 // change nothing count as repeatable unless the caller says otherwise.
 func (s *Server) serveService(w http.ResponseWriter, r *http.Request) {
-	harmless := r.Method == http.MethodGet || r.Method == http.MethodHead
-	e, ctx, done := s.begin(w, r, harmless)
+	safeMethod := r.Method == http.MethodGet || r.Method == http.MethodHead
+	e, ctx, finish := s.beginExchange(w, r, safeMethod)
 	if e == nil {
 		return
 	}
-	defer done()
+	defer finish()
 	name := models.ServiceName(r.PathValue("service"))
 	e.entry.Wanted = string(name)
-	e.choose = func(now time.Time, avoid []netip.AddrPort) (router.Target, error) {
-		return s.daemon.View().Table.ChooseService(e.workspace, name, now, s.flights.at, avoid)
+	e.chooseTarget = func(now time.Time, avoid []netip.AddrPort) (router.Target, error) {
+		return s.daemon.View().Table.ChooseService(e.workspace, name, now, s.inFlight.triesAt, avoid)
 	}
-	e.call = func(t router.Target) upstream.Call {
+	e.newCall = func(t router.Target) upstream.Call {
 		path := "/" + r.PathValue("path")
 		if r.URL.RawQuery != "" {
 			path += "?" + r.URL.RawQuery
 		}
 		return upstream.Call{
-			Addr: t.Addr, Method: r.Method, Path: path, Header: passOn(r.Header), Body: e.body,
-			Request: e.req.ID, Fresh: !e.req.Repeatable,
+			Addr: t.Addr, Method: r.Method, Path: path, Header: forwardedHeaders(r.Header), Body: e.body,
+			Request: e.req.ID, NewConn: !e.req.Repeatable,
 		}
 	}
-	e.answer = e.answerWhole
+	e.forward = e.forwardBuffered
 	e.run(ctx)
 }
 
 // passOn picks the headers that an upstream gets to see.
-func passOn(h http.Header) http.Header {
+func forwardedHeaders(h http.Header) http.Header {
 	out := http.Header{}
 	for _, name := range []string{"Content-Type", "Accept", "Accept-Language"} {
 		if v := h.Values(name); len(v) > 0 {
--- a/daemon/act.go
+++ b/daemon/act.go
@@ -15,23 +15,23 @@
 const (
 	// turnStep is how much longer each daemon later in turn waits before it
 	// acts on something that still stands.
-	turnStep = 2 * time.Second
+	rankDelay = 2 * time.Second
 	// replanEvery is how often planning goes on while nothing has changed:
 	// its waits pass all the same.
-	replanEvery = time.Second
+	idlePlanInterval = time.Second
 	// orderAgain is how long an instance is given to follow an order.
-	orderAgain = time.Second
+	orderRetryAfter = time.Second
 	// daemonGone is how long a daemon of the roster may be silent.
-	daemonGone = 15 * time.Second
+	removeSilentAfter = 15 * time.Second
 )
 
 // plan does what should be done now and is this daemon's turn.
 func (o *owner) plan(now time.Time) {
 	o.expireProposals(now)
-	if !o.isCurrent(now) || o.superseded || (!o.replan && now.Sub(o.planned) < replanEvery) {
+	if !o.isCurrent(now) || o.superseded || (!o.needsPlan && now.Sub(o.plannedAt) < idlePlanInterval) {
 		return
 	}
-	o.replan, o.planned = false, now
+	o.needsPlan, o.plannedAt = false, now
 	in := planner.Input{
 		State: o.state, Instances: o.instances, Evidence: o.evidence, Now: now,
 		Rules: planner.DefaultRules(o.d.cfg.ReplaceAfter, o.d.cfg.GateBound),
@@ -49,15 +49,15 @@
 // join puts this daemon on the roster.
 func (o *owner) join() {
 	const key = "join"
-	me := o.state.Daemons[o.d.cfg.ID]
-	if me.Incarnation == o.d.incarnation || o.pendingFor(key) {
+	registered := o.state.Daemons[o.d.cfg.ID]
+	if registered.Incarnation == o.d.incarnation || o.isPending(key) {
 		return
 	}
 	o.append(state.JoinDaemon{
 		Daemon: models.Daemon{
 			ID: o.d.cfg.ID, Zone: o.d.cfg.Zone, Peer: o.d.peerAddr, Incarnation: o.d.incarnation,
 		},
-		Was: me.Incarnation,
+		Was: registered.Incarnation,
 	}, nil, key)
 }
 
@@ -67,18 +67,18 @@
 	wanted := map[string]time.Time{}
 	for _, p := range planner.Plan(in) {
 		key := proposalKey(p)
-		since, stood := o.standing[key]
-		if !stood {
+		since, known := o.wantedSince[key]
+		if !known {
 			since = in.Now
 		}
 		wanted[key] = since
-		wait := time.Duration(o.rank(p.Key, in.Now)) * turnStep
-		if in.Now.Sub(since) < wait || o.pendingFor(key) {
+		delay := time.Duration(o.rank(p.Key, in.Now)) * rankDelay
+		if in.Now.Sub(since) < delay || o.isPending(key) {
 			continue
 		}
 		o.append(p.Body, nil, key)
 	}
-	o.standing = wanted
+	o.wantedSince = wanted
 }
 
 // proposalKey is the same for the same wish on any state.
@@ -112,19 +112,19 @@
 }
 
 func (o *owner) dispatch(d types.Dispatch) {
-	if d.Decided.Sub(o.ordered[d.Instance]) < orderAgain {
+	if d.Decided.Sub(o.lastOrderAt[d.Instance]) < orderRetryAfter {
 		return
 	}
 	select {
 	case o.d.orders <- d:
-		o.ordered[d.Instance] = d.Decided
+		o.lastOrderAt[d.Instance] = d.Decided
 		o.d.stats.orders.Inc()
 	default:
 		// All orderers are busy. The order is decided anew next time.
 	}
 }
 
-func (o *owner) handleOrderEnded(msg types.OrderEnded) {
+func (o *owner) handleOrderEnded(msg types.OrderResult) {
 	if msg.Err == nil {
 		return
 	}
@@ -135,21 +135,21 @@
 
 // removeSilent takes daemons off the roster that have been silent for long.
 func (o *owner) removeSilent(now time.Time) {
-	if !o.majorityProof(now).After(now.Add(-o.d.cfg.CurrentBound)) {
+	if !o.majorityCurrentAt(now).After(now.Add(-o.d.cfg.CurrentBound)) {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(o.state.Daemons)) {
 		d := o.state.Daemons[id]
-		if id == o.d.cfg.ID || now.Sub(o.peers[id].Seen) < daemonGone {
-			delete(o.silent, id)
+		if id == o.d.cfg.ID || now.Sub(o.peers[id].Seen) < removeSilentAfter {
+			delete(o.silentSince, id)
 			continue
 		}
-		if _, noted := o.silent[id]; !noted {
-			o.silent[id] = now
+		if _, noted := o.silentSince[id]; !noted {
+			o.silentSince[id] = now
 		}
 		key := fmt.Sprintf("leave/%s", id)
-		patience := daemonGone/2 + time.Duration(o.rank(key, now))*turnStep
-		if now.Sub(o.silent[id]) >= patience && !o.pendingFor(key) {
+		threshold := removeSilentAfter/2 + time.Duration(o.rank(key, now))*rankDelay
+		if now.Sub(o.silentSince[id]) >= threshold && !o.isPending(key) {
 			o.append(state.LeaveDaemon{ID: id, Incarnation: d.Incarnation, Reason: "it has been silent"}, nil, key)
 		}
 	}
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -10,18 +10,18 @@
 )
 
 // claimsKey marks the proposals that carry claims.
-const claimsKey = "claims"
+const claimsProposalKey = "claims"
 
 // maxClaims is how many claims one record carries.
-const maxClaims = 512
+const maxClaimsPerRecord = 512
 
 // claimRequest asks the owner to claim a key.
 type claimRequest struct {
 	claim state.Claim
-	reply chan<- claimEnd
+	reply chan<- claimResult
 }
 
-type claimEnd struct {
+type claimResult struct {
 	holder models.RequestID
 	err    error
 }
@@ -29,7 +29,7 @@
 // claims batches claims: while one record with claims is on its way, those
 // that come wait for the next.
 type claims struct {
-	waiting  []claimRequest
+	queued   []claimRequest
 	inFlight []claimRequest
 }
 
@@ -37,16 +37,16 @@
 // returns the request that may. Its error wraps ErrLogAway, when the claim
 // was not made, or ErrOutcomeUnknown.
 func (d *Daemon) Claim(ctx context.Context, key string, request models.RequestID) (models.RequestID, error) {
-	reply := make(chan claimEnd, 1)
+	reply := make(chan claimResult, 1)
 	claim := state.Claim{Key: key, Request: request, At: time.Now().UTC()}
 	select {
 	case d.claims <- claimRequest{claim: claim, reply: reply}:
 	case <-ctx.Done():
-		return "", fmt.Errorf("%w: %w", ErrLogAway, ctx.Err())
+		return "", fmt.Errorf("%w: %w", ErrLogUnavailable, ctx.Err())
 	}
 	select {
-	case end := <-reply:
-		return end.holder, end.err
+	case result := <-reply:
+		return result.holder, result.err
 	case <-ctx.Done():
 		return "", fmt.Errorf("%w: %w", ErrOutcomeUnknown, ctx.Err())
 	}
@@ -59,47 +59,47 @@
 	return err
 }
 
-func (o *owner) claim(c claimRequest) {
+func (o *owner) handleClaim(c claimRequest) {
 	if o.logError != nil {
-		c.reply <- claimEnd{err: fmt.Errorf("%w: %w", ErrLogAway, o.logError)}
+		c.reply <- claimResult{err: fmt.Errorf("%w: %w", ErrLogUnavailable, o.logError)}
 		return
 	}
-	o.claims.waiting = append(o.claims.waiting, c)
+	o.claims.queued = append(o.claims.queued, c)
 	o.flushClaims()
 }
 
 // flushClaims appends the claims that wait, unless others are on their way.
 func (o *owner) flushClaims() {
-	if len(o.claims.inFlight) > 0 || len(o.claims.waiting) == 0 {
+	if len(o.claims.inFlight) > 0 || len(o.claims.queued) == 0 {
 		return
 	}
-	n := min(len(o.claims.waiting), maxClaims)
-	o.claims.inFlight, o.claims.waiting = o.claims.waiting[:n:n], o.claims.waiting[n:]
+	n := min(len(o.claims.queued), maxClaimsPerRecord)
+	o.claims.inFlight, o.claims.queued = o.claims.queued[:n:n], o.claims.queued[n:]
 	body := state.ClaimKeys{}
 	for _, c := range o.claims.inFlight {
 		body.Claims = append(body.Claims, c.claim)
 	}
-	o.append(body, nil, claimsKey)
+	o.append(body, nil, claimsProposalKey)
 }
 
 // claimsEnded tells those whose claims were on their way who holds the keys.
-func (o *owner) claimsEnded(end proposalEnd) {
-	decided := o.claims.inFlight
+func (o *owner) claimsResolved(result proposalResult) {
+	resolved := o.claims.inFlight
 	o.claims.inFlight = nil
 	var holders []models.RequestID
-	for _, e := range end.outcome.Events {
+	for _, e := range result.outcome.Events {
 		if claimed, ok := e.(state.KeysClaimed); ok {
 			holders = claimed.Holders
 		}
 	}
-	for i, c := range decided {
+	for i, c := range resolved {
 		switch {
-		case end.err != nil:
-			c.reply <- claimEnd{err: end.err}
+		case result.err != nil:
+			c.reply <- claimResult{err: result.err}
 		case i < len(holders):
-			c.reply <- claimEnd{holder: holders[i]}
+			c.reply <- claimResult{holder: holders[i]}
 		default:
-			c.reply <- claimEnd{err: ErrOutcomeUnknown}
+			c.reply <- claimResult{err: ErrOutcomeUnknown}
 		}
 	}
 	o.flushClaims()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	inboxLen   = 256
-	appenders  = 4
-	orderers   = 8
-	ordersLen  = 64
-	appendsLen = 64
+	inboxLen       = 256
+	numAppenders   = 4
+	numOrderers    = 8
+	orderQueueLen  = 64
+	appendQueueLen = 64
 )
 
 // Daemon is one lupinkeel daemon without its HTTP servers.
@@ -40,10 +40,10 @@
 	clock       *timer.Service
 	incarnation uint64
 	// answers counts the answers to heartbeats.
-	answers atomic.Uint64
-	view    atomic.Pointer[View]
-	stats   *stats
-	trail   *trail
+	responseCount atomic.Uint64
+	view          atomic.Pointer[View]
+	stats         *stats
+	trail         *trail
 
 	platform *platform.Client
 	engines  *engine.Client
@@ -55,40 +55,40 @@
 	proposals chan proposal
 	claims    chan claimRequest
 	// states carries questions for the whole state.
-	states      chan chan<- []byte
-	appends     chan types.Append
-	orders      chan types.Dispatch
-	seek        chan models.Offset
-	engineAddrs chan map[models.InstanceID]netip.AddrPort
-	serviceAddr chan map[models.InstanceID]netip.AddrPort
-	peerAddrs   chan map[netip.AddrPort]struct{}
+	snapshotRequests chan chan<- []byte
+	appends          chan types.Append
+	orders           chan types.Dispatch
+	seeks            chan models.Offset
+	engineAddrs      chan map[models.InstanceID]netip.AddrPort
+	serviceAddrs     chan map[models.InstanceID]netip.AddrPort
+	peerAddrs        chan map[netip.AddrPort]struct{}
 }
 
 // New makes a daemon and binds its address for peers.
 func New(cfg config.Serve, log zerolog.Logger) (*Daemon, error) {
 	now := time.Now()
 	d := &Daemon{
-		cfg:         cfg,
-		log:         log.With().Str("daemon", string(cfg.ID)).Logger(),
-		clock:       timer.New(now),
-		incarnation: uint64(now.UnixNano()),
-		stats:       newStats(),
-		trail:       newTrail(),
-		inbox:       make(chan types.Message, inboxLen),
-		proposals:   make(chan proposal),
-		claims:      make(chan claimRequest),
-		states:      make(chan chan<- []byte),
-		appends:     make(chan types.Append, appendsLen),
-		orders:      make(chan types.Dispatch, ordersLen),
-		seek:        make(chan models.Offset, 1),
-		engineAddrs: make(chan map[models.InstanceID]netip.AddrPort, 1),
-		serviceAddr: make(chan map[models.InstanceID]netip.AddrPort, 1),
-		peerAddrs:   make(chan map[netip.AddrPort]struct{}, 1),
+		cfg:              cfg,
+		log:              log.With().Str("daemon", string(cfg.ID)).Logger(),
+		clock:            timer.New(now),
+		incarnation:      uint64(now.UnixNano()),
+		stats:            newStats(),
+		trail:            newTrail(),
+		inbox:            make(chan types.Message, inboxLen),
+		proposals:        make(chan proposal),
+		claims:           make(chan claimRequest),
+		snapshotRequests: make(chan chan<- []byte),
+		appends:          make(chan types.Append, appendQueueLen),
+		orders:           make(chan types.Dispatch, orderQueueLen),
+		seeks:            make(chan models.Offset, 1),
+		engineAddrs:      make(chan map[models.InstanceID]netip.AddrPort, 1),
+		serviceAddrs:     make(chan map[models.InstanceID]netip.AddrPort, 1),
+		peerAddrs:        make(chan map[netip.AddrPort]struct{}, 1),
 	}
 	d.platform = platform.NewClient(cfg.Log, cfg.List, d.dialer(d.stats.countPlatform))
 	d.engines = engine.NewClient(d.dialer(d.stats.countWatch))
 	d.peers = peer.NewClient(d.dialer(d.stats.countPeers))
-	d.server = &peer.Server{Source: d, Log: d.log, Bytes: d.stats.countPeers}
+	d.server = &peer.Server{Handler: d, Log: d.log, CountBytes: d.stats.countPeers}
 	addr, err := d.server.Listen(cfg.Peer)
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 	return d, nil
 }
 
-func (d *Daemon) dialer(count dial.Count) dial.Dialer {
+func (d *Daemon) dialer(count dial.CountFunc) dial.Dialer {
 	return dial.Dialer{Source: d.cfg.Source, Count: count}
 }
 
@@ -120,7 +120,7 @@
 	defer cancel()
 	o := newOwner(d)
 	follower := &platform.Follower{
-		Client: d.platform, Stream: platform.StreamState, Next: 1, Seek: d.seek, Out: d.inbox,
+		Client: d.platform, Stream: platform.StreamState, Next: 1, Seek: d.seeks, Out: d.inbox,
 	}
 	listTicks := d.clock.Subscribe(d.cfg.ListEvery)
 	parts := map[string]func(context.Context) error{
@@ -128,21 +128,21 @@
 		"clock":       d.clock.Run,
 		"follower":    follower.Run,
 		"list":        func(ctx context.Context) error { return d.platform.PollInstances(ctx, listTicks, d.inbox) },
-		"engines":     d.watchEngines(),
-		"services":    d.watchServices(),
-		"heartbeats":  d.beat(),
+		"engines":     d.engineWatcher(),
+		"services":    d.serviceWatcher(),
+		"heartbeats":  d.heartbeatSender(),
 		"peer-server": d.server.Run,
-		"trail":       d.runTrail(d.clock.Subscribe(d.cfg.TrailEvery)),
+		"trail":       d.trailWriter(d.clock.Subscribe(d.cfg.TrailEvery)),
 	}
 	var tasks []task.Task
 	for name, run := range parts {
 		tasks = append(tasks, task.Start(ctx, name, run))
 	}
-	for range appenders {
+	for range numAppenders {
 		a := &platform.Appender{Client: d.platform, Appends: d.appends, Out: d.inbox}
 		tasks = append(tasks, task.Start(ctx, "appender", a.Run))
 	}
-	for range orderers {
+	for range numOrderers {
 		r := &engine.Orderer{Client: d.engines, Orders: d.orders, Out: d.inbox}
 		tasks = append(tasks, task.Start(ctx, "orderer", r.Run))
 	}
@@ -151,14 +151,14 @@
 	return errors.Join(err, task.Wait(tasks...))
 }
 
-func (d *Daemon) watchEngines() func(context.Context) error {
+func (d *Daemon) engineWatcher() func(context.Context) error {
 	ticks := d.clock.Subscribe(d.cfg.WatchEvery)
 	return func(ctx context.Context) error { return d.engines.Watch(ctx, ticks, d.engineAddrs, d.inbox) }
 }
 
-func (d *Daemon) watchServices() func(context.Context) error {
+func (d *Daemon) serviceWatcher() func(context.Context) error {
 	ticks := d.clock.Subscribe(d.cfg.WatchEvery)
 	return func(ctx context.Context) error {
-		return service.Watch(ctx, d.dialer(d.stats.countWatch), ticks, d.serviceAddr, d.inbox)
+		return service.Watch(ctx, d.dialer(d.stats.countWatch), ticks, d.serviceAddrs, d.inbox)
 	}
 }
--- a/daemon/fold.go
+++ b/daemon/fold.go
@@ -13,7 +13,7 @@
 
 // checkpointTail is how many entries at the end of the checkpoint stream are
 // searched for a whole checkpoint.
-const checkpointTail = 512
+const maxCheckpointTail = 512
 
 func (o *owner) handleLogRead(msg types.LogRead) {
 	if o.logError != nil {
@@ -21,16 +21,16 @@
 		o.logError = nil
 	}
 	o.applyEntries(msg.Entries, "log")
-	if o.state.Applied+1 >= msg.Next && msg.Began.After(o.logProof) {
-		o.logProof = msg.Began
-		o.changed = true
+	if o.state.Applied+1 >= msg.Next && msg.StartedAt.After(o.logCurrentAt) {
+		o.logCurrentAt = msg.StartedAt
+		o.needsPublish = true
 	}
 }
 
-func (o *owner) handleLogAway(msg types.LogAway) {
+func (o *owner) handleLogUnavailable(msg types.LogUnavailable) {
 	if o.logError == nil {
 		o.d.log.Warn().Err(msg.Err).Msg("log-away")
-		o.changed = true
+		o.needsPublish = true
 	}
 	o.logError = msg.Err
 }
@@ -39,56 +39,56 @@
 // were folded before.
 func (o *owner) applyEntries(entries []types.Entry, source string) {
 	before := o.state.Applied
-	for _, e := range entries {
-		if e.Offset <= o.state.Applied {
+	for _, entry := range entries {
+		if entry.Offset <= o.state.Applied {
 			continue
 		}
-		out, err := o.state.Apply(e.Offset, e.Data)
+		outcome, err := o.state.Apply(entry.Offset, entry.Data)
 		if err != nil {
 			o.seekLog()
 			break
 		}
-		o.remember(e)
-		o.report(out, source)
-		o.settle(out)
+		o.keepRecent(entry)
+		o.logOutcome(outcome, source)
+		o.resolveProposal(outcome)
 	}
 	if o.state.Applied != before {
-		o.afterFold()
+		o.afterApply()
 	}
 }
 
-func (o *owner) remember(e types.Entry) {
-	o.recent = append(o.recent, e)
-	if len(o.recent) > keptRecords {
-		o.recent = o.recent[1:]
+func (o *owner) keepRecent(e types.Entry) {
+	o.recentRecords = append(o.recentRecords, e)
+	if len(o.recentRecords) > maxRecentRecords {
+		o.recentRecords = o.recentRecords[1:]
 	}
 }
 
 // afterFold brings up to date what is derived from the state.
-func (o *owner) afterFold() {
-	o.changed, o.replan = true, true
-	me, listed := o.state.Daemons[o.d.cfg.ID]
-	mine := listed && me.Incarnation == o.d.incarnation
+func (o *owner) afterApply() {
+	o.needsPublish, o.needsPlan = true, true
+	self, listed := o.state.Daemons[o.d.cfg.ID]
+	mine := listed && self.Incarnation == o.d.incarnation
 	if o.joined && listed && !mine && !o.superseded {
 		o.superseded = true
-		o.d.log.Error().Uint64("by", me.Incarnation).Msg("daemon-superseded")
+		o.d.log.Error().Uint64("by", self.Incarnation).Msg("daemon-superseded")
 	}
 	o.joined = o.joined || mine
-	o.markPeers()
-	o.retarget()
-	o.retargetPeers()
+	o.refreshPeers()
+	o.updateProbeTargets()
+	o.updatePeerTargets()
 }
 
-func (o *owner) report(out state.Outcome, source string) {
+func (o *owner) logOutcome(outcome state.Outcome, source string) {
 	o.d.stats.applied.Inc()
-	log := o.d.log.Info().Uint64("offset", uint64(out.Offset)).Str("source", source)
-	if out.Refused != nil {
+	log := o.d.log.Info().Uint64("offset", uint64(outcome.Offset)).Str("source", source)
+	if outcome.Refused != nil {
 		o.d.stats.refused.Inc()
-		log.Str("record", string(out.Record)).Str("reason", out.Refused.Error()).Msg("record-refused")
+		log.Str("record", string(outcome.Record)).Str("reason", outcome.Refused.Error()).Msg("record-refused")
 		return
 	}
-	for _, e := range out.Events {
-		log := o.d.log.Info().Uint64("offset", uint64(out.Offset)).Str("source", source)
+	for _, e := range outcome.Events {
+		log := o.d.log.Info().Uint64("offset", uint64(outcome.Offset)).Str("source", source)
 		switch e := e.(type) {
 		case state.ConfigChanged:
 			log.Str("operator", string(e.Operator)).Msg("config-changed")
@@ -108,7 +108,7 @@
 }
 
 // seekLog tells the follower where to go on.
-func (o *owner) seekLog() { replace(o.d.seek, o.state.Applied+1) }
+func (o *owner) seekLog() { sendLatest(o.d.seeks, o.state.Applied+1) }
 
 // handleLogExpired starts to look for a checkpoint to go on from.
 func (o *owner) handleLogExpired(msg types.LogExpired) {
@@ -129,12 +129,12 @@
 	if err != nil {
 		d.log.Warn().Err(err).Msg("checkpoint-unreadable")
 	}
-	types.Send(ctx, d.inbox, types.CheckpointRead{At: at, State: data})
+	types.Send(ctx, d.inbox, types.CheckpointRead{Offset: at, Snapshot: data})
 	return nil
 }
 
 func (d *Daemon) newestCheckpoint(ctx context.Context) (models.Offset, []byte, error) {
-	entries, err := d.platform.ReadTail(ctx, platform.StreamCheckpoint, checkpointTail)
+	entries, err := d.platform.ReadTail(ctx, platform.StreamCheckpoint, maxCheckpointTail)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -148,17 +148,17 @@
 
 func (o *owner) handleCheckpointRead(msg types.CheckpointRead) {
 	o.restoring = false
-	o.lastCheckpoint = max(o.lastCheckpoint, msg.At)
-	o.replaceState(msg.At, msg.State, "checkpoint")
+	o.lastCheckpoint = max(o.lastCheckpoint, msg.Offset)
+	o.replaceState(msg.Offset, msg.Snapshot, "checkpoint")
 }
 
-func (o *owner) handlePeerState(msg types.PeerState) {
-	s, err := state.Unmarshal(msg.State)
+func (o *owner) handlePeerSnapshot(msg types.PeerSnapshot) {
+	s, err := state.Unmarshal(msg.Snapshot)
 	if err != nil {
 		o.d.log.Warn().Err(err).Str("peer", string(msg.From)).Msg("peer-state-bad")
 		return
 	}
-	o.replaceState(s.Applied, msg.State, "peer")
+	o.replaceState(s.Applied, msg.Snapshot, "peer")
 }
 
 // replaceState goes on from a whole state if it is newer.
@@ -166,24 +166,24 @@
 	if at <= o.state.Applied {
 		return
 	}
-	s, err := state.Restore(at, data)
+	restored, err := state.Restore(at, data)
 	if err != nil {
 		o.d.log.Error().Err(err).Str("source", source).Msg("state-bad")
 		return
 	}
-	o.state = s
-	o.recent = nil
+	o.state = restored
+	o.recentRecords = nil
 	o.d.log.Info().Uint64("offset", uint64(at)).Int("bytes", len(data)).Str("source", source).Msg("state-restored")
 	o.seekLog()
-	o.afterFold()
+	o.afterApply()
 }
 
 // writeCheckpoint puts the state onto the log if enough was folded since the
 // last checkpoint. Those later in turn wait for more records.
 func (o *owner) writeCheckpoint(now time.Time) {
-	every := models.Offset(o.d.cfg.CheckpointEvery)
-	patience := every + every*models.Offset(o.rank("checkpoint", now))/4
-	if o.checkpointing || o.logError != nil || o.state.Applied < o.lastCheckpoint+patience {
+	interval := models.Offset(o.d.cfg.CheckpointEvery)
+	threshold := interval + interval*models.Offset(o.rank("checkpoint", now))/4
+	if o.checkpointing || o.logError != nil || o.state.Applied < o.lastCheckpoint+threshold {
 		return
 	}
 	data, err := o.state.Marshal()
@@ -194,17 +194,17 @@
 	o.checkpointing = true
 	at := o.state.Applied
 	task.Start(o.ctx, "checkpoint", func(ctx context.Context) error {
-		written, err := o.d.appendCheckpoint(ctx, at, data, every)
-		types.Send(ctx, o.d.inbox, types.CheckpointWritten{At: written, Bytes: len(data), Err: err})
+		written, err := o.d.appendCheckpoint(ctx, at, data, interval)
+		types.Send(ctx, o.d.inbox, types.CheckpointWritten{Offset: written, Bytes: len(data), Err: err})
 		return nil
 	})
 }
 
 // appendCheckpoint writes the state unless another daemon has written a
 // recent one. It returns the offset of the newest checkpoint on the log.
-func (d *Daemon) appendCheckpoint(ctx context.Context, at models.Offset, data []byte, every models.Offset) (models.Offset, error) {
+func (d *Daemon) appendCheckpoint(ctx context.Context, at models.Offset, data []byte, interval models.Offset) (models.Offset, error) {
 	newest, _, err := d.newestCheckpoint(ctx)
-	if err != nil || at < newest+every {
+	if err != nil || at < newest+interval {
 		return newest, err
 	}
 	for _, rec := range state.SplitCheckpoint(at, data, d.cfg.ID, time.Now(), newRecordID) {
@@ -222,10 +222,10 @@
 
 func (o *owner) handleCheckpointWritten(msg types.CheckpointWritten) {
 	o.checkpointing = false
-	o.lastCheckpoint = max(o.lastCheckpoint, msg.At)
+	o.lastCheckpoint = max(o.lastCheckpoint, msg.Offset)
 	if msg.Err != nil {
 		o.d.log.Warn().Err(msg.Err).Msg("checkpoint-failed")
 		return
 	}
-	o.d.log.Info().Uint64("at", uint64(msg.At)).Int("bytes", msg.Bytes).Msg("checkpoint-written")
+	o.d.log.Info().Uint64("at", uint64(msg.Offset)).Int("bytes", msg.Bytes).Msg("checkpoint-written")
 }
--- a/daemon/owner.go
+++ b/daemon/owner.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	planEvery    = 250 * time.Millisecond
-	publishEvery = 100 * time.Millisecond
+	planInterval    = 250 * time.Millisecond
+	publishInterval = 100 * time.Millisecond
 	// keptRecords is how many folded records are kept to be relayed.
-	keptRecords = 2048
+	maxRecentRecords = 2048
 )
 
 // owner is the one goroutine that holds what a daemon knows.
@@ -33,15 +33,15 @@
 	// recent are the last records folded, for daemons that lack them. The
 	// slice is only ever appended to and cut at its front, so that views
 	// may share it.
-	recent    []types.Entry
-	instances map[models.InstanceID]models.Instance
-	evidence  map[models.InstanceID]planner.Evidence
+	recentRecords []types.Entry
+	instances     map[models.InstanceID]models.Instance
+	evidence      map[models.InstanceID]planner.Evidence
 	// serviceSeen is when each plain service's instance last accepted a
 	// connection.
-	serviceSeen map[models.InstanceID]time.Time
-	peers       map[models.DaemonID]Peer
+	serviceSeenAt map[models.InstanceID]time.Time
+	peers         map[models.DaemonID]Peer
 
-	logProof       time.Time
+	logCurrentAt   time.Time
 	logError       error
 	joined         bool
 	superseded     bool
@@ -49,12 +49,12 @@
 	checkpointing  bool
 	restoring      bool
 
-	pending map[models.RecordID]*pendingProposal
+	pendingProposals map[models.RecordID]*pendingProposal
 	// standing is since when the planner has wanted something, by its key.
-	standing map[string]time.Time
+	wantedSince map[string]time.Time
 	// silent is since when a daemon of the roster has been found silent.
-	silent  map[models.DaemonID]time.Time
-	ordered map[models.InstanceID]time.Time
+	silentSince map[models.DaemonID]time.Time
+	lastOrderAt map[models.InstanceID]time.Time
 
 	engineAddrs  map[models.InstanceID]netip.AddrPort
 	serviceAddrs map[models.InstanceID]netip.AddrPort
@@ -62,31 +62,31 @@
 
 	// replan tells that something has changed since planned, when the
 	// planner last ran.
-	replan  bool
-	planned time.Time
+	needsPlan bool
+	plannedAt time.Time
 
 	// changed asks for a view at once instead of at the next tick.
-	changed bool
-	cloned  *state.State
+	needsPublish   bool
+	publishedState *state.State
 	// marshalled is the whole state as it was at marshalledAt.
-	marshalled   []byte
-	marshalledAt models.Offset
+	snapshotData   []byte
+	snapshotOffset models.Offset
 
 	claims claims
 }
 
 func newOwner(d *Daemon) *owner {
 	return &owner{
-		d:           d,
-		state:       state.New(),
-		instances:   map[models.InstanceID]models.Instance{},
-		evidence:    map[models.InstanceID]planner.Evidence{},
-		serviceSeen: map[models.InstanceID]time.Time{},
-		peers:       map[models.DaemonID]Peer{},
-		pending:     map[models.RecordID]*pendingProposal{},
-		standing:    map[string]time.Time{},
-		silent:      map[models.DaemonID]time.Time{},
-		ordered:     map[models.InstanceID]time.Time{},
+		d:                d,
+		state:            state.New(),
+		instances:        map[models.InstanceID]models.Instance{},
+		evidence:         map[models.InstanceID]planner.Evidence{},
+		serviceSeenAt:    map[models.InstanceID]time.Time{},
+		peers:            map[models.DaemonID]Peer{},
+		pendingProposals: map[models.RecordID]*pendingProposal{},
+		wantedSince:      map[string]time.Time{},
+		silentSince:      map[models.DaemonID]time.Time{},
+		lastOrderAt:      map[models.InstanceID]time.Time{},
 	}
 }
 
@@ -97,52 +97,52 @@
 
 func (o *owner) run(ctx context.Context) error {
 	o.ctx = ctx
-	plan := o.d.clock.Subscribe(planEvery)
-	publish := o.d.clock.Subscribe(publishEvery)
-	defer o.abandonProposals()
-	o.retargetPeers()
+	plan := o.d.clock.Subscribe(planInterval)
+	publish := o.d.clock.Subscribe(publishInterval)
+	defer o.failProposals()
+	o.updatePeerTargets()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case msg := <-o.d.inbox:
 			o.handle(msg)
-			o.handleWaiting()
+			o.drainInbox()
 		case p := <-o.d.proposals:
-			o.accept(p)
+			o.handleProposal(p)
 		case c := <-o.d.claims:
-			o.claim(c)
-		case reply := <-o.d.states:
-			reply <- o.wholeState()
+			o.handleClaim(c)
+		case reply := <-o.d.snapshotRequests:
+			reply <- o.snapshot()
 		case tick := <-plan:
-			o.noticePause(tick)
+			o.handlePause(tick)
 			o.plan(tick.At)
 		case tick := <-publish:
-			o.noticePause(tick)
-			o.changed = true
+			o.handlePause(tick)
+			o.needsPublish = true
 		}
-		if o.changed {
+		if o.needsPublish {
 			o.publish(time.Now())
 		}
 	}
 }
 
 // wholeState marshals the state, once for each offset.
-func (o *owner) wholeState() []byte {
-	if o.marshalled == nil || o.marshalledAt != o.state.Applied {
+func (o *owner) snapshot() []byte {
+	if o.snapshotData == nil || o.snapshotOffset != o.state.Applied {
 		data, err := o.state.Marshal()
 		if err != nil {
 			o.d.log.Error().Err(err).Msg("state-unencodable")
 			return nil
 		}
-		o.marshalled, o.marshalledAt = data, o.state.Applied
+		o.snapshotData, o.snapshotOffset = data, o.state.Applied
 	}
-	return o.marshalled
+	return o.snapshotData
 }
 
 // handleWaiting handles the messages that have come already, so that one
 // view shows them all.
-func (o *owner) handleWaiting() {
+func (o *owner) drainInbox() {
 	for range inboxLen {
 		select {
 		case msg := <-o.d.inbox:
@@ -159,9 +159,9 @@
 		o.handleLogRead(msg)
 	case types.LogExpired:
 		o.handleLogExpired(msg)
-	case types.LogAway:
-		o.handleLogAway(msg)
-	case types.AppendEnded:
+	case types.LogUnavailable:
+		o.handleLogUnavailable(msg)
+	case types.AppendResult:
 		o.handleAppendEnded(msg)
 	case types.CheckpointRead:
 		o.handleCheckpointRead(msg)
@@ -169,32 +169,32 @@
 		o.handleCheckpointWritten(msg)
 	case types.ListRead:
 		o.handleListRead(msg)
-	case types.ListAway:
+	case types.ListUnavailable:
 		o.d.log.Warn().Err(msg.Err).Msg("list-away")
 	case types.InstanceSeen:
 		o.handleInstanceSeen(msg)
 	case types.ServiceSeen:
-		o.serviceSeen[msg.Instance] = msg.Asked
+		o.serviceSeenAt[msg.Instance] = msg.SentAt
 	case types.InstanceSilent:
 		o.handleInstanceSilent(msg)
-	case types.OrderEnded:
+	case types.OrderResult:
 		o.handleOrderEnded(msg)
 	case types.PeerSeen:
 		o.handlePeerSeen(msg)
 	case types.PeerSilent:
 		o.d.log.Debug().Err(msg.Err).Stringer("peer", msg.Addr).Msg("peer-silent")
-	case types.PeerVouched:
-		o.handleVouched(msg)
+	case types.PeerObservations:
+		o.handleObservations(msg)
 	case types.PeerRecords:
 		o.applyEntries(msg.Entries, "peer")
-	case types.PeerState:
-		o.handlePeerState(msg)
+	case types.PeerSnapshot:
+		o.handlePeerSnapshot(msg)
 	}
 }
 
 // noticePause forgets what silence seemed to prove while the process itself
 // stood still.
-func (o *owner) noticePause(tick timer.Tick) {
+func (o *owner) handlePause(tick timer.Tick) {
 	if tick.Paused == 0 {
 		return
 	}
@@ -204,8 +204,8 @@
 		e.Watched = tick.At
 		o.evidence[id] = e
 	}
-	clear(o.standing)
-	clear(o.silent)
+	clear(o.wantedSince)
+	clear(o.silentSince)
 }
 
 func (o *owner) handleListRead(msg types.ListRead) {
@@ -217,13 +217,13 @@
 		return
 	}
 	o.instances = next
-	o.retarget()
-	o.changed, o.replan = true, true
+	o.updateProbeTargets()
+	o.needsPublish, o.needsPlan = true, true
 }
 
 // retarget tells the watchers whom to watch: the instances on the list, and
 // the members of groups that the list does not show (any more).
-func (o *owner) retarget() {
+func (o *owner) updateProbeTargets() {
 	engines := map[models.InstanceID]netip.AddrPort{}
 	services := map[models.InstanceID]netip.AddrPort{}
 	for id, i := range o.instances {
@@ -251,48 +251,48 @@
 		return !watched
 	})
 	sendTargets(o.d.engineAddrs, &o.engineAddrs, engines)
-	sendTargets(o.d.serviceAddr, &o.serviceAddrs, services)
+	sendTargets(o.d.serviceAddrs, &o.serviceAddrs, services)
 }
 
 // sendTargets hands the targets to a prober if they differ from the last.
-func sendTargets[K, V comparable](to chan map[K]V, last *map[K]V, next map[K]V) {
+func sendTargets[K, V comparable](out chan map[K]V, last *map[K]V, next map[K]V) {
 	if maps.Equal(*last, next) {
 		return
 	}
 	*last = next
-	replace(to, next)
+	sendLatest(out, next)
 }
 
 // replace puts a value into a channel of length one in place of what may be
 // waiting there. Only the owner sends on such a channel, so it never blocks:
 // the receiver may be waiting for the owner itself.
-func replace[T any](to chan T, value T) {
+func sendLatest[T any](ch chan T, value T) {
 	select {
-	case <-to:
+	case <-ch:
 	default:
 	}
-	to <- value
+	ch <- value
 }
 
 func (o *owner) handleInstanceSeen(msg types.InstanceSeen) {
 	e, watched := o.evidence[msg.Instance]
-	if !watched || msg.Asked.Before(e.Seen) {
+	if !watched || msg.SentAt.Before(e.Seen) {
 		return
 	}
-	e.Direct, e.SilentSince = msg.Asked, time.Time{}
-	o.see(msg.Instance, e, msg.Asked, msg.Status)
+	e.Direct, e.SilentSince = msg.SentAt, time.Time{}
+	o.recordStatus(msg.Instance, e, msg.SentAt, msg.Status)
 }
 
 // see notes that the instance was as its status says.
-func (o *owner) see(id models.InstanceID, e planner.Evidence, at time.Time, status types.EngineStatus) {
+func (o *owner) recordStatus(id models.InstanceID, e planner.Evidence, at time.Time, status types.EngineStatus) {
 	if e.Silent() || e.Status.Fence != status.Fence || e.Status.Phase != status.Phase || e.Status.Leaving != status.Leaving ||
 		(e.Status.InFlight > 0) != (status.InFlight > 0) {
-		o.changed, o.replan = true, true
+		o.needsPublish, o.needsPlan = true, true
 	}
 	if !e.Seen.IsZero() && e.Away(at) > o.d.cfg.ReplaceAfter {
 		e.Absences++
 		e.Returned = at
-	} else if e.Absences > 0 && at.Sub(e.Returned) > forgetAbsences {
+	} else if e.Absences > 0 && at.Sub(e.Returned) > absenceResetAfter {
 		e.Absences = 0
 	}
 	e.Seen, e.Status = at, status
@@ -301,15 +301,15 @@
 
 // forgetAbsences is how long an instance has to be there without a break
 // until its absences are forgotten.
-const forgetAbsences = 10 * time.Minute
+const absenceResetAfter = 10 * time.Minute
 
 // handleVouched notes what another daemon saw of instances that do not
 // answer this one.
-func (o *owner) handleVouched(msg types.PeerVouched) {
-	for _, v := range msg.Vouches {
+func (o *owner) handleObservations(msg types.PeerObservations) {
+	for _, v := range msg.Observations {
 		e, watched := o.evidence[v.Status.Instance]
-		if at := msg.Asked.Add(-v.Age); watched && at.After(e.Seen) {
-			o.see(v.Status.Instance, e, at, v.Status)
+		if at := msg.SentAt.Add(-v.Age); watched && at.After(e.Seen) {
+			o.recordStatus(v.Status.Instance, e, at, v.Status)
 		}
 	}
 }
@@ -320,44 +320,44 @@
 		return
 	}
 	if e.SilentSince.IsZero() {
-		e.SilentSince = msg.Asked
+		e.SilentSince = msg.SentAt
 		o.d.log.Warn().Str("instance", string(msg.Instance)).Err(msg.Err).Msg("instance-silent")
-		o.changed, o.replan = true, true
+		o.needsPublish, o.needsPlan = true, true
 	}
 	o.evidence[msg.Instance] = e
 }
 
 // publish shows the others what the owner knows.
 func (o *owner) publish(now time.Time) {
-	if o.cloned == nil || o.cloned.Applied != o.state.Applied {
-		o.cloned = o.state.Clone()
+	if o.publishedState == nil || o.publishedState.Applied != o.state.Applied {
+		o.publishedState = o.state.Clone()
 	}
 	view := &View{
-		State:        o.cloned,
-		Instances:    o.instances,
-		Evidence:     maps.Clone(o.evidence),
-		Peers:        slices.Collect(maps.Values(o.peers)),
-		CurrentUntil: o.currentUntil(now),
-		LogProof:     o.logProof,
-		LogError:     o.logError,
-		Superseded:   o.superseded,
-		silent:       o.silentInstances(),
-		recent:       slices.Clip(o.recent),
+		State:         o.publishedState,
+		Instances:     o.instances,
+		Evidence:      maps.Clone(o.evidence),
+		Peers:         slices.Collect(maps.Values(o.peers)),
+		CurrentUntil:  o.currentUntil(now),
+		LogCurrentAt:  o.logCurrentAt,
+		LogError:      o.logError,
+		Superseded:    o.superseded,
+		silent:        o.silentInstances(),
+		recentRecords: slices.Clip(o.recentRecords),
 	}
 	gates := o.gates()
 	serving := view.Serving(now)
 	view.Table = router.Table{
-		State: o.cloned, Gates: gates, Daemons: len(serving) + 1, Capacity: o.capacity(gates, serving), Services: o.serviceTable(),
+		State: o.publishedState, Gates: gates, Daemons: len(serving) + 1, Capacity: o.capacity(gates, serving), Services: o.serviceTable(),
 	}
 	o.d.view.Store(view)
-	o.changed = false
+	o.needsPublish = false
 }
 
 // silentInstances lists the instances that others may have seen lately.
 func (o *owner) silentInstances() []models.InstanceID {
 	var out []models.InstanceID
 	for id, e := range o.evidence {
-		if !e.SilentSince.IsZero() && len(out) < maxVouches {
+		if !e.SilentSince.IsZero() && len(out) < maxObservations {
 			out = append(out, id)
 		}
 	}
@@ -386,14 +386,14 @@
 
 func (o *owner) serviceTable() map[models.ServiceName][]router.ServiceInstance {
 	table := map[models.ServiceName][]router.ServiceInstance{}
-	for _, id := range slices.Sorted(maps.Keys(o.serviceSeen)) {
+	for _, id := range slices.Sorted(maps.Keys(o.serviceSeenAt)) {
 		i, listed := o.instances[id]
 		_, drained := o.state.Drained[id]
 		if !listed || i.Leaving || drained {
 			continue
 		}
 		table[i.Service] = append(table[i.Service], router.ServiceInstance{
-			Instance: i, OpenUntil: o.serviceSeen[id].Add(o.d.cfg.GateBound),
+			Instance: i, OpenUntil: o.serviceSeenAt[id].Add(o.d.cfg.GateBound),
 		})
 	}
 	return table
--- a/daemon/stats.go
+++ b/daemon/stats.go
@@ -59,14 +59,14 @@
 	}
 }
 
-func (s *stats) count(with string, sent, received int) {
+func (s *stats) countBytes(with string, sent, received int) {
 	s.bytes[with+"sent"].Add(sent)
 	s.bytes[with+"received"].Add(received)
 }
 
-func (s *stats) countPeers(sent, received int)    { s.count(trafficPeers, sent, received) }
-func (s *stats) countPlatform(sent, received int) { s.count(trafficPlatform, sent, received) }
-func (s *stats) countWatch(sent, received int)    { s.count(trafficWatch, sent, received) }
+func (s *stats) countPeers(sent, received int)    { s.countBytes(trafficPeers, sent, received) }
+func (s *stats) countPlatform(sent, received int) { s.countBytes(trafficPlatform, sent, received) }
+func (s *stats) countWatch(sent, received int)    { s.countBytes(trafficWatch, sent, received) }
 
 // Traffic is how many bytes of control traffic a daemon has passed.
 type Traffic struct{ Peers, Platform, Watch uint64 }
--- a/daemon/trail.go
+++ b/daemon/trail.go
@@ -15,16 +15,16 @@
 
 const (
 	// keptTrail is how many of its own entries a daemon keeps at hand.
-	keptTrail = 10000
+	maxEndedTrail = 10000
 	// maxUnwritten is how many entries wait at most while the log is away;
 	// the oldest are dropped first, and counted.
-	maxUnwritten = 50000
+	maxUnwrittenTrail = 50000
 	// maxTrailBatch is how many entries one record carries.
 	maxTrailBatch = 1000
 	// searchedTrail is how many records at the end of the stream are
 	// searched for a request.
-	searchedTrail = 5000
-	flushWithin   = 2 * time.Second
+	maxTrailSearch    = 5000
+	finalFlushTimeout = 2 * time.Second
 )
 
 // trail is the record of where requests ran. Entries are written to the log
@@ -34,49 +34,49 @@
 	mu sync.Mutex
 	// open are the requests in flight; written tells which of them a batch
 	// has held.
-	open    map[models.RequestID]models.TrailEntry
-	written map[models.RequestID]bool
-	ended   []models.TrailEntry
-	waiting []models.TrailEntry
+	active    map[models.RequestID]models.TrailEntry
+	flushed   map[models.RequestID]bool
+	recent    []models.TrailEntry
+	unwritten []models.TrailEntry
 }
 
 func newTrail() *trail {
-	return &trail{open: map[models.RequestID]models.TrailEntry{}, written: map[models.RequestID]bool{}}
+	return &trail{active: map[models.RequestID]models.TrailEntry{}, flushed: map[models.RequestID]bool{}}
 }
 
 // Note puts an entry on the trail. A request may be noted again and again;
 // the last note is the one with an end.
-func (d *Daemon) Note(e models.TrailEntry) {
+func (d *Daemon) RecordTrail(e models.TrailEntry) {
 	t := d.trail
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e.End == "" {
-		t.open[e.Request] = e
+		t.active[e.Request] = e
 		return
 	}
-	delete(t.open, e.Request)
-	delete(t.written, e.Request)
-	t.waiting = append(t.waiting, e)
-	t.ended = append(t.ended, e)
-	if len(t.ended) > keptTrail {
-		t.ended = t.ended[1:]
+	delete(t.active, e.Request)
+	delete(t.flushed, e.Request)
+	t.unwritten = append(t.unwritten, e)
+	t.recent = append(t.recent, e)
+	if len(t.recent) > maxEndedTrail {
+		t.recent = t.recent[1:]
 	}
-	if extra := len(t.waiting) - maxUnwritten; extra > 0 {
-		t.waiting = t.waiting[extra:]
+	if extra := len(t.unwritten) - maxUnwrittenTrail; extra > 0 {
+		t.unwritten = t.unwritten[extra:]
 		d.stats.trailDropped.Add(extra)
 	}
 }
 
 // batch takes the entries for the next record.
-func (t *trail) batch(now time.Time) []models.TrailEntry {
+func (t *trail) nextBatch(now time.Time) []models.TrailEntry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n := min(len(t.waiting), maxTrailBatch)
-	out := slices.Clone(t.waiting[:n])
-	t.waiting = t.waiting[n:]
-	for id, e := range t.open {
-		if !t.written[id] && len(out) < maxTrailBatch {
-			t.written[id] = true
+	n := min(len(t.unwritten), maxTrailBatch)
+	out := slices.Clone(t.unwritten[:n])
+	t.unwritten = t.unwritten[n:]
+	for id, e := range t.active {
+		if !t.flushed[id] && len(out) < maxTrailBatch {
+			t.flushed[id] = true
 			e.Took = now.Sub(e.Started)
 			out = append(out, e)
 		}
@@ -85,27 +85,27 @@
 }
 
 // putBack returns entries that could not be written.
-func (t *trail) putBack(entries []models.TrailEntry) {
+func (t *trail) requeue(entries []models.TrailEntry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var ended []models.TrailEntry
 	for _, e := range entries {
 		if e.End == "" {
-			delete(t.written, e.Request)
+			delete(t.flushed, e.Request)
 		} else {
 			ended = append(ended, e)
 		}
 	}
-	t.waiting = append(ended, t.waiting...)
+	t.unwritten = append(ended, t.unwritten...)
 }
 
 func (t *trail) find(id models.RequestID) (models.TrailEntry, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e, ok := t.open[id]; ok {
+	if e, ok := t.active[id]; ok {
 		return e, true
 	}
-	for _, e := range slices.Backward(t.ended) {
+	for _, e := range slices.Backward(t.recent) {
 		if e.Request == id {
 			return e, true
 		}
@@ -115,14 +115,14 @@
 
 // runTrail writes a batch at each tick, and what is left when the context
 // ends.
-func (d *Daemon) runTrail(ticks <-chan timer.Tick) func(context.Context) error {
+func (d *Daemon) trailWriter(ticks <-chan timer.Tick) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for {
 			select {
 			case <-ctx.Done():
-				last, cancel := context.WithTimeout(context.WithoutCancel(ctx), flushWithin)
+				flushCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalFlushTimeout)
 				defer cancel()
-				d.flushTrail(last)
+				d.flushTrail(flushCtx)
 				return ctx.Err()
 			case <-ticks:
 				d.flushTrail(ctx)
@@ -132,14 +132,14 @@
 }
 
 func (d *Daemon) flushTrail(ctx context.Context) {
-	for entries := d.trail.batch(time.Now()); len(entries) > 0; entries = d.trail.batch(time.Now()) {
+	for entries := d.trail.nextBatch(time.Now()); len(entries) > 0; entries = d.trail.nextBatch(time.Now()) {
 		data, err := pack.Marshal(entries)
 		if err == nil {
 			_, err = d.platform.Append(ctx, platform.StreamTrail, data)
 		}
 		if err != nil {
 			d.log.Warn().Err(err).Int("entries", len(entries)).Msg("trail-unwritten")
-			d.trail.putBack(entries)
+			d.trail.requeue(entries)
 			return
 		}
 	}
@@ -151,9 +151,9 @@
 	if e, ok := d.trail.find(id); ok {
 		return e, true, nil
 	}
-	records, err := d.platform.ReadTail(ctx, platform.StreamTrail, searchedTrail)
+	records, err := d.platform.ReadTail(ctx, platform.StreamTrail, maxTrailSearch)
 	if err != nil {
-		return models.TrailEntry{}, false, fmt.Errorf("%w: %w", ErrLogAway, err)
+		return models.TrailEntry{}, false, fmt.Errorf("%w: %w", ErrLogUnavailable, err)
 	}
 	var found models.TrailEntry
 	for _, rec := range records {
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -22,7 +22,7 @@
 	// new proof comes.
 	CurrentUntil time.Time
 	// LogProof is when the log last showed that the state was current.
-	LogProof time.Time
+	LogCurrentAt time.Time
 	// LogError is what the last read of the log ended with.
 	LogError error
 	// Superseded tells that another process runs under this daemon's name.
@@ -31,7 +31,7 @@
 	// silent are the instances that do not answer this daemon.
 	silent []models.InstanceID
 	// recent are the last records folded, oldest first.
-	recent []types.Entry
+	recentRecords []types.Entry
 }
 
 // Peer is another daemon as this one knows it.
@@ -55,7 +55,7 @@
 func (v *View) Serving(now time.Time) []models.DaemonID {
 	var out []models.DaemonID
 	for _, p := range v.Peers {
-		if p.OnRoster && p.Status.Serving && now.Sub(p.Seen) < v.bound() {
+		if p.OnRoster && p.Status.Serving && now.Sub(p.Seen) < v.peerTimeout() {
 			out = append(out, p.Status.ID)
 		}
 	}
--- a/lib/dial/dial.go
+++ b/lib/dial/dial.go
@@ -13,7 +13,7 @@
 const Timeout = time.Second
 
 // Count is told how many bytes have passed.
-type Count func(sent, received int)
+type CountFunc func(sent, received int)
 
 // Dialer makes connections. The zero value lets the system choose the
 // address and counts nothing.
@@ -21,7 +21,7 @@
 	// Source is where connections leave from, if valid.
 	Source netip.Addr
 	// Count, if set, is told of the bytes of all connections.
-	Count Count
+	Count CountFunc
 }
 
 // DialContext connects as net.Dialer does.
@@ -34,11 +34,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return Counted(conn, d.Count), nil
+	return WithCount(conn, d.Count), nil
 }
 
 // Counted returns the connection with its bytes counted.
-func Counted(conn net.Conn, count Count) net.Conn {
+func WithCount(conn net.Conn, count CountFunc) net.Conn {
 	if count == nil {
 		return conn
 	}
@@ -47,7 +47,7 @@
 
 type countedConn struct {
 	net.Conn
-	count Count
+	count CountFunc
 }
 
 func (c *countedConn) Read(p []byte) (int, error) {
--- a/lib/frame/frame.go
+++ b/lib/frame/frame.go
@@ -15,7 +15,7 @@
 // MaxLen is the longest frame accepted, in bytes.
 const MaxLen = 16 << 20
 
-const headLen = 5
+const headerLen = 5
 
 // Errors of Read and Write.
 var (
@@ -42,7 +42,7 @@
 	if len(body) > MaxLen {
 		return Frame{}, fmt.Errorf("%w: %d bytes", ErrTooLong, len(body))
 	}
-	buf := make([]byte, headLen, headLen+len(body))
+	buf := make([]byte, headerLen, headerLen+len(body))
 	binary.BigEndian.PutUint32(buf, uint32(len(body)))
 	buf[4] = byte(kind)
 	return Frame{Kind: kind, Bytes: append(buf, body...)}, nil
@@ -61,11 +61,11 @@
 // Read reads one frame and returns its kind and its encoded value. It
 // returns io.EOF only between two frames.
 func Read(r io.Reader) (Kind, []byte, error) {
-	var head [headLen]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [headerLen]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return 0, nil, err
 	}
-	n := binary.BigEndian.Uint32(head[:4])
+	n := binary.BigEndian.Uint32(header[:4])
 	if n > MaxLen {
 		return 0, nil, fmt.Errorf("%w: %d bytes", ErrTooLong, n)
 	}
@@ -73,12 +73,12 @@
 	if _, err := io.ReadFull(r, body); err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", ErrFormat, io.ErrUnexpectedEOF)
 	}
-	kind := Kind(head[4])
-	if kind&packed == 0 {
+	kind := Kind(header[4])
+	if kind&compressedFlag == 0 {
 		return kind, body, nil
 	}
-	body, err := unpack(body)
-	return kind &^ packed, body, err
+	body, err := decompress(body)
+	return kind &^ compressedFlag, body, err
 }
 
 // Decode reads the encoded value of a frame into out.
--- a/lib/frame/packed_test.go
+++ b/lib/frame/packed_test.go
@@ -12,7 +12,7 @@
 	"github.com/lupinkeel/lupinkeel/lib/frame"
 )
 
-func TestPacked(t *testing.T) {
+func TestCompressed(t *testing.T) {
 	c := qt.New(t)
 	const kind frame.Kind = 3
 	for _, test := range []struct {
@@ -26,11 +26,11 @@
 		c.Run(test.about, func(c *qt.C) {
 			plain, err := frame.Encode(kind, test.value)
 			c.Assert(err, qt.IsNil)
-			packed := plain.Packed()
-			c.Assert(len(packed.Bytes)*test.shrink <= len(plain.Bytes), qt.IsTrue)
-			c.Assert(packed.Kind, qt.Equals, kind)
+			compressed := plain.Packed()
+			c.Assert(len(compressed.Bytes)*test.shrink <= len(plain.Bytes), qt.IsTrue)
+			c.Assert(compressed.Kind, qt.Equals, kind)
 
-			got, body, err := frame.Read(bytes.NewReader(packed.Bytes))
+			got, body, err := frame.Read(bytes.NewReader(compressed.Bytes))
 			c.Assert(err, qt.IsNil)
 			c.Assert(got, qt.Equals, kind)
 			var value string
@@ -40,17 +40,17 @@
 	}
 }
 
-func TestPackedBad(t *testing.T) {
+func TestCompressedMalformed(t *testing.T) {
 	c := qt.New(t)
 	_, _, err := frame.Read(bytes.NewReader([]byte{0, 0, 0, 2, 0x83, 0xff, 0xff}))
 	c.Assert(err, qt.ErrorIs, frame.ErrFormat)
 
-	_, _, err = frame.Read(bytes.NewReader(bomb(c, frame.MaxLen+1)))
+	_, _, err = frame.Read(bytes.NewReader(compressedZeros(c, frame.MaxLen+1)))
 	c.Assert(err, qt.ErrorIs, frame.ErrTooLong)
 }
 
 // bomb is a compressed frame that holds as many zeros.
-func bomb(c *qt.C, zeros int) []byte {
+func compressedZeros(c *qt.C, zeros int) []byte {
 	buf := bytes.NewBuffer(make([]byte, 5))
 	w, err := flate.NewWriter(buf, flate.BestSpeed)
 	c.Assert(err, qt.IsNil)
--- a/lib/h1/body.go
+++ b/lib/h1/body.go
@@ -20,13 +20,13 @@
 
 // Body is the body of an answer.
 type Body struct {
-	c        *conn
-	r        io.ReadCloser
-	stop     func() bool
-	reusable bool
-	ended    bool
-	failed   bool
-	closed   bool
+	c         *conn
+	r         io.ReadCloser
+	stop      func() bool
+	keepAlive bool
+	atEOF     bool
+	failed    bool
+	closed    bool
 }
 
 // Read reads from the body; io.EOF is its proper end.
@@ -34,7 +34,7 @@
 	n, err := b.r.Read(p)
 	switch {
 	case errors.Is(err, io.EOF):
-		b.ended = true
+		b.atEOF = true
 	case err != nil:
 		b.failed = true
 	}
@@ -42,7 +42,7 @@
 }
 
 // SetPatience changes who is asked when nothing comes.
-func (b *Body) SetPatience(p Patience) { b.c.patience = p }
+func (b *Body) SetPatience(p Patience) { b.c.stallPolicy = p }
 
 // Buffered tells how many bytes have come that are not read yet.
 func (b *Body) Buffered() int { return b.c.br.Buffered() }
@@ -66,11 +66,11 @@
 	}
 	b.closed = true
 	live := b.stop()
-	if !live || !b.ended || b.failed || !b.reusable || b.c.br.Buffered() > 0 {
+	if !live || !b.atEOF || b.failed || !b.keepAlive || b.c.br.Buffered() > 0 {
 		b.c.close()
 		return nil
 	}
-	b.c.patience = nil
+	b.c.stallPolicy = nil
 	if err := b.c.nc.SetReadDeadline(time.Time{}); err != nil {
 		b.c.close()
 		return err
--- a/lib/h1/conn.go
+++ b/lib/h1/conn.go
@@ -32,28 +32,28 @@
 	br   *bufio.Reader
 	// rested is since when the connection is idle, idleFor how long it may
 	// stay so.
-	rested  time.Time
-	idleFor time.Duration
-	closed  atomic.Bool
+	idleSince   time.Time
+	idleTimeout time.Duration
+	closed      atomic.Bool
 	// patience is that of the request under way.
-	patience Patience
+	stallPolicy Patience
 	// meter counts the connection's bytes; it may be nil.
 	meter Meter
 }
 
 // readBuffer is a connection's buffer, in bytes: a head fits in.
-const readBuffer = 4 << 10
+const readBufferLen = 4 << 10
 
 func newConn(p *Pool, addr netip.AddrPort, nc *net.TCPConn) *conn {
-	c := &conn{pool: p, addr: addr, nc: nc, idleFor: idleDefault}
-	c.br = bufio.NewReaderSize(c, readBuffer)
+	c := &conn{pool: p, addr: addr, nc: nc, idleTimeout: defaultIdleTimeout}
+	c.br = bufio.NewReaderSize(c, readBufferLen)
 	return c
 }
 
 // Read reads from the connection and asks the request's patience how long to
 // wait.
 func (c *conn) Read(p []byte) (int, error) {
-	n, err := c.readPatiently(p)
+	n, err := c.readWithStallPolicy(p)
 	if c.meter != nil {
 		c.meter.Received(n)
 	}
@@ -68,12 +68,12 @@
 	return n, err
 }
 
-func (c *conn) readPatiently(p []byte) (int, error) {
-	if c.patience == nil {
+func (c *conn) readWithStallPolicy(p []byte) (int, error) {
+	if c.stallPolicy == nil {
 		return c.nc.Read(p)
 	}
-	began := time.Now()
-	for wait := c.patience(0); wait > 0; wait = c.patience(time.Since(began)) {
+	startedAt := time.Now()
+	for wait := c.stallPolicy(0); wait > 0; wait = c.stallPolicy(time.Since(startedAt)) {
 		if err := c.nc.SetReadDeadline(time.Now().Add(wait)); err != nil {
 			return 0, err
 		}
@@ -94,28 +94,28 @@
 
 // usable reports whether nothing has come on an idle connection: neither its
 // end nor bytes that belong to no request.
-func (c *conn) usable() bool {
-	if time.Since(c.rested) > c.idleFor || c.br.Buffered() > 0 {
+func (c *conn) isReusable() bool {
+	if time.Since(c.idleSince) > c.idleTimeout || c.br.Buffered() > 0 {
 		return false
 	}
 	raw, err := c.nc.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(err, unix.EAGAIN)
+		var buf [1]byte
+		_, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		empty = errors.Is(err, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
 // Do sends the request and returns the head of the answer. When the context
 // ends the connection is closed, also while the body is read.
 func (p *Pool) Do(ctx context.Context, addr netip.AddrPort, r Request) (*Response, error) {
-	c, err := p.take(ctx, addr, r.Freshest)
+	c, err := p.get(ctx, addr, r.Freshest)
 	if err != nil {
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 			return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 	}
-	c.patience = r.Patience
+	c.stallPolicy = r.Patience
 	stop := context.AfterFunc(ctx, c.close)
 	n, err := c.write(r.encode())
 	if err != nil {
@@ -136,26 +136,26 @@
 		}
 		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
 	}
-	resp, err := c.readHead(r)
+	resp, err := c.readHeader(r)
 	if err != nil {
 		stop()
 		c.close()
 		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
 	}
-	body := &Body{c: c, r: resp.Body, stop: stop, reusable: !resp.Close}
-	c.noteKeepAlive(resp.Header)
+	body := &Body{c: c, r: resp.Body, stop: stop, keepAlive: !resp.Close}
+	c.applyKeepAlive(resp.Header)
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: body, Framed: framed}, nil
 }
 
 // maxDropped bounds the body of a dropped answer, in bytes.
-const maxDropped = 1 << 20
+const maxDiscardedBody = 1 << 20
 
 // readHead reads the head of the request's final answer.
-func (c *conn) readHead(r Request) (*http.Response, error) {
-	asked := &http.Request{Method: r.Method}
+func (c *conn) readHeader(r Request) (*http.Response, error) {
+	httpReq := &http.Request{Method: r.Method}
 	for {
-		resp, err := http.ReadResponse(c.br, asked)
+		resp, err := http.ReadResponse(c.br, httpReq)
 		if err != nil {
 			return nil, err
 		}
@@ -165,7 +165,7 @@
 		if r.Mine == nil || r.Mine(resp.Header) {
 			return resp, nil
 		}
-		if _, err := io.CopyN(io.Discard, resp.Body, maxDropped); !errors.Is(err, io.EOF) || resp.Close {
+		if _, err := io.CopyN(io.Discard, resp.Body, maxDiscardedBody); !errors.Is(err, io.EOF) || resp.Close {
 			return nil, errors.Join(ErrOtherRequest, err)
 		}
 	}
@@ -174,14 +174,14 @@
 // ErrOtherRequest tells that the answer belongs to another request.
 var ErrOtherRequest = errors.New("the answer belongs to another request")
 
-func (c *conn) noteKeepAlive(h http.Header) {
+func (c *conn) applyKeepAlive(h http.Header) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil {
-			c.idleFor = max(0, time.Duration(seconds)*time.Second-idleMargin)
+			c.idleTimeout = max(0, time.Duration(seconds)*time.Second-idleMargin)
 		}
 	}
 }
--- a/lib/h1/pool.go
+++ b/lib/h1/pool.go
@@ -28,7 +28,7 @@
 const (
 	// idleDefault is how long a connection rests in the pool when the
 	// upstream does not tell how long it keeps one.
-	idleDefault = 4 * time.Second
+	defaultIdleTimeout = 4 * time.Second
 	// idleMargin is how much sooner than the upstream the pool gives up a
 	// resting connection, so that a request does not cross its close.
 	idleMargin = 300 * time.Millisecond
@@ -43,12 +43,12 @@
 	dialTimeout time.Duration
 	// opened is called for each new connection and may return what counts its
 	// bytes; it may be nil.
-	opened func(netip.AddrPort) Meter
+	newMeter func(netip.AddrPort) Meter
 
 	mu   sync.Mutex
 	idle map[netip.AddrPort][]*conn
 	// allowed is how many may rest to each address; nil before the first Allow.
-	allowed map[netip.AddrPort]int
+	maxIdle map[netip.AddrPort]int
 }
 
 // Meter counts the bytes that go over connections. It must be safe for use by
@@ -60,18 +60,18 @@
 
 // NewPool returns an empty pool. The function opened is called for each new
 // connection and may return what counts its bytes; it may be nil.
-func NewPool(dialTimeout time.Duration, opened func(netip.AddrPort) Meter) *Pool {
-	return &Pool{dialTimeout: dialTimeout, opened: opened, idle: map[netip.AddrPort][]*conn{}}
+func NewPool(dialTimeout time.Duration, newMeter func(netip.AddrPort) Meter) *Pool {
+	return &Pool{dialTimeout: dialTimeout, newMeter: newMeter, idle: map[netip.AddrPort][]*conn{}}
 }
 
 // take returns a connection that rested for at most freshest, or a new one.
-func (p *Pool) take(ctx context.Context, addr netip.AddrPort, freshest time.Duration) (*conn, error) {
+func (p *Pool) get(ctx context.Context, addr netip.AddrPort, maxIdleAge time.Duration) (*conn, error) {
 	for {
 		c := p.pop(addr)
 		if c == nil {
 			return p.dial(ctx, addr)
 		}
-		if time.Since(c.rested) <= freshest && c.usable() {
+		if time.Since(c.idleSince) <= maxIdleAge && c.isReusable() {
 			return c, nil
 		}
 		c.close()
@@ -93,15 +93,15 @@
 }
 
 func (p *Pool) put(c *conn) {
-	c.rested = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	most, known := p.allowed[c.addr]
+	limit, known := p.maxIdle[c.addr]
 	if !known {
 		// The address may have come since the last Allow.
-		most = MaxIdle
+		limit = MaxIdle
 	}
-	if len(p.idle[c.addr]) >= most {
+	if len(p.idle[c.addr]) >= limit {
 		c.close()
 		return
 	}
@@ -111,10 +111,10 @@
 // Allow sets how many connections may rest to each address; the next Sweep
 // closes those to others. Before the first call, and to an address that has come
 // since the last one, MaxIdle may rest.
-func (p *Pool) Allow(allowed map[netip.AddrPort]int) {
+func (p *Pool) Allow(maxIdle map[netip.AddrPort]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.allowed = allowed
+	p.maxIdle = maxIdle
 }
 
 // Sweep closes connections that have rested for too long, and those that may
@@ -123,11 +123,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, conns := range p.idle {
-		most := MaxIdle
-		if p.allowed != nil {
-			most = p.allowed[addr]
+		limit := MaxIdle
+		if p.maxIdle != nil {
+			limit = p.maxIdle[addr]
 		}
-		kept := closeStale(conns, most, now)
+		kept := closeStale(conns, limit, now)
 		if len(kept) == 0 {
 			delete(p.idle, addr)
 			continue
@@ -138,11 +138,11 @@
 
 // closeStale closes, in place, what has rested for too long of the connections
 // to one address and what is beyond the most that may rest. It returns the rest.
-func closeStale(conns []*conn, most int, now time.Time) []*conn {
+func closeStale(conns []*conn, limit int, now time.Time) []*conn {
 	kept := conns[:0]
 	for i, c := range conns {
 		// The last ones have rested for the shortest time.
-		if len(conns)-i <= most && now.Before(c.rested.Add(c.idleFor)) {
+		if len(conns)-i <= limit && now.Before(c.idleSince.Add(c.idleTimeout)) {
 			kept = append(kept, c)
 			continue
 		}
@@ -158,20 +158,20 @@
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	c := newConn(p, addr, nc.(*net.TCPConn))
-	if p.opened != nil {
-		c.meter = p.opened(addr)
+	if p.newMeter != nil {
+		c.meter = p.newMeter(addr)
 	}
 	return c, nil
 }
 
 // userTimeout is after how long without an acknowledgement the kernel gives
 // up a connection whose peer lost power or is cut off.
-const userTimeout = 4 * time.Second
+const tcpUserTimeout = 4 * time.Second
 
 func (p *Pool) setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var set error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
-	return errors.Join(err, set)
+	return errors.Join(err, sockErr)
 }
--- a/lib/h1/pool_test.go
+++ b/lib/h1/pool_test.go
@@ -12,7 +12,7 @@
 
 // TestRestingConnections checks that no more connections rest than are allowed,
 // and that those are kept which have rested for the shortest time.
-func TestRestingConnections(t *testing.T) {
+func TestIdleConnections(t *testing.T) {
 	c := qt.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -52,7 +52,7 @@
 
 // TestNotReady checks that a request which is kept back once there is a connection reaches
 // nobody, and that the error tells so.
-func TestNotReady(t *testing.T) {
+func TestReadyError(t *testing.T) {
 	c := qt.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -68,12 +68,12 @@
 		n, _ := conn.Read(make([]byte, 1))
 		read <- n
 	}()
-	errBack := errors.New("kept back")
+	errNotReady := errors.New("kept back")
 	pool := NewPool(time.Second, nil)
 	_, err = pool.Do(t.Context(), netip.MustParseAddrPort(l.Addr().String()), Request{
-		Method: "GET", Target: "/", Ready: func() error { return errBack },
+		Method: "GET", Target: "/", Ready: func() error { return errNotReady },
 	})
-	c.Assert(err, qt.ErrorIs, errBack)
+	c.Assert(err, qt.ErrorIs, errNotReady)
 	c.Assert(err, qt.ErrorIs, ErrNotSent)
 	c.Assert(<-read, qt.Equals, 0)
 }
--- a/lib/h1/script_test.go
+++ b/lib/h1/script_test.go
@@ -50,24 +50,24 @@
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer l.Close()
-	served := make(chan error, 1)
-	go func() { served <- serveSteps(l, steps(parts["serve"])) }()
+	serverDone := make(chan error, 1)
+	go func() { serverDone <- serveSteps(l, parseSteps(parts["serve"])) }()
 	addr := netip.MustParseAddrPort(l.Addr().String())
-	opened := 0
-	pool := NewPool(time.Second, func(netip.AddrPort) Meter { opened++; return nil })
+	dialed := 0
+	pool := NewPool(time.Second, func(netip.AddrPort) Meter { dialed++; return nil })
 	var got []string
-	for _, step := range steps(parts["ask"]) {
-		if line := ask(pool, addr, step); line != "" {
+	for _, step := range parseSteps(parts["ask"]) {
+		if line := runClientStep(pool, addr, step); line != "" {
 			got = append(got, line)
 		}
 	}
-	got = append(got, fmt.Sprintf("connections %d", opened))
-	c.Assert(got, qt.DeepEquals, steps(parts["want"]))
+	got = append(got, fmt.Sprintf("connections %d", dialed))
+	c.Assert(got, qt.DeepEquals, parseSteps(parts["want"]))
 	l.Close()
-	c.Assert(<-served, qt.IsNil)
+	c.Assert(<-serverDone, qt.IsNil)
 }
 
-func steps(text string) []string {
+func parseSteps(text string) []string {
 	var out []string
 	for line := range strings.SplitSeq(text, "\n") {
 		if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
@@ -122,12 +122,12 @@
 	return nil
 }
 
-func ask(pool *Pool, addr netip.AddrPort, step string) string {
+func runClientStep(pool *Pool, addr netip.AddrPort, step string) string {
 	words := strings.Fields(step)
 	if words[0] == "wait" {
 		d, err := time.ParseDuration(words[1])
 		time.Sleep(d)
-		return errText(err)
+		return errorNames(err)
 	}
 	id := words[1]
 	r := Request{
@@ -147,20 +147,20 @@
 	}
 	resp, err := pool.Do(context.Background(), addr, r)
 	if err != nil {
-		return errText(err)
+		return errorNames(err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if closed := resp.Body.Close(); err == nil {
 		err = closed
 	}
 	if err != nil {
-		return errText(err)
+		return errorNames(err)
 	}
 	return fmt.Sprintf("%d %s framed=%t", resp.Status, body, resp.Framed)
 }
 
 // errText names the sentinel errors that an error wraps.
-func errText(err error) string {
+func errorNames(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/lib/inflight/inflight.go
+++ b/lib/inflight/inflight.go
@@ -13,47 +13,47 @@
 
 const (
 	// growth is by which part the bound rises while answers come soon.
-	growth = 0.25
+	growthFactor = 0.25
 	// cut is by which part it falls when they come late.
-	cut = 0.5
+	backoffFactor = 0.5
 )
 
 // Limit is a bound on calls under way. It is not safe for use by several goroutines.
 type Limit struct {
-	least, most int
+	min, max int
 	// wait is how much longer than the quickest calls may take in the middle.
-	wait time.Duration
+	maxDelay time.Duration
 
-	now      int
-	quickest time.Duration
+	current int
+	fastest time.Duration
 	// batch are the calls that were answered since the bound was looked at last.
 	batch []time.Duration
 }
 
 // New returns a limit that begins with the least.
-func New(least, most int, wait time.Duration) *Limit {
-	return &Limit{least: least, most: most, wait: wait, now: least}
+func New(minCalls, maxCalls int, maxDelay time.Duration) *Limit {
+	return &Limit{min: minCalls, max: maxCalls, maxDelay: maxDelay, current: minCalls}
 }
 
 // Most is how many calls may be under way.
-func (l *Limit) Most() int { return l.now }
+func (l *Limit) Most() int { return l.current }
 
 // Note takes in how long a call took. The bound is looked at once per as many calls as it
 // allows, by the one in the middle: some instances are late by themselves.
 func (l *Limit) Note(took time.Duration) {
-	if l.quickest == 0 || took < l.quickest {
-		l.quickest = took
+	if l.fastest == 0 || took < l.fastest {
+		l.fastest = took
 	}
 	l.batch = append(l.batch, took)
-	if len(l.batch) < l.now {
+	if len(l.batch) < l.current {
 		return
 	}
 	slices.Sort(l.batch)
-	middle := l.batch[len(l.batch)/2]
+	median := l.batch[len(l.batch)/2]
 	l.batch = l.batch[:0]
-	if middle-l.quickest > l.wait {
-		l.now = max(l.least, int(cut*float64(l.now)))
+	if median-l.fastest > l.maxDelay {
+		l.current = max(l.min, int(backoffFactor*float64(l.current)))
 		return
 	}
-	l.now = min(l.most, l.now+max(1, int(growth*float64(l.now))))
+	l.current = min(l.max, l.current+max(1, int(growthFactor*float64(l.current))))
 }
--- a/lib/latency/latency.go
+++ b/lib/latency/latency.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	longest = int64(10 * time.Minute / time.Microsecond)
-	digits  = 3
+	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 // Times gathers durations to three digits. It is not safe for use by several
 // goroutines at once.
-type Times struct{ h *hdrhistogram.Histogram }
+type Times struct{ histogram *hdrhistogram.Histogram }
 
 // New returns an empty collection.
-func New() Times { return Times{hdrhistogram.New(1, longest, digits)} }
+func New() Times { return Times{hdrhistogram.New(1, maxMicroseconds, significantDigits)} }
 
 // Add takes a duration. One longer than ten minutes counts as ten minutes.
 func (t Times) Add(d time.Duration) {
 	// Within these bounds the histogram takes every value.
-	_ = t.h.RecordValue(min(longest, max(1, d.Microseconds())))
+	_ = t.histogram.RecordValue(min(maxMicroseconds, max(1, d.Microseconds())))
 }
 
 // Percentiles are in milliseconds.
@@ -35,6 +35,6 @@
 
 // Percentiles returns what half, 95, 99 and all of 100 durations are within.
 func (t Times) Percentiles() Percentiles {
-	at := func(q float64) float64 { return float64(t.h.ValueAtQuantile(q)) / 1000 }
-	return Percentiles{P50: at(50), P95: at(95), P99: at(99), Max: float64(t.h.Max()) / 1000}
+	at := func(q float64) float64 { return float64(t.histogram.ValueAtQuantile(q)) / 1000 }
+	return Percentiles{P50: at(50), P95: at(95), P99: at(99), Max: float64(t.histogram.Max()) / 1000}
 }
--- a/lib/logfmt/bounded.go
+++ b/lib/logfmt/bounded.go
@@ -12,14 +12,14 @@
 // Bounded hands lines to a writer that may block, without ever blocking those
 // who log. Lines beyond its queue are left out, and it says how many.
 type Bounded struct {
-	to      io.Writer
+	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
 // NewBounded returns a writer with a queue of so many lines.
-func NewBounded(to io.Writer, queue int) *Bounded {
-	return &Bounded{to: to, lines: make(chan []byte, queue)}
+func NewBounded(out io.Writer, queueLen int) *Bounded {
+	return &Bounded{out: out, lines: make(chan []byte, queueLen)}
 }
 
 // Write takes a line, or leaves it out if the queue is full.
@@ -37,7 +37,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return b.drain()
+			return b.flush()
 		case line := <-b.lines:
 			if err := b.write(line); err != nil {
 				return err
@@ -46,7 +46,7 @@
 	}
 }
 
-func (b *Bounded) drain() error {
+func (b *Bounded) flush() error {
 	for {
 		select {
 		case line := <-b.lines:
@@ -61,9 +61,9 @@
 
 func (b *Bounded) write(line []byte) error {
 	if n := b.dropped.Swap(0); n > 0 {
-		notice := New(b.to, zerolog.WarnLevel)
+		notice := New(b.out, zerolog.WarnLevel)
 		notice.Warn().Int64("lines", n).Msg("log-lines-dropped")
 	}
-	_, err := b.to.Write(line)
+	_, err := b.out.Write(line)
 	return err
 }
--- a/lib/logfmt/logfmt.go
+++ b/lib/logfmt/logfmt.go
@@ -20,11 +20,11 @@
 		PartsOrder: []string{
 			zerolog.TimestampFieldName, zerolog.LevelFieldName, zerolog.MessageFieldName,
 		},
-		FormatTimestamp:     pair("time"),
-		FormatLevel:         pair("level"),
-		FormatMessage:       pair("event"),
-		FormatErrFieldValue: value,
-		FormatFieldValue:    value,
+		FormatTimestamp:     formatPair("time"),
+		FormatLevel:         formatPair("level"),
+		FormatMessage:       formatPair("event"),
+		FormatErrFieldValue: formatValue,
+		FormatFieldValue:    formatValue,
 	}
 	return zerolog.New(out).Level(level).With().Timestamp().Logger()
 }
@@ -33,11 +33,11 @@
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 }
 
-func pair(key string) zerolog.Formatter {
-	return func(v any) string { return key + "=" + value(v) }
+func formatPair(key string) zerolog.Formatter {
+	return func(v any) string { return key + "=" + formatValue(v) }
 }
 
-func value(v any) string {
+func formatValue(v any) string {
 	s := fmt.Sprint(v)
 	if raw, ok := v.([]byte); ok {
 		s = string(raw)
--- a/lib/pack/check.go
+++ b/lib/pack/check.go
@@ -14,18 +14,18 @@
 // lengths that the data can't hold, for which the codec would set memory
 // aside, and nesting so deep that the codec's recursion would run out of
 // stack.
-func check(data []byte) error {
+func validate(data []byte) error {
 	w := walker{data: data}
 	// open holds, for each array or map that is being walked, how many of
 	// its values are still to come.
-	open := []int{1}
-	for len(open) > 0 {
-		last := len(open) - 1
-		if open[last] == 0 {
-			open = open[:last]
+	pending := []int{1}
+	for len(pending) > 0 {
+		last := len(pending) - 1
+		if pending[last] == 0 {
+			pending = pending[:last]
 			continue
 		}
-		open[last]--
+		pending[last]--
 		children, err := w.step()
 		if err != nil {
 			return err
@@ -36,10 +36,10 @@
 		if children > len(w.data) {
 			return fmt.Errorf("%w: %d values in %d bytes", ErrMalformed, children, len(w.data))
 		}
-		if len(open) == maxDepth {
+		if len(pending) == maxDepth {
 			return fmt.Errorf("%w: nested deeper than %d", ErrMalformed, maxDepth)
 		}
-		open = append(open, children)
+		pending = append(pending, children)
 	}
 	return nil
 }
@@ -64,10 +64,10 @@
 	case msgpcode.IsFixedString(c):
 		return 0, w.skip(int(c & msgpcode.FixedStrMask))
 	}
-	return w.stepLong(c)
+	return w.stepSized(c)
 }
 
-func (w *walker) stepLong(c byte) (int, error) {
+func (w *walker) stepSized(c byte) (int, error) {
 	switch c {
 	case msgpcode.Nil, msgpcode.False, msgpcode.True:
 		return 0, nil
@@ -88,26 +88,26 @@
 	case msgpcode.FixExt16:
 		return 0, w.skip(17)
 	case msgpcode.Str8, msgpcode.Bin8:
-		return 0, w.skipCounted(1, 0)
+		return 0, w.skipSized(1, 0)
 	case msgpcode.Str16, msgpcode.Bin16:
-		return 0, w.skipCounted(2, 0)
+		return 0, w.skipSized(2, 0)
 	case msgpcode.Str32, msgpcode.Bin32:
-		return 0, w.skipCounted(4, 0)
+		return 0, w.skipSized(4, 0)
 	case msgpcode.Ext8:
-		return 0, w.skipCounted(1, 1)
+		return 0, w.skipSized(1, 1)
 	case msgpcode.Ext16:
-		return 0, w.skipCounted(2, 1)
+		return 0, w.skipSized(2, 1)
 	case msgpcode.Ext32:
-		return 0, w.skipCounted(4, 1)
+		return 0, w.skipSized(4, 1)
 	case msgpcode.Array16:
-		return w.count(2)
+		return w.readLen(2)
 	case msgpcode.Array32:
-		return w.count(4)
+		return w.readLen(4)
 	case msgpcode.Map16:
-		n, err := w.count(2)
+		n, err := w.readLen(2)
 		return 2 * n, err
 	case msgpcode.Map32:
-		n, err := w.count(4)
+		n, err := w.readLen(4)
 		return 2 * n, err
 	default:
 		return 0, fmt.Errorf("%w: unknown code %#x", ErrMalformed, c)
@@ -129,21 +129,21 @@
 }
 
 // count reads a length of so many bytes.
-func (w *walker) count(bytes int) (int, error) {
-	b, err := w.take(bytes)
+func (w *walker) readLen(width int) (int, error) {
+	b, err := w.take(width)
 	if err != nil {
 		return 0, err
 	}
 	var wide [4]byte
-	copy(wide[len(wide)-bytes:], b)
+	copy(wide[len(wide)-width:], b)
 	return int(binary.BigEndian.Uint32(wide[:])), nil
 }
 
 // skipCounted skips a length, that many bytes, and some more.
-func (w *walker) skipCounted(bytes, more int) error {
-	n, err := w.count(bytes)
+func (w *walker) skipSized(width, extra int) error {
+	n, err := w.readLen(width)
 	if err != nil {
 		return err
 	}
-	return w.skip(n + more)
+	return w.skip(n + extra)
 }
--- a/lib/pack/pack.go
+++ b/lib/pack/pack.go
@@ -35,7 +35,7 @@
 			err = fmt.Errorf("%w: %v", ErrMalformed, r)
 		}
 	}()
-	if err := check(data); err != nil {
+	if err := validate(data); err != nil {
 		return err
 	}
 	if err := msgpack.Unmarshal(data, out); err != nil {
--- a/lib/sse/reader.go
+++ b/lib/sse/reader.go
@@ -34,30 +34,30 @@
 	r   io.Reader
 	buf []byte
 	// at is where the unread bytes in buf begin.
-	at int
+	start int
 }
 
 // firstBuffer is the buffer to begin with, in bytes; it grows with the events.
-const firstBuffer = 2 << 10
+const initialBufferLen = 2 << 10
 
 // NewReader returns a reader of events.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{r: r, buf: make([]byte, 0, firstBuffer)}
+	return &Reader{r: r, buf: make([]byte, 0, initialBufferLen)}
 }
 
 // Next returns the next event, which is valid until the next call. It returns
 // io.EOF only between two events.
 func (r *Reader) Next() (Event, error) {
 	for {
-		if event, ok := r.split(); ok {
+		if event, ok := r.nextBuffered(); ok {
 			return event, nil
 		}
-		if len(r.buf)-r.at > MaxEvent {
+		if len(r.buf)-r.start > MaxEvent {
 			return Event{}, ErrTooLong
 		}
 		if err := r.fill(); err != nil {
-			if errors.Is(err, io.EOF) && len(r.buf) > r.at {
-				return Event{}, fmt.Errorf("%w: %d bytes left", ErrCut, len(r.buf)-r.at)
+			if errors.Is(err, io.EOF) && len(r.buf) > r.start {
+				return Event{}, fmt.Errorf("%w: %d bytes left", ErrCut, len(r.buf)-r.start)
 			}
 			return Event{}, err
 		}
@@ -65,24 +65,24 @@
 }
 
 // Pending reports whether a whole event has been read already.
-func (r *Reader) Pending() bool { return bytes.Contains(r.buf[r.at:], []byte("\n\n")) }
+func (r *Reader) Pending() bool { return bytes.Contains(r.buf[r.start:], []byte("\n\n")) }
 
-func (r *Reader) split() (Event, bool) {
-	end := bytes.Index(r.buf[r.at:], []byte("\n\n"))
+func (r *Reader) nextBuffered() (Event, bool) {
+	end := bytes.Index(r.buf[r.start:], []byte("\n\n"))
 	if end < 0 {
 		return Event{}, false
 	}
-	raw := r.buf[r.at : r.at+end+2]
-	r.at += end + 2
-	return parse(raw), true
+	raw := r.buf[r.start : r.start+end+2]
+	r.start += end + 2
+	return parseEvent(raw), true
 }
 
 func (r *Reader) fill() error {
-	if r.at > 0 {
-		r.buf = append(r.buf[:0], r.buf[r.at:]...)
-		r.at = 0
+	if r.start > 0 {
+		r.buf = append(r.buf[:0], r.buf[r.start:]...)
+		r.start = 0
 	}
-	if cap(r.buf)-len(r.buf) < firstBuffer/2 {
+	if cap(r.buf)-len(r.buf) < initialBufferLen/2 {
 		grown := make([]byte, len(r.buf), 2*cap(r.buf))
 		copy(grown, r.buf)
 		r.buf = grown
@@ -95,7 +95,7 @@
 	return err
 }
 
-func parse(raw []byte) Event {
+func parseEvent(raw []byte) Event {
 	event := Event{Raw: raw}
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
 		value, found := bytes.CutPrefix(line, []byte("id:"))
--- a/lib/sse/reader_test.go
+++ b/lib/sse/reader_test.go
@@ -17,7 +17,7 @@
 // TestStreams reads the streams in testdata, whole and byte by byte, and
 // checks the events that come of them. The lines before "---" are the
 // stream, those after it what is wanted.
-func TestStreams(t *testing.T) {
+func TestStreamFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.stream")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, files, qt.Not(qt.HasLen), 0)
@@ -27,13 +27,13 @@
 		stream, want, found := strings.Cut(string(data), "---\n")
 		qt.Assert(t, found, qt.IsTrue)
 		t.Run(filepath.Base(file), func(t *testing.T) {
-			qt.Assert(t, read(strings.NewReader(stream)), qt.Equals, want)
-			qt.Assert(t, read(iotest.OneByteReader(strings.NewReader(stream))), qt.Equals, want)
+			qt.Assert(t, summarize(strings.NewReader(stream)), qt.Equals, want)
+			qt.Assert(t, summarize(iotest.OneByteReader(strings.NewReader(stream))), qt.Equals, want)
 		})
 	}
 }
 
-func read(r io.Reader) string {
+func summarize(r io.Reader) string {
 	var out strings.Builder
 	events := NewReader(r)
 	for {
@@ -50,14 +50,14 @@
 }
 
 func TestTooLong(t *testing.T) {
-	events := NewReader(io.LimitReader(endless{}, 4*MaxEvent))
+	events := NewReader(io.LimitReader(endlessReader{}, 4*MaxEvent))
 	_, err := events.Next()
 	qt.Assert(t, err, qt.ErrorIs, ErrTooLong)
 }
 
-type endless struct{}
+type endlessReader struct{}
 
-func (endless) Read(p []byte) (int, error) {
+func (endlessReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = 'x'
 	}
--- a/lib/task/task.go
+++ b/lib/task/task.go
@@ -14,19 +14,19 @@
 	// Done yields the goroutine's error, or nil, once, and is then closed.
 	Done <-chan error
 	// over ends together with the goroutine.
-	over context.Context
+	ended context.Context
 }
 
 // Start runs the function in a goroutine of its own.
 func Start(ctx context.Context, name string, run func(context.Context) error) Task {
 	done := make(chan error, 1)
-	over, end := context.WithCancel(context.Background())
+	ended, cancel := context.WithCancel(context.Background())
 	go func() {
-		defer end()
+		defer cancel()
 		defer close(done)
 		done <- run(ctx)
 	}()
-	return Task{Name: name, Done: done, over: over}
+	return Task{Name: name, Done: done, ended: ended}
 }
 
 // WaitAny returns when the context ends or one of the tasks does. The task's
@@ -34,7 +34,7 @@
 func WaitAny(ctx context.Context, tasks ...Task) error {
 	ended := make(chan string, len(tasks))
 	for _, t := range tasks {
-		stop := context.AfterFunc(t.over, func() { ended <- t.Name })
+		stop := context.AfterFunc(t.ended, func() { ended <- t.Name })
 		defer stop()
 	}
 	select {
--- a/lib/timer/suspended.go
+++ b/lib/timer/suspended.go
@@ -9,23 +9,23 @@
 const (
 	// suspendedLeast is the shortest suspension that counts. Shorter ones are within the
 	// slack of all bounds that are told to users.
-	suspendedLeast = 300 * time.Millisecond
+	minSuspension = 300 * time.Millisecond
 	// drain is for how long after a suspension what is received may have been sent before
 	// its end: it lay in the buffers of connections meanwhile.
-	drain = 300 * time.Millisecond
+	bufferDrain = 300 * time.Millisecond
 	// readingMost is how long the reading of two clocks may take to be relied on,
 	// readings how often it is tried.
-	readingMost = 5 * time.Millisecond
-	readings    = 3
+	maxClockReadTime = 5 * time.Millisecond
+	maxClockReads    = 3
 	// suspensionsKept is how many are remembered.
-	suspensionsKept = 16
+	maxSuspensions = 16
 )
 
 // suspension is time that the machine was suspended. The steady clock does not count it.
 type suspension struct {
 	// woken is when it was noticed, by the steady clock.
-	woken  time.Time
-	length time.Duration
+	resumedAt time.Time
+	length    time.Duration
 }
 
 // BootTime is the time since the machine was started, suspensions among it.
@@ -43,10 +43,10 @@
 	boot func() (time.Duration, error)
 	// began is where both clocks stood at first, ahead how far the one has come ahead of
 	// the other since.
-	began     time.Time
-	bootBegan time.Duration
-	ahead     time.Duration
-	seen      []suspension
+	startedAt   time.Time
+	bootAtStart time.Duration
+	counted     time.Duration
+	recent      []suspension
 }
 
 // CountSuspensions has the service count time in which the machine is suspended, by a clock
@@ -58,16 +58,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.suspended = suspensions{boot: boot, began: time.Now(), bootBegan: at}
+	s.suspensions = suspensions{boot: boot, startedAt: time.Now(), bootAtStart: at}
 	return nil
 }
 
 // look notices a suspension that has just ended, and returns its length.
-func (s *suspensions) look(now func() time.Time) time.Duration {
+func (s *suspensions) detect(now func() time.Time) time.Duration {
 	if s.boot == nil {
 		return 0
 	}
-	for range readings {
+	for range maxClockReads {
 		before := now()
 		boot, err := s.boot()
 		after := now()
@@ -75,17 +75,17 @@
 			// It could be read before; what was seen then holds.
 			return 0
 		}
-		if after.Sub(before) > readingMost {
+		if after.Sub(before) > maxClockReadTime {
 			continue
 		}
-		length := boot - s.bootBegan - after.Sub(s.began) - s.ahead
-		if length < suspendedLeast {
+		length := boot - s.bootAtStart - after.Sub(s.startedAt) - s.counted
+		if length < minSuspension {
 			return 0
 		}
-		s.ahead += length
-		s.seen = append(s.seen, suspension{woken: after, length: length})
-		if len(s.seen) > suspensionsKept {
-			s.seen = s.seen[1:]
+		s.counted += length
+		s.recent = append(s.recent, suspension{resumedAt: after, length: length})
+		if len(s.recent) > maxSuspensions {
+			s.recent = s.recent[1:]
 		}
 		return length
 	}
@@ -94,14 +94,14 @@
 
 // after is how long the machine was suspended since a time. What was received just after a
 // suspension counts as from before.
-func (s *suspensions) after(t time.Time) time.Duration {
-	sum := time.Duration(0)
-	for _, suspended := range s.seen {
-		if t.Before(suspended.woken.Add(drain)) {
-			sum += suspended.length
+func (s *suspensions) since(t time.Time) time.Duration {
+	total := time.Duration(0)
+	for _, suspended := range s.recent {
+		if t.Before(suspended.resumedAt.Add(bufferDrain)) {
+			total += suspended.length
 		}
 	}
-	return sum
+	return total
 }
 
 // Suspended is how long the machine was suspended since a time. It is looked up at once:
@@ -109,8 +109,8 @@
 func (s *Service) Suspended(since time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unread += s.suspended.look(time.Now)
-	return s.suspended.after(since)
+	s.unreported += s.suspensions.detect(time.Now)
+	return s.suspensions.since(since)
 }
 
 // Since is how long ago a time was, suspensions among it: by the steady clock alone a key
--- a/lib/timer/timer.go
+++ b/lib/timer/timer.go
@@ -14,7 +14,7 @@
 
 // PauseBound is how late a step must come to count as a pause of the
 // process.
-const PauseBound = 500 * time.Millisecond
+const MinPause = 500 * time.Millisecond
 
 // Tick tells a subscriber that its period has passed.
 type Tick struct {
@@ -28,17 +28,17 @@
 // Service hands ticks to subscribers. Create it with New; the zero value is
 // not usable.
 type Service struct {
-	mu   sync.Mutex
-	subs []*subscription
-	last time.Time
+	mu            sync.Mutex
+	subscriptions []*subscription
+	last          time.Time
 	// suspended is when the machine was suspended, unread what subscribers were not told
 	// of it yet.
-	suspended suspensions
-	unread    time.Duration
+	suspensions suspensions
+	unreported  time.Duration
 }
 
 type subscription struct {
-	every  time.Duration
+	period time.Duration
 	next   time.Time
 	paused time.Duration
 	ticks  chan Tick
@@ -51,11 +51,11 @@
 
 // Subscribe returns a channel that gets a tick each period. A subscriber
 // that is slower than its period gets the newest tick late, not a backlog.
-func (s *Service) Subscribe(every time.Duration) <-chan Tick {
+func (s *Service) Subscribe(period time.Duration) <-chan Tick {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sub := &subscription{every: every, next: s.last.Add(every), ticks: make(chan Tick, 1)}
-	s.subs = append(s.subs, sub)
+	sub := &subscription{period: period, next: s.last.Add(period), ticks: make(chan Tick, 1)}
+	s.subscriptions = append(s.subscriptions, sub)
 	return sub.ticks
 }
 
@@ -65,13 +65,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var paused time.Duration
-	if late := now.Sub(s.last); late > PauseBound {
+	if late := now.Sub(s.last); late > MinPause {
 		paused = late
 	}
-	paused += s.unread + s.suspended.look(time.Now)
-	s.unread = 0
+	paused += s.unreported + s.suspensions.detect(time.Now)
+	s.unreported = 0
 	s.last = now
-	for _, sub := range s.subs {
+	for _, sub := range s.subscriptions {
 		sub.paused += paused
 		if now.Before(sub.next) {
 			continue
@@ -82,7 +82,7 @@
 		default:
 			// The subscriber has a tick to read; a pause stays noted.
 		}
-		sub.next = now.Add(sub.every)
+		sub.next = now.Add(sub.period)
 	}
 }
 
--- a/worker/engine/client.go
+++ b/worker/engine/client.go
@@ -23,12 +23,12 @@
 	// ErrFenced: the engine has seen a newer fence.
 	ErrFenced = errors.New("the instance has seen a newer fence")
 	// ErrUnhealthy: the engine answered something else than expected.
-	ErrUnhealthy = errors.New("unexpected answer from the instance")
+	ErrUnexpectedResponse = errors.New("unexpected answer from the instance")
 	// ErrStranger: another instance answers at the address.
-	ErrStranger = errors.New("another instance answers at this address")
+	ErrWrongInstance = errors.New("another instance answers at this address")
 )
 
-const maxStatus = 64 << 10
+const maxStatusLen = 64 << 10
 
 // Client watches engines and gives them orders.
 type Client struct{ http *http.Client }
@@ -56,14 +56,14 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return types.EngineStatus{}, trace.Wrap(fmt.Errorf("%w: status: %s", ErrUnhealthy, resp.Status))
+		return types.EngineStatus{}, trace.Wrap(fmt.Errorf("%w: status: %s", ErrUnexpectedResponse, resp.Status))
 	}
 	var status types.EngineStatus
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(&status); err != nil {
-		return types.EngineStatus{}, trace.Wrap(errors.Join(ErrUnhealthy, err))
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusLen)).Decode(&status); err != nil {
+		return types.EngineStatus{}, trace.Wrap(errors.Join(ErrUnexpectedResponse, err))
 	}
 	if status.Instance != id {
-		return types.EngineStatus{}, trace.Wrap(fmt.Errorf("%w: %s instead of %s", ErrStranger, status.Instance, id))
+		return types.EngineStatus{}, trace.Wrap(fmt.Errorf("%w: %s instead of %s", ErrWrongInstance, status.Instance, id))
 	}
 	return status, nil
 }
@@ -93,6 +93,6 @@
 	case http.StatusConflict:
 		return trace.Wrap(ErrFenced)
 	default:
-		return trace.Wrap(fmt.Errorf("%w: order: %s", ErrUnhealthy, resp.Status))
+		return trace.Wrap(fmt.Errorf("%w: order: %s", ErrUnexpectedResponse, resp.Status))
 	}
 }
--- a/worker/engine/orderer.go
+++ b/worker/engine/orderer.go
@@ -11,11 +11,11 @@
 // OrderBound is how long after it was decided an order may still be sent.
 // An instance that does not check fences relies on it: see the design note
 // on orders.
-const OrderBound = time.Second
+const MaxOrderAge = time.Second
 
 // ErrOrderTooLate is returned for an order that was not sent because its
 // decision is too old.
-var ErrOrderTooLate = errors.New("the order is too old to be sent")
+var ErrOrderExpired = errors.New("the order is too old to be sent")
 
 // Orderer sends orders, one after another.
 type Orderer struct {
@@ -31,17 +31,17 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case d := <-o.Orders:
-			types.Send(ctx, o.Out, types.OrderEnded{Dispatch: d, Err: o.send(ctx, d)})
+			types.Send(ctx, o.Out, types.OrderResult{Dispatch: d, Err: o.send(ctx, d)})
 		}
 	}
 }
 
 func (o *Orderer) send(ctx context.Context, d types.Dispatch) error {
-	left := OrderBound - time.Since(d.Decided)
-	if left <= 0 {
-		return ErrOrderTooLate
+	remaining := MaxOrderAge - time.Since(d.Decided)
+	if remaining <= 0 {
+		return ErrOrderExpired
 	}
-	ctx, cancel := context.WithTimeout(ctx, left)
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
 	return o.Client.Send(ctx, d.Addr, d.Order)
 }
--- a/worker/engine/watcher.go
+++ b/worker/engine/watcher.go
@@ -17,13 +17,13 @@
 	targets <-chan map[models.InstanceID]netip.AddrPort, out chan<- types.Message,
 ) error {
 	p := probe.Prober[models.InstanceID, netip.AddrPort, types.EngineStatus]{
-		Ticks: ticks, Targets: targets, Ask: c.Status,
+		Ticks: ticks, Targets: targets, Probe: c.Status,
 		Deliver: func(ctx context.Context, r probe.Result[models.InstanceID, netip.AddrPort, types.EngineStatus]) {
 			if r.Err != nil {
-				types.Send(ctx, out, types.InstanceSilent{Instance: r.Key, Asked: r.Asked, Err: r.Err})
+				types.Send(ctx, out, types.InstanceSilent{Instance: r.Key, SentAt: r.SentAt, Err: r.Err})
 				return
 			}
-			types.Send(ctx, out, types.InstanceSeen{Instance: r.Key, Addr: r.Target, Asked: r.Asked, Status: r.Answer})
+			types.Send(ctx, out, types.InstanceSeen{Instance: r.Key, Addr: r.Target, SentAt: r.SentAt, Status: r.Response})
 		},
 	}
 	return p.Run(ctx)
--- a/worker/peer/client.go
+++ b/worker/peer/client.go
@@ -27,25 +27,25 @@
 
 // Exchange sends a heartbeat and returns the answer. Only one exchange with
 // an address may run at a time. On any doubt the connection is closed.
-func (c *Client) Exchange(ctx context.Context, addr netip.AddrPort, beat Heartbeat) (Answer, error) {
+func (c *Client) Exchange(ctx context.Context, addr netip.AddrPort, heartbeat Heartbeat) (Response, error) {
 	conn, err := c.conn(ctx, addr)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
-	answer, err := exchange(ctx, conn, beat)
+	resp, err := exchange(ctx, conn, heartbeat)
 	if err != nil {
-		c.drop(addr)
-		return Answer{}, fmt.Errorf("heartbeat to %s: %w", addr, err)
+		c.closeConn(addr)
+		return Response{}, fmt.Errorf("heartbeat to %s: %w", addr, err)
 	}
-	return answer, nil
+	return resp, nil
 }
 
 func (c *Client) conn(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	c.mu.Lock()
-	known := c.conns[addr]
+	existing := c.conns[addr]
 	c.mu.Unlock()
-	if known != nil {
-		return known, nil
+	if existing != nil {
+		return existing, nil
 	}
 	conn, err := c.dialer.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
@@ -57,7 +57,7 @@
 	return conn, nil
 }
 
-func (c *Client) drop(addr netip.AddrPort) {
+func (c *Client) closeConn(addr netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn := c.conns[addr]; conn != nil {
@@ -67,35 +67,35 @@
 }
 
 // Keep closes the connections to all addresses but these.
-func (c *Client) Keep(wanted map[netip.AddrPort]bool) {
+func (c *Client) CloseExcept(keep map[netip.AddrPort]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for addr, conn := range c.conns {
-		if !wanted[addr] {
+		if !keep[addr] {
 			conn.Close()
 			delete(c.conns, addr)
 		}
 	}
 }
 
-func exchange(ctx context.Context, conn net.Conn, beat Heartbeat) (Answer, error) {
+func exchange(ctx context.Context, conn net.Conn, heartbeat Heartbeat) (Response, error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(idleTimeout)
 	}
 	if err := conn.SetDeadline(deadline); err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
-	if _, err := frame.Write(conn, kindHeartbeat, beat); err != nil {
-		return Answer{}, err
+	if _, err := frame.Write(conn, kindHeartbeat, heartbeat); err != nil {
+		return Response{}, err
 	}
 	kind, body, err := frame.Read(conn)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
-	if kind != kindStatus {
-		return Answer{}, fmt.Errorf("%w: kind %d instead of a status", frame.ErrFormat, kind)
+	if kind != kindResponse {
+		return Response{}, fmt.Errorf("%w: kind %d instead of a status", frame.ErrFormat, kind)
 	}
-	var answer Answer
-	return answer, frame.Decode(body, &answer)
+	var resp Response
+	return resp, frame.Decode(body, &resp)
 }
--- a/worker/peer/server.go
+++ b/worker/peer/server.go
@@ -16,8 +16,8 @@
 )
 
 // Source answers heartbeats. It is called from many goroutines.
-type Source interface {
-	Answer(Heartbeat) Answer
+type Handler interface {
+	HandleHeartbeat(Heartbeat) Response
 }
 
 // idleTimeout closes a connection on which no heartbeat comes.
@@ -25,10 +25,10 @@
 
 // Server answers the heartbeats of other daemons.
 type Server struct {
-	Source Source
-	Log    zerolog.Logger
+	Handler Handler
+	Log     zerolog.Logger
 	// Bytes, if set, counts what is sent and received.
-	Bytes dial.Count
+	CountBytes dial.CountFunc
 
 	listener net.Listener
 }
@@ -64,9 +64,9 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	counted := dial.Counted(conn, s.Bytes)
+	counted := dial.WithCount(conn, s.CountBytes)
 	for {
-		if err := s.answerOne(counted); err != nil {
+		if err := s.serveHeartbeat(counted); err != nil {
 			if !errors.Is(err, io.EOF) && ctx.Err() == nil {
 				s.Log.Debug().Err(err).Stringer("remote", conn.RemoteAddr()).Msg("peer-connection-ended")
 			}
@@ -75,7 +75,7 @@
 	}
 }
 
-func (s *Server) answerOne(conn net.Conn) error {
+func (s *Server) serveHeartbeat(conn net.Conn) error {
 	if err := conn.SetDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return err
 	}
@@ -86,10 +86,10 @@
 	if kind != kindHeartbeat {
 		return fmt.Errorf("%w: kind %d instead of a heartbeat", frame.ErrFormat, kind)
 	}
-	var beat Heartbeat
-	if err := frame.Decode(body, &beat); err != nil {
+	var heartbeat Heartbeat
+	if err := frame.Decode(body, &heartbeat); err != nil {
 		return err
 	}
-	_, err = frame.Write(conn, kindStatus, s.Source.Answer(beat))
+	_, err = frame.Write(conn, kindResponse, s.Handler.HandleHeartbeat(heartbeat))
 	return err
 }
--- a/worker/peer/wire.go
+++ b/worker/peer/wire.go
@@ -13,7 +13,7 @@
 
 const (
 	kindHeartbeat frame.Kind = iota + 1
-	kindStatus
+	kindResponse
 )
 
 // Heartbeat is what one daemon sends.
@@ -27,20 +27,20 @@
 }
 
 // Answer is what the other sends back.
-type Answer struct {
+type Response struct {
 	Status types.PeerStatus `msgpack:"s"`
 	// Heard are the daemons that the other has heard of lately.
-	Heard []Heard `msgpack:"h,omitempty"`
+	Gossip []GossipEntry `msgpack:"h,omitempty"`
 	// Vouches tell of the silent instances that the other has seen.
-	Vouches []types.Vouch `msgpack:"v,omitempty"`
+	Observations []types.Observation `msgpack:"v,omitempty"`
 	// Records follow the offset asked for; State is sent instead when the
 	// other does not remember them any more.
-	Records []types.Entry `msgpack:"r,omitempty"`
-	State   []byte        `msgpack:"st,omitempty"`
+	Records  []types.Entry `msgpack:"r,omitempty"`
+	Snapshot []byte        `msgpack:"st,omitempty"`
 }
 
 // Heard is one daemon's status as another heard it.
-type Heard struct {
+type GossipEntry struct {
 	Status types.PeerStatus `msgpack:"s"`
 	// Age is how long before the answer the status was true at the latest.
 	Age time.Duration `msgpack:"a"`
--- a/worker/platform/appender.go
+++ b/worker/platform/appender.go
@@ -8,7 +8,7 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-const retryAppend = 100 * time.Millisecond
+const appendRetryDelay = 100 * time.Millisecond
 
 // Appender appends records and tries again until the append's time is up. A
 // record that was tried more than once may stand on the log more than once;
@@ -25,25 +25,25 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case order := <-a.Appends:
-			types.Send(ctx, a.Out, a.append(ctx, order))
+		case req := <-a.Appends:
+			types.Send(ctx, a.Out, a.append(ctx, req))
 		}
 	}
 }
 
 // ErrTooLate is returned for a record whose time was up before it was sent.
-var ErrTooLate = errors.New("the record's time was up")
+var ErrAppendDeadline = errors.New("the record's time was up")
 
-func (a *Appender) append(ctx context.Context, order types.Append) types.AppendEnded {
-	res := types.AppendEnded{Append: order, Err: ErrTooLate}
-	for time.Now().Before(order.Until) && ctx.Err() == nil {
-		offset, err := a.Client.Append(ctx, order.Stream, order.Data)
+func (a *Appender) append(ctx context.Context, req types.Append) types.AppendResult {
+	res := types.AppendResult{Append: req, Err: ErrAppendDeadline}
+	for time.Now().Before(req.Deadline) && ctx.Err() == nil {
+		offset, err := a.Client.Append(ctx, req.Stream, req.Data)
 		if err == nil {
-			return types.AppendEnded{Append: order, Offset: offset}
+			return types.AppendResult{Append: req, Offset: offset}
 		}
 		res.Err = err
 		res.Ambiguous = res.Ambiguous || errors.Is(err, ErrUnknown)
-		pause(ctx, retryAppend)
+		sleep(ctx, appendRetryDelay)
 	}
 	return res
 }
--- a/worker/platform/checkpoint.go
+++ b/worker/platform/checkpoint.go
@@ -13,20 +13,20 @@
 
 // farOffset is past the end of any stream: reading from it tells where the
 // stream ends.
-const farOffset = models.Offset(1) << 62
+const beyondEnd = models.Offset(1) << 62
 
 // ReadTail reads the last entries of a stream, at most count.
 func (c *Client) ReadTail(ctx context.Context, stream string, count int) ([]types.Entry, error) {
-	end, err := c.Read(ctx, stream, farOffset, 0)
+	tail, err := c.Read(ctx, stream, beyondEnd, 0)
 	if err != nil {
 		return nil, err
 	}
-	next := end.First
-	if end.Next > next+models.Offset(count) {
-		next = end.Next - models.Offset(count)
+	next := tail.First
+	if tail.Next > next+models.Offset(count) {
+		next = tail.Next - models.Offset(count)
 	}
 	var entries []types.Entry
-	for next < end.Next {
+	for next < tail.Next {
 		answer, err := c.Read(ctx, stream, next, 0)
 		if errors.Is(err, ErrExpired) {
 			next = answer.First
@@ -36,7 +36,7 @@
 			return nil, err
 		}
 		if len(answer.Entries) == 0 {
-			return nil, trace.Wrap(fmt.Errorf("%w: the log ended early at %d of %d", ErrRefused, next, end.Next))
+			return nil, trace.Wrap(fmt.Errorf("%w: the log ended early at %d of %d", ErrRefused, next, tail.Next))
 		}
 		entries = append(entries, answer.Entries...)
 		next = entries[len(entries)-1].Offset + 1
--- a/worker/platform/client.go
+++ b/worker/platform/client.go
@@ -29,8 +29,8 @@
 )
 
 const (
-	callTimeout = 2 * time.Second
-	maxAnswer   = 64 << 20
+	callTimeout    = 2 * time.Second
+	maxResponseLen = 64 << 20
 )
 
 // Client calls the platform's log and instance list.
@@ -68,7 +68,7 @@
 		return 0, trace.Wrap(fmt.Errorf("%w: append: %s", ErrUnknown, resp.Status))
 	}
 	var answer AppendAnswer
-	if err := decode(resp.Body, &answer); err != nil {
+	if err := decodeJSON(resp.Body, &answer); err != nil {
 		return 0, trace.Wrap(errors.Join(ErrUnknown, err))
 	}
 	return answer.Offset, nil
@@ -82,7 +82,7 @@
 	defer cancel()
 	var answer ReadAnswer
 	url := fmt.Sprintf("http://%s/log/%s?from=%d&wait=%s", c.log, stream, from, wait)
-	status, err := c.load(ctx, url, &answer)
+	status, err := c.getJSON(ctx, url, &answer)
 	if err != nil {
 		return ReadAnswer{}, err
 	}
@@ -97,11 +97,11 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var answer ListAnswer
-	_, err := c.load(ctx, fmt.Sprintf("http://%s/instances", c.list), &answer)
+	_, err := c.getJSON(ctx, fmt.Sprintf("http://%s/instances", c.list), &answer)
 	return answer.Instances, err
 }
 
-func (c *Client) load(ctx context.Context, url string, out any) (int, error) {
+func (c *Client) getJSON(ctx context.Context, url string, out any) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0, trace.Wrap(err)
@@ -114,9 +114,9 @@
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusGone {
 		return resp.StatusCode, trace.Wrap(fmt.Errorf("%w: %s", ErrRefused, resp.Status))
 	}
-	return resp.StatusCode, trace.Wrap(decode(resp.Body, out))
+	return resp.StatusCode, trace.Wrap(decodeJSON(resp.Body, out))
 }
 
-func decode(body io.Reader, out any) error {
-	return json.NewDecoder(io.LimitReader(body, maxAnswer)).Decode(out)
+func decodeJSON(body io.Reader, out any) error {
+	return json.NewDecoder(io.LimitReader(body, maxResponseLen)).Decode(out)
 }
--- a/worker/platform/follower.go
+++ b/worker/platform/follower.go
@@ -11,9 +11,9 @@
 
 const (
 	// readWait is how long a read at the end of the stream waits for more.
-	readWait = time.Second
+	maxReadWait = time.Second
 	// retryRead is the pause after a failed read.
-	retryRead = 200 * time.Millisecond
+	readRetryDelay = 200 * time.Millisecond
 )
 
 // Follower reads one stream to its end and then waits for more.
@@ -34,9 +34,9 @@
 // wants has expired it says so and waits to be told where to go on.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		f.takeSeek()
-		began := time.Now()
-		answer, err := f.Client.Read(ctx, f.Stream, f.Next, f.wait())
+		f.pollSeek()
+		startedAt := time.Now()
+		answer, err := f.Client.Read(ctx, f.Stream, f.Next, f.nextWait())
 		if ctx.Err() != nil {
 			break
 		}
@@ -44,14 +44,14 @@
 		switch {
 		case errors.Is(err, ErrExpired):
 			types.Send(ctx, f.Out, types.LogExpired{First: answer.First})
-			f.waitSeek(ctx, readWait)
+			f.awaitSeek(ctx, maxReadWait)
 		case err != nil:
-			types.Send(ctx, f.Out, types.LogAway{Err: err})
-			pause(ctx, retryRead)
+			types.Send(ctx, f.Out, types.LogUnavailable{Err: err})
+			sleep(ctx, readRetryDelay)
 		default:
 			f.Next += models.Offset(len(answer.Entries))
 			f.atEnd = f.Next >= answer.Next
-			types.Send(ctx, f.Out, types.LogRead{Began: began, Entries: answer.Entries, Next: answer.Next})
+			types.Send(ctx, f.Out, types.LogRead{StartedAt: startedAt, Entries: answer.Entries, Next: answer.Next})
 		}
 	}
 	return ctx.Err()
@@ -61,15 +61,15 @@
 // comes back at once: a daemon that starts again, or goes on from a checkpoint
 // at the end of the stream, serves nothing until it knows that it has read
 // everything, 1 s sooner by this.
-func (f *Follower) wait() time.Duration {
+func (f *Follower) nextWait() time.Duration {
 	if f.atEnd {
-		return readWait
+		return maxReadWait
 	}
 	return 0
 }
 
 // takeSeek moves to the offset that the follower was told, if it was.
-func (f *Follower) takeSeek() {
+func (f *Follower) pollSeek() {
 	select {
 	case next := <-f.Seek:
 		f.moveTo(next)
@@ -79,8 +79,8 @@
 
 // waitSeek moves to the offset that the follower is told within the given
 // time.
-func (f *Follower) waitSeek(ctx context.Context, wait time.Duration) {
-	t := time.NewTimer(wait)
+func (f *Follower) awaitSeek(ctx context.Context, timeout time.Duration) {
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case next := <-f.Seek:
@@ -95,7 +95,7 @@
 	f.atEnd = false
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/worker/platform/follower_test.go
+++ b/worker/platform/follower_test.go
@@ -20,16 +20,16 @@
 // TestFollowerKnowsTheEndAtOnce checks that a follower which starts, or is
 // moved, at the end of its stream says so without waiting for a record that
 // may not come: until then its daemon serves nothing. Later reads do wait.
-func TestFollowerKnowsTheEndAtOnce(t *testing.T) {
+func TestFollowerReportsEndWithoutWaiting(t *testing.T) {
 	c := qt.New(t)
-	const atOnce, waits = "0s", "1s"
+	const noWait, longPoll = "0s", "1s"
 	reads := make(chan string, 16)
-	stood := standin.NewPlatform().Handler()
+	handler := standin.NewPlatform().Handler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			reads <- r.URL.Query().Get("wait")
 		}
-		stood.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 	}))
 	defer server.Close()
 	addr := netip.MustParseAddrPort(server.Listener.Addr().String())
@@ -42,19 +42,19 @@
 	}
 	seek, out := make(chan models.Offset, 1), make(chan types.Message, 16)
 	f := &platform.Follower{Client: client, Stream: platform.StreamState, Next: 3, Seek: seek, Out: out}
-	ended := task.Start(ctx, "follow", f.Run)
+	follower := task.Start(ctx, "follow", f.Run)
 	defer func() {
 		cancel()
-		c.Check(<-ended.Done, qt.ErrorIs, context.Canceled)
+		c.Check(<-follower.Done, qt.ErrorIs, context.Canceled)
 	}()
 
-	c.Assert(<-reads, qt.Equals, atOnce)
+	c.Assert(<-reads, qt.Equals, noWait)
 	c.Assert((<-out).(types.LogRead).Next, qt.Equals, models.Offset(3))
-	c.Assert(<-reads, qt.Equals, waits)
+	c.Assert(<-reads, qt.Equals, longPoll)
 
 	seek <- 2
 	_, err := client.Append(ctx, platform.StreamState, []byte("ends the read that waits"))
 	c.Assert(err, qt.IsNil)
-	c.Assert(<-reads, qt.Equals, atOnce)
-	c.Assert(<-reads, qt.Equals, waits)
+	c.Assert(<-reads, qt.Equals, noWait)
+	c.Assert(<-reads, qt.Equals, longPoll)
 }
--- a/worker/platform/list.go
+++ b/worker/platform/list.go
@@ -15,7 +15,7 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case err != nil:
-			types.Send(ctx, out, types.ListAway{Err: err})
+			types.Send(ctx, out, types.ListUnavailable{Err: err})
 		default:
 			types.Send(ctx, out, types.ListRead{Instances: instances})
 		}
--- a/worker/probe/probe.go
+++ b/worker/probe/probe.go
@@ -17,9 +17,9 @@
 	Key    K
 	Target T
 	// Asked is when the question was sent.
-	Asked  time.Time
-	Answer A
-	Err    error
+	SentAt   time.Time
+	Response A
+	Err      error
 }
 
 // Prober asks every target at each tick unless it still waits for that
@@ -28,17 +28,17 @@
 	Ticks <-chan timer.Tick
 	// Targets replaces all targets.
 	Targets <-chan map[K]T
-	Ask     func(context.Context, K, T) (A, error)
+	Probe   func(context.Context, K, T) (A, error)
 	Deliver func(context.Context, Result[K, T, A])
 }
 
 // Run asks until the context ends, and waits for the last answers.
 func (p *Prober[K, T, A]) Run(ctx context.Context) error {
 	targets := map[K]T{}
-	busy := map[K]bool{}
+	inFlight := map[K]bool{}
 	results := make(chan Result[K, T, A])
 	defer func() {
-		for range busy {
+		for range inFlight {
 			<-results
 		}
 	}()
@@ -49,25 +49,25 @@
 		case targets = <-p.Targets:
 		case <-p.Ticks:
 			for key, target := range targets {
-				if busy[key] {
+				if inFlight[key] {
 					continue
 				}
-				busy[key] = true
-				go func() { results <- p.ask(ctx, key, target) }()
+				inFlight[key] = true
+				go func() { results <- p.probeOne(ctx, key, target) }()
 			}
 		case res := <-results:
-			delete(busy, res.Key)
-			if _, wanted := targets[res.Key]; wanted {
+			delete(inFlight, res.Key)
+			if _, targeted := targets[res.Key]; targeted {
 				p.Deliver(ctx, res)
 			}
 		}
 	}
 }
 
-func (p *Prober[K, T, A]) ask(ctx context.Context, key K, target T) Result[K, T, A] {
+func (p *Prober[K, T, A]) probeOne(ctx context.Context, key K, target T) Result[K, T, A] {
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
-	res := Result[K, T, A]{Key: key, Target: target, Asked: time.Now()}
-	res.Answer, res.Err = p.Ask(ctx, key, target)
+	res := Result[K, T, A]{Key: key, Target: target, SentAt: time.Now()}
+	res.Response, res.Err = p.Probe(ctx, key, target)
 	return res
 }
--- a/worker/service/service.go
+++ b/worker/service/service.go
@@ -23,13 +23,13 @@
 	targets <-chan map[models.InstanceID]netip.AddrPort, out chan<- types.Message,
 ) error {
 	p := probe.Prober[models.InstanceID, netip.AddrPort, struct{}]{
-		Ticks: ticks, Targets: targets, Ask: connect(dialer),
+		Ticks: ticks, Targets: targets, Probe: connect(dialer),
 		Deliver: func(ctx context.Context, r probe.Result[models.InstanceID, netip.AddrPort, struct{}]) {
 			if r.Err != nil {
-				types.Send(ctx, out, types.InstanceSilent{Instance: r.Key, Asked: r.Asked, Err: r.Err})
+				types.Send(ctx, out, types.InstanceSilent{Instance: r.Key, SentAt: r.SentAt, Err: r.Err})
 				return
 			}
-			types.Send(ctx, out, types.ServiceSeen{Instance: r.Key, Asked: r.Asked})
+			types.Send(ctx, out, types.ServiceSeen{Instance: r.Key, SentAt: r.SentAt})
 		},
 	}
 	return p.Run(ctx)
--- a/worker/types/log.go
+++ b/worker/types/log.go
@@ -14,8 +14,8 @@
 
 // Append is a record to be appended, and until when to try.
 type Append struct {
-	Stream string
-	Record models.RecordID
-	Data   []byte
-	Until  time.Time
+	Stream   string
+	Record   models.RecordID
+	Data     []byte
+	Deadline time.Time
 }
--- a/worker/types/messages.go
+++ b/worker/types/messages.go
@@ -17,20 +17,20 @@
 // LogRead tells that a read of the state stream that began at Began was
 // answered: the stream held nothing from Next on at that time or later.
 type LogRead struct {
-	Began   time.Time
-	Entries []Entry
-	Next    models.Offset
+	StartedAt time.Time
+	Entries   []Entry
+	Next      models.Offset
 }
 
 // LogExpired tells that the offset wanted next is no longer on the log.
 type LogExpired struct{ First models.Offset }
 
 // LogAway tells that a read of the log failed.
-type LogAway struct{ Err error }
+type LogUnavailable struct{ Err error }
 
 // AppendEnded tells what the log answered to an append. Err is nil once the
 // log has taken the record.
-type AppendEnded struct {
+type AppendResult struct {
 	Append Append
 	Offset models.Offset
 	// Ambiguous tells that a try may have taken effect although Err is set.
@@ -40,29 +40,29 @@
 
 // CheckpointRead carries the newest whole checkpoint on the log.
 type CheckpointRead struct {
-	At    models.Offset
-	State []byte
+	Offset   models.Offset
+	Snapshot []byte
 }
 
 // CheckpointWritten tells how writing a checkpoint ended.
 type CheckpointWritten struct {
-	At    models.Offset
-	Bytes int
-	Err   error
+	Offset models.Offset
+	Bytes  int
+	Err    error
 }
 
 // ListRead carries the platform's list of instances.
 type ListRead struct{ Instances []models.Instance }
 
 // ListAway tells that the list could not be read.
-type ListAway struct{ Err error }
+type ListUnavailable struct{ Err error }
 
 // InstanceSeen carries an instance's own word. It was true at some time
 // after Asked.
 type InstanceSeen struct {
 	Instance models.InstanceID
 	Addr     netip.AddrPort
-	Asked    time.Time
+	SentAt   time.Time
 	Status   EngineStatus
 }
 
@@ -70,19 +70,19 @@
 // at some time after Asked.
 type ServiceSeen struct {
 	Instance models.InstanceID
-	Asked    time.Time
+	SentAt   time.Time
 }
 
 // InstanceSilent tells that an instance did not answer a question sent at
 // Asked in time.
 type InstanceSilent struct {
 	Instance models.InstanceID
-	Asked    time.Time
+	SentAt   time.Time
 	Err      error
 }
 
 // OrderEnded tells what an instance answered to an order.
-type OrderEnded struct {
+type OrderResult struct {
 	Dispatch Dispatch
 	Err      error
 }
@@ -90,8 +90,8 @@
 // PeerSeen carries what another daemon told in answer to a heartbeat that
 // was sent at Asked.
 type PeerSeen struct {
-	Asked time.Time
-	Peer  PeerStatus
+	SentAt time.Time
+	Status PeerStatus
 }
 
 // PeerSilent tells that the daemon at the address did not answer in time.
@@ -102,13 +102,13 @@
 
 // PeerVouched carries what another daemon saw of instances. Ages count from
 // Asked back.
-type PeerVouched struct {
-	Asked   time.Time
-	Vouches []Vouch
+type PeerObservations struct {
+	SentAt       time.Time
+	Observations []Observation
 }
 
 // Vouch is one instance as another daemon saw it.
-type Vouch struct {
+type Observation struct {
 	Age    time.Duration `msgpack:"a"`
 	Status EngineStatus  `msgpack:"s"`
 }
@@ -120,28 +120,28 @@
 }
 
 // PeerState carries a whole state from another daemon.
-type PeerState struct {
-	From  models.DaemonID
-	State []byte
+type PeerSnapshot struct {
+	From     models.DaemonID
+	Snapshot []byte
 }
 
 func (LogRead) message()           {}
 func (LogExpired) message()        {}
-func (LogAway) message()           {}
-func (AppendEnded) message()       {}
+func (LogUnavailable) message()    {}
+func (AppendResult) message()      {}
 func (CheckpointRead) message()    {}
 func (CheckpointWritten) message() {}
 func (ListRead) message()          {}
-func (ListAway) message()          {}
+func (ListUnavailable) message()   {}
 func (InstanceSeen) message()      {}
 func (ServiceSeen) message()       {}
 func (InstanceSilent) message()    {}
-func (OrderEnded) message()        {}
+func (OrderResult) message()       {}
 func (PeerSeen) message()          {}
 func (PeerSilent) message()        {}
-func (PeerVouched) message()       {}
+func (PeerObservations) message()  {}
 func (PeerRecords) message()       {}
-func (PeerState) message()         {}
+func (PeerSnapshot) message()      {}
 
 // PeerStatus is what a daemon tells others of itself with each heartbeat.
 type PeerStatus struct {
--- a/worker/upstream/events.go
+++ b/worker/upstream/events.go
@@ -11,10 +11,10 @@
 
 // ErrEndedEarly is returned for a stream of events that ended without its
 // end mark.
-var ErrEndedEarly = errors.New("the stream ended without its end mark")
+var ErrTruncated = errors.New("the stream ended without its end mark")
 
 // endMark is the data of a stream's last event.
-const endMark = "[DONE]"
+const doneMarker = "[DONE]"
 
 // maxEventLen is the longest event accepted, in bytes.
 const maxEventLen = 1 << 20
@@ -27,7 +27,7 @@
 }
 
 // Last reports whether the event is the end mark.
-func (e Event) Last() bool { return string(e.Data) == endMark }
+func (e Event) IsDone() bool { return string(e.Data) == doneMarker }
 
 // WriteTo writes the event as it goes over the wire, without its id.
 func (e Event) WriteTo(w io.Writer) (int64, error) {
@@ -36,24 +36,24 @@
 }
 
 // Events reads server-sent events.
-type Events struct {
+type EventReader struct {
 	body  io.ReadCloser
 	lines *bufio.Scanner
 }
 
 // Close closes what the events are read from.
-func (e *Events) Close() error { return e.body.Close() }
+func (e *EventReader) Close() error { return e.body.Close() }
 
 // NewEvents reads events from the body of an answer.
-func NewEvents(body io.ReadCloser) *Events {
+func NewEventReader(body io.ReadCloser) *EventReader {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4<<10), maxEventLen)
-	return &Events{body: body, lines: lines}
+	return &EventReader{body: body, lines: lines}
 }
 
 // Next returns the next whole event. It returns ErrEndedEarly if the stream
 // ends, cleanly or not, and the caller has not seen the end mark.
-func (e *Events) Next() (Event, error) {
+func (e *EventReader) Next() (Event, error) {
 	var event Event
 	for e.lines.Scan() {
 		line := e.lines.Bytes()
@@ -72,7 +72,7 @@
 		}
 	}
 	if err := e.lines.Err(); err != nil {
-		return Event{}, fmt.Errorf("%w: %w", ErrEndedEarly, err)
+		return Event{}, fmt.Errorf("%w: %w", ErrTruncated, err)
 	}
-	return Event{}, ErrEndedEarly
+	return Event{}, ErrTruncated
 }
--- a/worker/upstream/upstream.go
+++ b/worker/upstream/upstream.go
@@ -50,7 +50,7 @@
 	Priority int
 	// Fresh asks for a connection of its own. On a reused connection a
 	// failure to send can't be told from a lost answer.
-	Fresh bool
+	NewConn bool
 }
 
 // Answer is the head of an answer. The body must be closed.
@@ -62,23 +62,23 @@
 
 // Client carries calls.
 type Client struct {
-	shared *http.Client
-	fresh  *http.Client
+	pooled   *http.Client
+	unpooled *http.Client
 }
 
 // NewClient returns a client that keeps idle connections to every upstream.
 func NewClient(dialer dial.Dialer) *Client {
-	shared := &http.Transport{
+	pooled := &http.Transport{
 		DialContext: dialer.DialContext, DisableCompression: true,
 		MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second,
 	}
-	fresh := &http.Transport{DialContext: dialer.DialContext, DisableCompression: true, DisableKeepAlives: true}
-	return &Client{shared: client(shared), fresh: client(fresh)}
+	unpooled := &http.Transport{DialContext: dialer.DialContext, DisableCompression: true, DisableKeepAlives: true}
+	return &Client{pooled: newHTTPClient(pooled), unpooled: newHTTPClient(unpooled)}
 }
 
-func client(t *http.Transport) *http.Client {
+func newHTTPClient(transport *http.Transport) *http.Client {
 	return &http.Client{
-		Transport: t,
+		Transport: transport,
 		// A redirect would send the request somewhere that nobody chose.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
@@ -95,11 +95,11 @@
 	if err != nil {
 		return nil, errors.Join(ErrNotRun, trace.Wrap(err))
 	}
-	client := c.shared
-	if call.Fresh {
-		client = c.fresh
+	httpClient := c.pooled
+	if call.NewConn {
+		httpClient = c.unpooled
 	}
-	resp, err := client.Do(req)
+	resp, err := httpClient.Do(req)
 	switch {
 	case err != nil && !connected.Load():
 		return nil, errors.Join(ErrNotRun, ErrNotServing, trace.Wrap(err))
@@ -107,7 +107,7 @@
 		return nil, errors.Join(ErrMayHaveRun, ErrNotServing, trace.Wrap(err))
 	}
 	answer := &Answer{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}
-	if err := checkHead(call, answer); err != nil {
+	if err := checkHeader(call, answer); err != nil {
 		resp.Body.Close()
 		return nil, err
 	}
@@ -137,18 +137,18 @@
 
 // checkHead refuses an answer that is a proof of not having run, or that
 // belongs to another request.
-func checkHead(call Call, answer *Answer) error {
-	if answer.Status >= 400 && answer.Header.Get(engine.HeaderNotRun) == "true" {
-		if answer.Status == http.StatusConflict {
-			return fmt.Errorf("%w: %w: it refused the request with status %d", ErrNotRun, ErrNotServing, answer.Status)
+func checkHeader(call Call, resp *Answer) error {
+	if resp.Status >= 400 && resp.Header.Get(engine.HeaderNotRun) == "true" {
+		if resp.Status == http.StatusConflict {
+			return fmt.Errorf("%w: %w: it refused the request with status %d", ErrNotRun, ErrNotServing, resp.Status)
 		}
-		return fmt.Errorf("%w: the upstream refused it with status %d", ErrNotRun, answer.Status)
+		return fmt.Errorf("%w: the upstream refused it with status %d", ErrNotRun, resp.Status)
 	}
-	answered := answer.Header.Get(engine.HeaderRequest)
-	if answered != "" && answered != string(call.Request) {
-		return fmt.Errorf("%w: the answer belongs to request %s", ErrMayHaveRun, answered)
+	id := resp.Header.Get(engine.HeaderRequest)
+	if id != "" && id != string(call.Request) {
+		return fmt.Errorf("%w: the answer belongs to request %s", ErrMayHaveRun, id)
 	}
-	if call.Group != "" && answered == "" && answer.Status < 300 {
+	if call.Group != "" && id == "" && resp.Status < 300 {
 		return fmt.Errorf("%w: the answer does not name its request", ErrMayHaveRun)
 	}
 	return nil
@@ -157,7 +157,7 @@
 // ReadWhole reads the rest of an answer to its end and closes it. An answer
 // that ends early, or is longer than limit, gives an error that wraps
 // ErrMayHaveRun.
-func (a *Answer) ReadWhole(limit int64) ([]byte, error) {
+func (a *Answer) ReadAll(limit int64) ([]byte, error) {
 	defer a.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(a.Body, limit+1))
 	if err != nil {
