--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -9,10 +9,10 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// claimsKey marks the proposals that carry claims.
+// claimsProposalKey is the key of proposals that carry claims.
 const claimsProposalKey = "claims"
 
-// maxClaims is how many claims one record carries.
+// maxClaimsPerRecord is the maximum number of claims in one record.
 const maxClaimsPerRecord = 512
 
 // claimRequest asks the owner to claim a key.
@@ -26,16 +26,16 @@
 	err    error
 }
 
-// claims batches claims: while one record with claims is on its way, those
-// that come wait for the next.
+// claims batches claims: while one record with claims is pending, new claims are queued for the
+// next record.
 type claims struct {
 	queued   []claimRequest
 	inFlight []claimRequest
 }
 
-// Claim asks that the request, and no other, may run under the key, and
-// returns the request that may. Its error wraps ErrLogAway, when the claim
-// was not made, or ErrOutcomeUnknown.
+// Claim claims the key for the request, so that no other request runs under the key. It returns
+// the request that holds the key. Its error wraps ErrLogUnavailable if the claim was not made, or
+// else ErrOutcomeUnknown.
 func (d *Daemon) Claim(ctx context.Context, key string, request models.RequestID) (models.RequestID, error) {
 	reply := make(chan claimResult, 1)
 	claim := state.Claim{Key: key, Request: request, At: time.Now().UTC()}
@@ -52,8 +52,8 @@
 	}
 }
 
-// Release gives a claim up. The request must be known not to have run and
-// must not be sent any more.
+// Release releases a claim. The request must be known not to have run and must not be sent any
+// more.
 func (d *Daemon) Release(ctx context.Context, key string, request models.RequestID) error {
 	_, err := d.Propose(ctx, state.ReleaseKeys{Claims: []state.Claim{{Key: key, Request: request}}})
 	return err
@@ -68,7 +68,7 @@
 	o.flushClaims()
 }
 
-// flushClaims appends the claims that wait, unless others are on their way.
+// flushClaims appends the queued claims unless a record with claims is pending.
 func (o *owner) flushClaims() {
 	if len(o.claims.inFlight) > 0 || len(o.claims.queued) == 0 {
 		return
@@ -82,7 +82,7 @@
 	o.append(body, nil, claimsProposalKey)
 }
 
-// claimsEnded tells those whose claims were on their way who holds the keys.
+// claimsResolved reports the holders of the keys to the requests of the resolved record.
 func (o *owner) claimsResolved(result proposalResult) {
 	resolved := o.claims.inFlight
 	o.claims.inFlight = nil
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,7 +1,6 @@
-// Package daemon puts one daemon together: a goroutine that owns all that
-// the daemon knows, and the workers that speak to the outside. The owner
-// publishes immutable views; everybody else reads those and sends the owner
-// messages.
+// Package daemon assembles one daemon: an owner goroutine that holds all state, and workers that
+// do the network I/O. The owner publishes immutable views; other goroutines read the views and
+// send the owner messages.
 package daemon
 
 import (
@@ -39,7 +38,7 @@
 	log         zerolog.Logger
 	clock       *timer.Service
 	incarnation uint64
-	// answers counts the answers to heartbeats.
+	// responseCount counts the heartbeat responses sent.
 	responseCount atomic.Uint64
 	view          atomic.Pointer[View]
 	stats         *stats
@@ -54,7 +53,7 @@
 	inbox     chan types.Message
 	proposals chan proposal
 	claims    chan claimRequest
-	// states carries questions for the whole state.
+	// snapshotRequests carries requests for a snapshot of the state.
 	snapshotRequests chan chan<- []byte
 	appends          chan types.Append
 	orders           chan types.Dispatch
@@ -64,7 +63,7 @@
 	peerAddrs        chan map[netip.AddrPort]struct{}
 }
 
-// New makes a daemon and binds its address for peers.
+// New creates a daemon and binds its peer address.
 func New(cfg config.Serve, log zerolog.Logger) (*Daemon, error) {
 	now := time.Now()
 	d := &Daemon{
@@ -105,16 +104,16 @@
 	return dial.Dialer{Source: d.cfg.Source, Count: count}
 }
 
-// ID is the daemon's name.
+// ID returns the daemon's name.
 func (d *Daemon) ID() models.DaemonID { return d.cfg.ID }
 
-// PeerAddr is where other daemons reach this one.
+// PeerAddr returns the address at which other daemons reach this one.
 func (d *Daemon) PeerAddr() netip.AddrPort { return d.peerAddr }
 
-// View returns what the daemon knows now.
+// View returns the latest published view.
 func (d *Daemon) View() *View { return d.view.Load() }
 
-// Run runs the daemon until the context ends or one of its parts fails.
+// Run runs the daemon until the context ends or one of its tasks ends.
 func (d *Daemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/daemon/fold.go
+++ b/daemon/log.go
@@ -11,8 +11,8 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// checkpointTail is how many entries at the end of the checkpoint stream are
-// searched for a whole checkpoint.
+// maxCheckpointTail is how many entries at the end of the checkpoint stream are searched for a
+// complete checkpoint.
 const maxCheckpointTail = 512
 
 func (o *owner) handleLogRead(msg types.LogRead) {
@@ -35,8 +35,7 @@
 	o.logError = msg.Err
 }
 
-// applyEntries folds the entries that come next and passes over those that
-// were folded before.
+// applyEntries applies the next entries and skips those applied before.
 func (o *owner) applyEntries(entries []types.Entry, source string) {
 	before := o.state.Applied
 	for _, entry := range entries {
@@ -64,16 +63,16 @@
 	}
 }
 
-// afterFold brings up to date what is derived from the state.
+// afterApply updates what is derived from the state.
 func (o *owner) afterApply() {
 	o.needsPublish, o.needsPlan = true, true
 	self, listed := o.state.Daemons[o.d.cfg.ID]
-	mine := listed && self.Incarnation == o.d.incarnation
-	if o.joined && listed && !mine && !o.superseded {
+	selfListed := listed && self.Incarnation == o.d.incarnation
+	if o.joined && listed && !selfListed && !o.superseded {
 		o.superseded = true
 		o.d.log.Error().Uint64("by", self.Incarnation).Msg("daemon-superseded")
 	}
-	o.joined = o.joined || mine
+	o.joined = o.joined || selfListed
 	o.refreshPeers()
 	o.updateProbeTargets()
 	o.updatePeerTargets()
@@ -107,10 +106,11 @@
 	}
 }
 
-// seekLog tells the follower where to go on.
+// seekLog tells the follower at which offset to continue.
 func (o *owner) seekLog() { sendLatest(o.d.seeks, o.state.Applied+1) }
 
-// handleLogExpired starts to look for a checkpoint to go on from.
+// handleLogExpired reads the newest checkpoint if records that this daemon lacks have expired
+// from the log.
 func (o *owner) handleLogExpired(msg types.LogExpired) {
 	o.d.log.Info().Uint64("first", uint64(msg.First)).Uint64("applied", uint64(o.state.Applied)).Msg("log-expired")
 	if o.state.Applied+1 >= msg.First {
@@ -125,11 +125,11 @@
 }
 
 func (d *Daemon) readCheckpoint(ctx context.Context) error {
-	at, data, err := d.newestCheckpoint(ctx)
+	offset, data, err := d.newestCheckpoint(ctx)
 	if err != nil {
 		d.log.Warn().Err(err).Msg("checkpoint-unreadable")
 	}
-	types.Send(ctx, d.inbox, types.CheckpointRead{Offset: at, Snapshot: data})
+	types.Send(ctx, d.inbox, types.CheckpointRead{Offset: offset, Snapshot: data})
 	return nil
 }
 
@@ -142,8 +142,8 @@
 	for _, e := range entries {
 		records = append(records, e.Data)
 	}
-	at, data := state.JoinCheckpoint(records)
-	return at, data, nil
+	offset, data := state.JoinCheckpoint(records)
+	return offset, data, nil
 }
 
 func (o *owner) handleCheckpointRead(msg types.CheckpointRead) {
@@ -161,25 +161,25 @@
 	o.replaceState(s.Applied, msg.Snapshot, "peer")
 }
 
-// replaceState goes on from a whole state if it is newer.
-func (o *owner) replaceState(at models.Offset, data []byte, source string) {
-	if at <= o.state.Applied {
+// replaceState replaces the state by the snapshot if the snapshot is newer.
+func (o *owner) replaceState(offset models.Offset, data []byte, source string) {
+	if offset <= o.state.Applied {
 		return
 	}
-	restored, err := state.Restore(at, data)
+	restored, err := state.Restore(offset, data)
 	if err != nil {
 		o.d.log.Error().Err(err).Str("source", source).Msg("state-bad")
 		return
 	}
 	o.state = restored
 	o.recentRecords = nil
-	o.d.log.Info().Uint64("offset", uint64(at)).Int("bytes", len(data)).Str("source", source).Msg("state-restored")
+	o.d.log.Info().Uint64("offset", uint64(offset)).Int("bytes", len(data)).Str("source", source).Msg("state-restored")
 	o.seekLog()
 	o.afterApply()
 }
 
-// writeCheckpoint puts the state onto the log if enough was folded since the
-// last checkpoint. Those later in turn wait for more records.
+// writeCheckpoint writes a checkpoint to the log if enough records have been applied since the
+// last one. A daemon of higher rank waits for more records.
 func (o *owner) writeCheckpoint(now time.Time) {
 	interval := models.Offset(o.d.cfg.CheckpointEvery)
 	threshold := interval + interval*models.Offset(o.rank("checkpoint", now))/4
@@ -192,22 +192,22 @@
 		return
 	}
 	o.checkpointing = true
-	at := o.state.Applied
+	offset := o.state.Applied
 	task.Start(o.ctx, "checkpoint", func(ctx context.Context) error {
-		written, err := o.d.appendCheckpoint(ctx, at, data, interval)
+		written, err := o.d.appendCheckpoint(ctx, offset, data, interval)
 		types.Send(ctx, o.d.inbox, types.CheckpointWritten{Offset: written, Bytes: len(data), Err: err})
 		return nil
 	})
 }
 
-// appendCheckpoint writes the state unless another daemon has written a
-// recent one. It returns the offset of the newest checkpoint on the log.
-func (d *Daemon) appendCheckpoint(ctx context.Context, at models.Offset, data []byte, interval models.Offset) (models.Offset, error) {
+// appendCheckpoint writes a checkpoint unless another daemon has written a recent one. It returns
+// the offset of the newest checkpoint on the log.
+func (d *Daemon) appendCheckpoint(ctx context.Context, offset models.Offset, data []byte, interval models.Offset) (models.Offset, error) {
 	newest, _, err := d.newestCheckpoint(ctx)
-	if err != nil || at < newest+interval {
+	if err != nil || offset < newest+interval {
 		return newest, err
 	}
-	for _, rec := range state.SplitCheckpoint(at, data, d.cfg.ID, time.Now(), newRecordID) {
+	for _, rec := range state.SplitCheckpoint(offset, data, d.cfg.ID, time.Now(), newRecordID) {
 		encoded, err := state.Encode(rec)
 		if err != nil {
 			return newest, err
@@ -217,7 +217,7 @@
 		}
 	}
 	d.stats.checkpoints.Inc()
-	return at, nil
+	return offset, nil
 }
 
 func (o *owner) handleCheckpointWritten(msg types.CheckpointWritten) {
--- a/daemon/owner.go
+++ b/daemon/owner.go
@@ -20,24 +20,22 @@
 const (
 	planInterval    = 250 * time.Millisecond
 	publishInterval = 100 * time.Millisecond
-	// keptRecords is how many folded records are kept to be relayed.
+	// maxRecentRecords is how many applied records are kept for relaying to other daemons.
 	maxRecentRecords = 2048
 )
 
-// owner is the one goroutine that holds what a daemon knows.
+// owner holds the mutable state of a daemon. Only the goroutine that runs it may touch it.
 type owner struct {
 	d     *Daemon
 	ctx   context.Context
 	state *state.State
 
-	// recent are the last records folded, for daemons that lack them. The
-	// slice is only ever appended to and cut at its front, so that views
-	// may share it.
+	// recentRecords are the last records applied, for daemons that lack them. The slice is only
+	// appended to and truncated at its front, so that views may share it.
 	recentRecords []types.Entry
 	instances     map[models.InstanceID]models.Instance
 	evidence      map[models.InstanceID]planner.Evidence
-	// serviceSeen is when each plain service's instance last accepted a
-	// connection.
+	// serviceSeenAt is when each instance of a plain service last accepted a connection.
 	serviceSeenAt map[models.InstanceID]time.Time
 	peers         map[models.DaemonID]Peer
 
@@ -50,9 +48,9 @@
 	restoring      bool
 
 	pendingProposals map[models.RecordID]*pendingProposal
-	// standing is since when the planner has wanted something, by its key.
+	// wantedSince is since when the planner has wanted each proposal, by proposal key.
 	wantedSince map[string]time.Time
-	// silent is since when a daemon of the roster has been found silent.
+	// silentSince is since when each silent daemon of the roster has been found silent.
 	silentSince map[models.DaemonID]time.Time
 	lastOrderAt map[models.InstanceID]time.Time
 
@@ -60,15 +58,15 @@
 	serviceAddrs map[models.InstanceID]netip.AddrPort
 	peerAddrs    map[netip.AddrPort]struct{}
 
-	// replan tells that something has changed since planned, when the
-	// planner last ran.
+	// needsPlan is set if the planner's input has changed since plannedAt, when the planner last
+	// ran.
 	needsPlan bool
 	plannedAt time.Time
 
-	// changed asks for a view at once instead of at the next tick.
+	// needsPublish asks for a new view now instead of at the next tick.
 	needsPublish   bool
 	publishedState *state.State
-	// marshalled is the whole state as it was at marshalledAt.
+	// snapshotData is the encoded state at snapshotOffset.
 	snapshotData   []byte
 	snapshotOffset models.Offset
 
@@ -127,7 +125,7 @@
 	}
 }
 
-// wholeState marshals the state, once for each offset.
+// snapshot returns the encoded state. It encodes the state once per offset.
 func (o *owner) snapshot() []byte {
 	if o.snapshotData == nil || o.snapshotOffset != o.state.Applied {
 		data, err := o.state.Marshal()
@@ -140,8 +138,7 @@
 	return o.snapshotData
 }
 
-// handleWaiting handles the messages that have come already, so that one
-// view shows them all.
+// drainInbox handles the messages that are already queued, so that one view covers them all.
 func (o *owner) drainInbox() {
 	for range inboxLen {
 		select {
@@ -162,7 +159,7 @@
 	case types.LogUnavailable:
 		o.handleLogUnavailable(msg)
 	case types.AppendResult:
-		o.handleAppendEnded(msg)
+		o.handleAppendResult(msg)
 	case types.CheckpointRead:
 		o.handleCheckpointRead(msg)
 	case types.CheckpointWritten:
@@ -178,7 +175,7 @@
 	case types.InstanceSilent:
 		o.handleInstanceSilent(msg)
 	case types.OrderResult:
-		o.handleOrderEnded(msg)
+		o.handleOrderResult(msg)
 	case types.PeerSeen:
 		o.handlePeerSeen(msg)
 	case types.PeerSilent:
@@ -192,8 +189,8 @@
 	}
 }
 
-// noticePause forgets what silence seemed to prove while the process itself
-// stood still.
+// handlePause restarts the waits that depend on the silence of instances and daemons: during a
+// pause of the process itself it received nothing, so silence proves nothing.
 func (o *owner) handlePause(tick timer.Tick) {
 	if tick.Paused == 0 {
 		return
@@ -221,8 +218,8 @@
 	o.needsPublish, o.needsPlan = true, true
 }
 
-// retarget tells the watchers whom to watch: the instances on the list, and
-// the members of groups that the list does not show (any more).
+// updateProbeTargets tells the watchers which instances to probe: those on the list, and group
+// members that the list does not (or no longer) contain.
 func (o *owner) updateProbeTargets() {
 	engines := map[models.InstanceID]netip.AddrPort{}
 	services := map[models.InstanceID]netip.AddrPort{}
@@ -254,7 +251,7 @@
 	sendTargets(o.d.serviceAddrs, &o.serviceAddrs, services)
 }
 
-// sendTargets hands the targets to a prober if they differ from the last.
+// sendTargets sends the targets to a prober if they differ from the last ones sent.
 func sendTargets[K, V comparable](out chan map[K]V, last *map[K]V, next map[K]V) {
 	if maps.Equal(*last, next) {
 		return
@@ -263,9 +260,9 @@
 	sendLatest(out, next)
 }
 
-// replace puts a value into a channel of length one in place of what may be
-// waiting there. Only the owner sends on such a channel, so it never blocks:
-// the receiver may be waiting for the owner itself.
+// sendLatest puts a value into a channel of capacity one and discards a value that waits there.
+// Only the owner sends on such a channel, so the send never blocks; blocking could deadlock,
+// because the receiver may be waiting for the owner.
 func sendLatest[T any](ch chan T, value T) {
 	select {
 	case <-ch:
@@ -283,7 +280,7 @@
 	o.recordStatus(msg.Instance, e, msg.SentAt, msg.Status)
 }
 
-// see notes that the instance was as its status says.
+// recordStatus records that the instance had the status at the time.
 func (o *owner) recordStatus(id models.InstanceID, e planner.Evidence, at time.Time, status types.EngineStatus) {
 	if e.Silent() || e.Status.Fence != status.Fence || e.Status.Phase != status.Phase || e.Status.Leaving != status.Leaving ||
 		(e.Status.InFlight > 0) != (status.InFlight > 0) {
@@ -299,11 +296,11 @@
 	o.evidence[id] = e
 }
 
-// forgetAbsences is how long an instance has to be there without a break
-// until its absences are forgotten.
+// absenceResetAfter is how long an instance must be present without interruption before its
+// absences are forgotten.
 const absenceResetAfter = 10 * time.Minute
 
-// handleVouched notes what another daemon saw of instances that do not
+// handleObservations records the statuses that another daemon observed of instances that do not
 // answer this one.
 func (o *owner) handleObservations(msg types.PeerObservations) {
 	for _, v := range msg.Observations {
@@ -327,7 +324,7 @@
 	o.evidence[msg.Instance] = e
 }
 
-// publish shows the others what the owner knows.
+// publish publishes a new view.
 func (o *owner) publish(now time.Time) {
 	if o.publishedState == nil || o.publishedState.Applied != o.state.Applied {
 		o.publishedState = o.state.Clone()
@@ -353,7 +350,8 @@
 	o.needsPublish = false
 }
 
-// silentInstances lists the instances that others may have seen lately.
+// silentInstances lists the instances that do not answer this daemon, at most maxObservations;
+// other daemons may have seen them recently.
 func (o *owner) silentInstances() []models.InstanceID {
 	var out []models.InstanceID
 	for id, e := range o.evidence {
@@ -372,7 +370,7 @@
 	return gates
 }
 
-// capacity is this daemon's part of what each group is sent at once.
+// capacity returns this daemon's share of each group's request capacity.
 func (o *owner) capacity(gates map[models.GroupID]planner.Gate, serving []models.DaemonID) map[models.GroupID]int {
 	out := make(map[models.GroupID]int, len(gates))
 	for id, gate := range gates {
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -17,24 +17,26 @@
 )
 
 const (
-	// peerBound is the age beyond which a daemon counts as silent in the
-	// order of turn.
+	// meshPeerTimeout is the age of a status beyond which a daemon counts as silent when ranks
+	// are computed.
 	meshPeerTimeout = 3 * time.Second
-	// sparsePeerBound is the same where daemons hear of most others through
-	// third ones.
+	// sparsePeerTimeout is the same limit for sparse heartbeats, where daemons learn of most
+	// others indirectly.
 	sparsePeerTimeout = 12 * time.Second
-	// sparseBeat is which of the heartbeats, one in so many, is sent there.
+	// sparseHeartbeatFactor is the multiple of the heartbeat interval at which sparse heartbeats
+	// are sent.
 	sparseHeartbeatFactor = 4
-	// maxVouches is of how many silent instances others are asked.
+	// maxObservations is the maximum number of silent instances about which other daemons are
+	// asked.
 	maxObservations = 64
-	// maxRelayed is how many records one answer carries at most.
+	// maxRelayed is the maximum number of records in one response.
 	maxRelayed = 256
-	// logQuiet is the age of the last proof from the log beyond which a
-	// daemon asks others for records.
+	// logStaleAfter is the age of the last confirmation by the log beyond which a daemon asks
+	// others for records.
 	logStaleAfter = 1500 * time.Millisecond
 )
 
-// beat sends heartbeats to the daemons that the owner names.
+// heartbeatSender returns a function that sends heartbeats to the daemons that the owner selects.
 func (d *Daemon) heartbeatSender() func(context.Context) error {
 	ticks := d.clock.Subscribe(d.cfg.HeartbeatEvery)
 	slowTicks := d.clock.Subscribe(sparseHeartbeatFactor * d.cfg.HeartbeatEvery)
@@ -55,8 +57,8 @@
 	}
 }
 
-// pace passes the fast ticks on while there are few daemons and the slow ones
-// when there are many.
+// selectTicks forwards the fast ticks in a full mesh, and the slow ticks when heartbeats are
+// sparse.
 func (d *Daemon) selectTicks(ctx context.Context, fast, slow <-chan timer.Tick, out chan<- timer.Tick) error {
 	for {
 		var tick timer.Tick
@@ -84,8 +86,8 @@
 		types.Send(ctx, d.inbox, types.PeerSilent{Addr: addr, Err: err})
 		return
 	}
-	// What comes with the status is folded first, so that the status finds
-	// the state that it speaks of.
+	// Records and snapshot are sent to the owner first: when it handles the status, its state is
+	// then as recent as the status.
 	if len(resp.Snapshot) > 0 {
 		types.Send(ctx, d.inbox, types.PeerSnapshot{From: resp.Status.ID, Snapshot: resp.Snapshot})
 	}
@@ -110,7 +112,7 @@
 	}
 }
 
-// Status is what the daemon tells of itself.
+// Status returns this daemon's own status.
 func (d *Daemon) Status(now time.Time) types.PeerStatus { return d.ownStatus(d.View(), now) }
 
 func (d *Daemon) ownStatus(v *View, now time.Time) types.PeerStatus {
@@ -124,7 +126,7 @@
 	}
 }
 
-// Answer answers another daemon's heartbeat.
+// HandleHeartbeat returns the response to another daemon's heartbeat.
 func (d *Daemon) HandleHeartbeat(heartbeat peer.Heartbeat) peer.Response {
 	now := time.Now()
 	v := d.View()
@@ -144,8 +146,8 @@
 	return resp
 }
 
-// maxHeard is of how many third daemons an answer tells. The answers go round
-// all daemons, so that each is told of sooner or later.
+// maxGossip is the maximum number of other daemons reported in one response. Consecutive
+// responses rotate through all daemons, so that each is reported eventually.
 const maxGossip = 24
 
 func (d *Daemon) gossip(v *View, receiver models.DaemonID, now time.Time) []peer.GossipEntry {
@@ -160,24 +162,24 @@
 	return out
 }
 
-// relay adds the records after the offset, or the whole state if those are
-// not at hand.
+// relay adds the records after the offset to the response, or a snapshot if the records are no
+// longer kept.
 func (d *Daemon) relay(v *View, after models.Offset, resp *peer.Response) {
-	at, found := slices.BinarySearchFunc(v.recentRecords, after+1, func(e types.Entry, o models.Offset) int {
+	start, found := slices.BinarySearchFunc(v.recentRecords, after+1, func(e types.Entry, o models.Offset) int {
 		return int(int64(e.Offset) - int64(o))
 	})
 	if !found {
 		resp.Snapshot = d.requestSnapshot()
 		return
 	}
-	resp.Records = v.recentRecords[at:min(len(v.recentRecords), at+maxRelayed)]
+	resp.Records = v.recentRecords[start:min(len(v.recentRecords), start+maxRelayed)]
 	d.stats.relayed.Add(len(resp.Records))
 }
 
-// stateWithin bounds how long a heartbeat waits for the whole state.
+// snapshotTimeout bounds how long a heartbeat response waits for a snapshot.
 const snapshotTimeout = 500 * time.Millisecond
 
-// wholeState asks the owner for the whole state; nil if it is too busy.
+// requestSnapshot asks the owner for a snapshot; nil if the owner is too busy.
 func (d *Daemon) requestSnapshot() []byte {
 	timeout := time.NewTimer(snapshotTimeout)
 	defer timeout.Stop()
@@ -221,12 +223,12 @@
 	}
 }
 
-// fullMesh is up to how many daemons each sends heartbeats to all others.
+// maxFullMesh is the number of daemons up to which each sends heartbeats to all others.
 const maxFullMesh = 12
 
 func sparse(v *View) bool { return len(v.State.Daemons) > maxFullMesh }
 
-// bound is the age beyond which a daemon counts as silent.
+// peerTimeout returns the age of a status beyond which a daemon counts as silent.
 func (v *View) peerTimeout() time.Duration {
 	if sparse(v) {
 		return sparsePeerTimeout
@@ -234,17 +236,17 @@
 	return meshPeerTimeout
 }
 
-// retargetPeers chooses whom to send heartbeats to: everybody while there
-// are few; else those at distances 1, 4, 16, ... in an order that all
-// daemons compute alike, so that news reaches everybody in few steps. The
-// addresses from the settings are asked until their daemons are known.
+// updatePeerTargets selects the recipients of heartbeats. Up to maxFullMesh daemons, that is
+// everybody. With more, it is the daemons at distances 1, 4, 16, ... on a ring that all daemons
+// compute alike, so that gossip reaches everybody in few hops. The configured addresses are
+// included until the roster exceeds maxFullMesh, because their daemons may not be known yet.
 func (o *owner) updatePeerTargets() {
 	targets := map[netip.AddrPort]struct{}{}
 	ids := make([]models.DaemonID, 0, len(o.state.Daemons))
 	for id := range o.state.Daemons {
 		ids = append(ids, id)
 	}
-	for _, id := range neighbours(o.d.cfg.ID, ids) {
+	for _, id := range heartbeatTargets(o.d.cfg.ID, ids) {
 		targets[o.state.Daemons[id].Peer] = struct{}{}
 	}
 	if len(ids) <= maxFullMesh {
@@ -258,7 +260,7 @@
 
 const ringStepFactor = 4
 
-func neighbours(self models.DaemonID, all []models.DaemonID) []models.DaemonID {
+func heartbeatTargets(self models.DaemonID, all []models.DaemonID) []models.DaemonID {
 	others := slices.DeleteFunc(slices.Clone(all), func(d models.DaemonID) bool { return d == self })
 	if len(others) < maxFullMesh {
 		return others
@@ -266,14 +268,13 @@
 	ring := planner.Order(append(others, self), "heartbeats")
 	at := slices.Index(ring, self)
 	var out []models.DaemonID
-	for step := 1; step < len(ring); step *= ringStepFactor {
-		out = append(out, ring[(at+step)%len(ring)])
+	for distance := 1; distance < len(ring); distance *= ringStepFactor {
+		out = append(out, ring[(at+distance)%len(ring)])
 	}
 	return out
 }
 
-// rank is this daemon's place in the order of turn among those that it has
-// heard of lately.
+// rank returns this daemon's rendezvous rank for the key among the daemons seen recently.
 func (o *owner) rank(key string, now time.Time) int {
 	timeout := meshPeerTimeout
 	if len(o.state.Daemons) > maxFullMesh {
@@ -288,8 +289,8 @@
 	return planner.Rank(o.d.cfg.ID, serving, key)
 }
 
-// currentUntil is how long the state may be taken for current: a bounded
-// time from the last proof, by the log or by a majority of the roster.
+// currentUntil returns until when the state counts as current: a bounded time after it was last
+// confirmed by the log or by a majority of the roster.
 func (o *owner) currentUntil(now time.Time) time.Time {
 	currentAt := o.logCurrentAt
 	if m := o.majorityCurrentAt(now); m.After(currentAt) {
@@ -303,10 +304,9 @@
 
 func (o *owner) isCurrent(now time.Time) bool { return now.Before(o.currentUntil(now)) }
 
-// majorityProof is the latest time at which a majority of the roster is
-// known to have folded no more than this daemon. A change counts as
-// accepted once a majority has folded it, so none accepted before that time
-// is missing here.
+// majorityCurrentAt returns the latest time at which a majority of the roster is known to have
+// applied no more than this daemon. A change counts as accepted once a majority has applied it,
+// so this daemon has every change accepted before that time.
 func (o *owner) majorityCurrentAt(now time.Time) time.Time {
 	if len(o.state.Daemons) == 0 {
 		return time.Time{}
--- a/daemon/act.go
+++ b/daemon/planning.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// turnStep is how much longer each daemon later in turn waits before it
-	// acts on something that still stands.
+	// rankDelay is how much longer a daemon waits, per rank, before it acts on a proposal that is
+	// still wanted.
 	rankDelay = 2 * time.Second
-	// replanEvery is how often planning goes on while nothing has changed:
-	// its waits pass all the same.
+	// idlePlanInterval is the interval of planning while nothing has changed, because the
+	// planner's waits end without a change of its input.
 	idlePlanInterval = time.Second
-	// orderAgain is how long an instance is given to follow an order.
+	// orderRetryAfter is how long an instance has to follow an order before it is sent another.
 	orderRetryAfter = time.Second
-	// daemonGone is how long a daemon of the roster may be silent.
+	// removeSilentAfter is how long a daemon of the roster may be silent before it is removed.
 	removeSilentAfter = 15 * time.Second
 )
 
-// plan does what should be done now and is this daemon's turn.
+// plan sends the orders and proposals that are due and for which this daemon is responsible.
 func (o *owner) plan(now time.Time) {
 	o.expireProposals(now)
 	if !o.isCurrent(now) || o.superseded || (!o.needsPlan && now.Sub(o.plannedAt) < idlePlanInterval) {
@@ -46,7 +46,7 @@
 	o.writeCheckpoint(now)
 }
 
-// join puts this daemon on the roster.
+// join adds this daemon to the roster.
 func (o *owner) join() {
 	const key = "join"
 	registered := o.state.Daemons[o.d.cfg.ID]
@@ -61,8 +61,8 @@
 	}, nil, key)
 }
 
-// propose appends what the planner wants. A daemon later in turn waits to
-// see whether those before it act.
+// propose appends the planner's proposals. A daemon of higher rank first waits whether daemons of
+// lower rank make them.
 func (o *owner) propose(in planner.Input) {
 	wanted := map[string]time.Time{}
 	for _, p := range planner.Plan(in) {
@@ -81,7 +81,7 @@
 	o.wantedSince = wanted
 }
 
-// proposalKey is the same for the same wish on any state.
+// proposalKey returns a key that is the same for equivalent proposals on any state.
 func proposalKey(p planner.Proposal) string {
 	switch body := p.Body.(type) {
 	case state.FormGroup:
@@ -98,8 +98,7 @@
 	}
 }
 
-// sendOrders gives the orders of the fabric domains that are this daemon's
-// turn.
+// sendOrders sends the orders of the fabric domains for which this daemon has rank 0.
 func (o *owner) sendOrders(in planner.Input) {
 	for domain, dispatches := range planner.Orders(in) {
 		if o.rank(planner.OrderKey(domain), in.Now) != 0 {
@@ -120,11 +119,11 @@
 		o.lastOrderAt[d.Instance] = d.Decided
 		o.d.stats.orders.Inc()
 	default:
-		// All orderers are busy. The order is decided anew next time.
+		// All orderers are busy. A later round of planning decides the order again.
 	}
 }
 
-func (o *owner) handleOrderEnded(msg types.OrderResult) {
+func (o *owner) handleOrderResult(msg types.OrderResult) {
 	if msg.Err == nil {
 		return
 	}
@@ -133,7 +132,7 @@
 		Str("order", string(msg.Dispatch.Order.Kind)).Uint64("fence", uint64(msg.Dispatch.Order.Fence)).Msg("order-failed")
 }
 
-// removeSilent takes daemons off the roster that have been silent for long.
+// removeSilent removes daemons from the roster that have been silent for long.
 func (o *owner) removeSilent(now time.Time) {
 	if !o.majorityCurrentAt(now).After(now.Add(-o.d.cfg.CurrentBound)) {
 		return
@@ -144,7 +143,7 @@
 			delete(o.silentSince, id)
 			continue
 		}
-		if _, noted := o.silentSince[id]; !noted {
+		if _, known := o.silentSince[id]; !known {
 			o.silentSince[id] = now
 		}
 		key := fmt.Sprintf("leave/%s", id)
--- a/daemon/propose.go
+++ b/daemon/propose.go
@@ -12,19 +12,19 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// appendFor is how long a proposal is tried. It keeps all tries of a record
-// within the ids that the fold remembers.
+// appendTimeout bounds how long a proposal is retried. All attempts then fall within the range of
+// record IDs that the state remembers to detect duplicates.
 const appendTimeout = 5 * time.Second
 
-// Reasons why a proposal has no outcome.
+// Errors of proposals without an outcome.
 var (
-	// ErrLogAway: the proposal was not appended.
+	// ErrLogUnavailable: the proposal was not appended.
 	ErrLogUnavailable = errors.New("the log is away")
-	// ErrOutcomeUnknown: the proposal may be on the log, now or later.
+	// ErrOutcomeUnknown: the proposal may be on the log, or may still appear there.
 	ErrOutcomeUnknown = errors.New("the outcome is not known")
 )
 
-// proposal asks the owner to append a record and tell what became of it.
+// proposal asks the owner to append a record and to report its outcome.
 type proposal struct {
 	body  state.Body
 	reply chan<- proposalResult
@@ -38,13 +38,13 @@
 type pendingProposal struct {
 	// reply is nil for the daemon's own proposals.
 	reply chan<- proposalResult
-	// key is what the planner wanted it for.
+	// key identifies the planner's proposal; empty for proposals of callers.
 	key      string
 	deadline time.Time
 }
 
-// Propose appends a record and returns what the fold made of it. Its error
-// wraps ErrLogAway or ErrOutcomeUnknown.
+// Propose appends a record and returns the outcome of applying it. Its error wraps
+// ErrLogUnavailable or ErrOutcomeUnknown.
 func (d *Daemon) Propose(ctx context.Context, body state.Body) (state.Outcome, error) {
 	reply := make(chan proposalResult, 1)
 	select {
@@ -68,8 +68,8 @@
 	o.append(p.body, p.reply, "")
 }
 
-// append starts to append a record. A proposal that can't be taken now is
-// answered at once.
+// append queues a record to be appended. If the queue is full, or the record can't be encoded,
+// the proposal fails immediately.
 func (o *owner) append(body state.Body, reply chan<- proposalResult, key string) {
 	now := time.Now()
 	rec := state.Record{ID: newRecordID(), Author: o.d.cfg.ID, At: now.UTC(), Body: body}
@@ -95,8 +95,8 @@
 	}
 }
 
-// settle tells the proposer what the fold made of its record. A double of a
-// record that was settled before finds nobody waiting.
+// resolveProposal reports the outcome of a record to its proposer. A duplicate of a record that
+// was resolved before has no pending proposal.
 func (o *owner) resolveProposal(outcome state.Outcome) {
 	p, own := o.pendingProposals[outcome.Record]
 	if !own {
@@ -106,7 +106,7 @@
 	o.finishProposal(p, proposalResult{outcome: outcome})
 }
 
-// end tells whoever waits for a proposal.
+// finishProposal reports the result of a proposal to its proposer.
 func (o *owner) finishProposal(p *pendingProposal, result proposalResult) {
 	sendResult(p.reply, result)
 	if p.key == claimsProposalKey {
@@ -114,7 +114,7 @@
 	}
 }
 
-func (o *owner) handleAppendEnded(msg types.AppendResult) {
+func (o *owner) handleAppendResult(msg types.AppendResult) {
 	p, waiting := o.pendingProposals[msg.Append.Record]
 	if !waiting || msg.Err == nil {
 		return
@@ -122,17 +122,17 @@
 	o.d.stats.appendsFailed.Inc()
 	o.d.log.Warn().Err(msg.Err).Str("record", string(msg.Append.Record)).Bool("ambiguous", msg.Ambiguous).Msg("append-failed")
 	if msg.Ambiguous {
-		// The record may still turn up; expireProposals gives it time.
+		// The record may still appear on the log; expireProposals waits for it.
 		return
 	}
 	delete(o.pendingProposals, msg.Append.Record)
 	o.finishProposal(p, proposalResult{err: fmt.Errorf("%w: %w", ErrLogUnavailable, msg.Err)})
 }
 
-// outcomeGrace is how long after its last try a record is waited for.
+// outcomeTimeout is how long the outcome is awaited after the deadline for attempts.
 const outcomeTimeout = time.Second
 
-// expireProposals gives up on records that did not turn up in time.
+// expireProposals fails the proposals whose records did not appear in time.
 func (o *owner) expireProposals(now time.Time) {
 	for id, p := range o.pendingProposals {
 		if now.After(p.deadline.Add(outcomeTimeout)) {
@@ -149,7 +149,7 @@
 	}
 }
 
-// pendingFor reports whether a proposal for the key is on its way.
+// isPending reports whether a proposal with the key is pending.
 func (o *owner) isPending(key string) bool {
 	for _, p := range o.pendingProposals {
 		if p.key == key {
@@ -159,19 +159,19 @@
 	return false
 }
 
-// OnDaemons waits until the offset is in force on enough daemons, and
-// returns how many of how many it is in force on.
-func (d *Daemon) WaitInForce(ctx context.Context, offset models.Offset, enough func(have, of int) bool) (have, of int) {
+// WaitInForce waits until the record at the offset is in force on enough daemons. It returns on
+// how many daemons it is in force and the size of the roster.
+func (d *Daemon) WaitInForce(ctx context.Context, offset models.Offset, enough func(inForce, total int) bool) (inForce, total int) {
 	tick := time.NewTicker(publishInterval / 4)
 	defer tick.Stop()
 	for {
-		have, of = d.View().InForce(d.cfg.ID, offset)
-		if enough(have, of) {
-			return have, of
+		inForce, total = d.View().InForce(d.cfg.ID, offset)
+		if enough(inForce, total) {
+			return inForce, total
 		}
 		select {
 		case <-ctx.Done():
-			return have, of
+			return inForce, total
 		case <-tick.C:
 		}
 	}
--- a/daemon/stats.go
+++ b/daemon/stats.go
@@ -7,8 +7,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// stats are the metrics of one daemon. Each daemon has a set of its own, so
-// that many run in one process.
+// stats holds the metrics of one daemon. Each daemon has its own set because several run in one
+// process.
 type stats struct {
 	set           *metrics.Set
 	applied       *metrics.Counter
@@ -43,7 +43,7 @@
 	return s
 }
 
-// The kinds of control traffic that are counted apart.
+// Kinds of control traffic that are counted separately.
 const (
 	trafficPeers    = "peers"
 	trafficPlatform = "platform"
@@ -52,35 +52,35 @@
 
 func (s *stats) addTraffic(set *metrics.Set) {
 	s.bytes = map[string]*metrics.Counter{}
-	for _, with := range []string{trafficPeers, trafficPlatform, trafficWatch} {
-		for _, way := range []string{"sent", "received"} {
-			s.bytes[with+way] = set.NewCounter(fmt.Sprintf("lupinkeel_control_bytes_total{with=%q,way=%q}", with, way))
+	for _, kind := range []string{trafficPeers, trafficPlatform, trafficWatch} {
+		for _, direction := range []string{"sent", "received"} {
+			s.bytes[kind+direction] = set.NewCounter(fmt.Sprintf("lupinkeel_control_bytes_total{with=%q,way=%q}", kind, direction))
 		}
 	}
 }
 
-func (s *stats) countBytes(with string, sent, received int) {
-	s.bytes[with+"sent"].Add(sent)
-	s.bytes[with+"received"].Add(received)
+func (s *stats) countBytes(kind string, sent, received int) {
+	s.bytes[kind+"sent"].Add(sent)
+	s.bytes[kind+"received"].Add(received)
 }
 
 func (s *stats) countPeers(sent, received int)    { s.countBytes(trafficPeers, sent, received) }
 func (s *stats) countPlatform(sent, received int) { s.countBytes(trafficPlatform, sent, received) }
 func (s *stats) countWatch(sent, received int)    { s.countBytes(trafficWatch, sent, received) }
 
-// Traffic is how many bytes of control traffic a daemon has passed.
+// Traffic holds the bytes of control traffic of a daemon, both ways.
 type Traffic struct{ Peers, Platform, Watch uint64 }
 
-// Traffic returns the bytes that have passed so far, both ways.
+// Traffic returns the bytes sent and received so far.
 func (d *Daemon) Traffic() Traffic {
-	both := func(with string) uint64 {
-		return d.stats.bytes[with+"sent"].Get() + d.stats.bytes[with+"received"].Get()
+	totalBytes := func(kind string) uint64 {
+		return d.stats.bytes[kind+"sent"].Get() + d.stats.bytes[kind+"received"].Get()
 	}
-	return Traffic{Peers: both(trafficPeers), Platform: both(trafficPlatform), Watch: both(trafficWatch)}
+	return Traffic{Peers: totalBytes(trafficPeers), Platform: totalBytes(trafficPlatform), Watch: totalBytes(trafficWatch)}
 }
 
-// Metrics is the set that the daemon's other parts add theirs to.
+// Metrics returns the set to which the daemon's other parts add their metrics.
 func (d *Daemon) Metrics() *metrics.Set { return d.stats.set }
 
-// WriteMetrics writes the daemon's metrics in the text format.
+// WriteMetrics writes the daemon's metrics in the Prometheus text format.
 func (d *Daemon) WriteMetrics(w io.Writer) { d.stats.set.WritePrometheus(w) }
--- a/daemon/trail.go
+++ b/daemon/trail.go
@@ -14,26 +14,24 @@
 )
 
 const (
-	// keptTrail is how many of its own entries a daemon keeps at hand.
+	// maxEndedTrail is how many entries of its own ended requests a daemon keeps in memory.
 	maxEndedTrail = 10000
-	// maxUnwritten is how many entries wait at most while the log is away;
-	// the oldest are dropped first, and counted.
+	// maxUnwrittenTrail is how many entries are buffered while the log is unavailable; beyond it
+	// the oldest are dropped and counted.
 	maxUnwrittenTrail = 50000
-	// maxTrailBatch is how many entries one record carries.
+	// maxTrailBatch is the maximum number of entries in one record.
 	maxTrailBatch = 1000
-	// searchedTrail is how many records at the end of the stream are
-	// searched for a request.
+	// maxTrailSearch is how many records at the end of the stream are searched for a request.
 	maxTrailSearch    = 5000
 	finalFlushTimeout = 2 * time.Second
 )
 
-// trail is the record of where requests ran. Entries are written to the log
-// in batches. A request that is still in flight at a batch is in it without
-// an end, so that the loss of the daemon does not hide where it ran.
+// trail records where requests ran. Entries are written to the log in batches. A batch includes
+// requests still in flight, without an end, so that it is known where they ran even if the daemon
+// is lost.
 type trail struct {
 	mu sync.Mutex
-	// open are the requests in flight; written tells which of them a batch
-	// has held.
+	// active are the requests in flight; flushed reports which of them a batch has included.
 	active    map[models.RequestID]models.TrailEntry
 	flushed   map[models.RequestID]bool
 	recent    []models.TrailEntry
@@ -44,8 +42,8 @@
 	return &trail{active: map[models.RequestID]models.TrailEntry{}, flushed: map[models.RequestID]bool{}}
 }
 
-// Note puts an entry on the trail. A request may be noted again and again;
-// the last note is the one with an end.
+// RecordTrail adds an entry to the trail. A request may be recorded repeatedly; its last entry is
+// the one with an end.
 func (d *Daemon) RecordTrail(e models.TrailEntry) {
 	t := d.trail
 	t.mu.Lock()
@@ -67,7 +65,8 @@
 	}
 }
 
-// batch takes the entries for the next record.
+// nextBatch returns the entries for the next record: unwritten entries, and requests in flight
+// that no batch has included.
 func (t *trail) nextBatch(now time.Time) []models.TrailEntry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +83,7 @@
 	return out
 }
 
-// putBack returns entries that could not be written.
+// requeue queues entries again that could not be written.
 func (t *trail) requeue(entries []models.TrailEntry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,8 +112,8 @@
 	return models.TrailEntry{}, false
 }
 
-// runTrail writes a batch at each tick, and what is left when the context
-// ends.
+// trailWriter returns a function that writes the pending batches at each tick, and once more when
+// the context ends.
 func (d *Daemon) trailWriter(ticks <-chan timer.Tick) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for {
@@ -145,8 +144,8 @@
 	}
 }
 
-// FindTrail returns what is known of a request, by this daemon or by the
-// log. An entry with an end goes before one without.
+// FindTrail returns the entry of a request from this daemon's memory or else from the log. An
+// entry with an end takes precedence over one without.
 func (d *Daemon) FindTrail(ctx context.Context, id models.RequestID) (models.TrailEntry, bool, error) {
 	if e, ok := d.trail.find(id); ok {
 		return e, true, nil
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -10,48 +10,46 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// View is what the owner shows to the other goroutines of a daemon. It is
-// never changed once it is published.
+// View is the part of the owner's state that other goroutines of the daemon may read. It is
+// immutable once published.
 type View struct {
 	State     *state.State
 	Instances map[models.InstanceID]models.Instance
 	Evidence  map[models.InstanceID]planner.Evidence
 	Table     router.Table
 	Peers     []Peer
-	// CurrentUntil is how long the state is known to be current, unless
-	// new proof comes.
+	// CurrentUntil is until when the state counts as current unless it is confirmed again.
 	CurrentUntil time.Time
-	// LogProof is when the log last showed that the state was current.
+	// LogCurrentAt is the latest time at which a read of the log confirmed that the state was
+	// current.
 	LogCurrentAt time.Time
-	// LogError is what the last read of the log ended with.
+	// LogError is the error of the last read of the log; nil if it succeeded.
 	LogError error
-	// Superseded tells that another process runs under this daemon's name.
+	// Superseded reports whether another process runs under this daemon's ID.
 	Superseded bool
 
-	// silent are the instances that do not answer this daemon.
+	// silent lists the instances that do not answer this daemon.
 	silent []models.InstanceID
-	// recent are the last records folded, oldest first.
+	// recentRecords are the last records applied, oldest first.
 	recentRecords []types.Entry
 }
 
-// Peer is another daemon as this one knows it.
+// Peer is another daemon and its last known status.
 type Peer struct {
 	Status types.PeerStatus
-	// Seen is the latest time at which the status is known to have been
-	// true.
+	// Seen is the latest time at which Status is known to have been true.
 	Seen time.Time
-	// OnRoster tells that this incarnation counts as a daemon.
+	// OnRoster reports whether the roster lists this incarnation of the daemon.
 	OnRoster bool
 }
 
-// Current reports whether the daemon may take new work: its state is known
-// to be what was agreed a bounded time ago.
+// Current reports whether the daemon may accept new work: its state was confirmed as current
+// within a bounded time, and no other process runs under its ID.
 func (v *View) Current(now time.Time) bool {
 	return !v.Superseded && now.Before(v.CurrentUntil)
 }
 
-// Serving lists the other daemons of the roster that were heard lately and
-// take requests.
+// Serving lists the other daemons on the roster that have been seen recently and accept requests.
 func (v *View) Serving(now time.Time) []models.DaemonID {
 	var out []models.DaemonID
 	for _, p := range v.Peers {
@@ -62,16 +60,16 @@
 	return out
 }
 
-// InForce counts the daemons of the roster that have folded the offset, as
-// far as this daemon knows, and all daemons of the roster.
-func (v *View) InForce(self models.DaemonID, offset models.Offset) (have, of int) {
+// InForce returns on how many daemons of the roster the record at the offset is in force, as far
+// as this daemon knows, and the size of the roster.
+func (v *View) InForce(self models.DaemonID, offset models.Offset) (inForce, total int) {
 	if _, listed := v.State.Daemons[self]; listed && v.State.Applied >= offset {
-		have++
+		inForce++
 	}
 	for _, p := range v.Peers {
 		if p.OnRoster && p.Status.Applied >= offset {
-			have++
+			inForce++
 		}
 	}
-	return have, len(v.State.Daemons)
+	return inForce, len(v.State.Daemons)
 }
