--- a/worker/engine/client.go
+++ b/worker/engine/client.go
@@ -18,22 +18,22 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// Errors that calls to an engine return.
+// Errors of calls to an engine.
 var (
 	// ErrFenced: the engine has seen a newer fence.
 	ErrFenced = errors.New("the instance has seen a newer fence")
-	// ErrUnhealthy: the engine answered something else than expected.
-	ErrUnexpectedResponse = errors.New("unexpected answer from the instance")
-	// ErrStranger: another instance answers at the address.
+	// ErrUnexpectedResponse: the engine responded with an unexpected status or body.
+	ErrUnexpectedResponse = errors.New("unexpected response from the instance")
+	// ErrWrongInstance: another instance answers at the address.
 	ErrWrongInstance = errors.New("another instance answers at this address")
 )
 
 const maxStatusLen = 64 << 10
 
-// Client watches engines and gives them orders.
+// Client probes engines and sends them orders.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client that shares its connections among all calls.
+// NewClient returns a client whose calls share connections.
 func NewClient(dialer dial.Dialer) *Client {
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
@@ -43,8 +43,7 @@
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// Status asks the instance for its status and returns ErrStranger if the
-// answer comes from another one.
+// Status returns the status of the instance, or ErrWrongInstance if another instance answers.
 func (c *Client) Status(ctx context.Context, id models.InstanceID, addr netip.AddrPort) (types.EngineStatus, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/status", addr), nil)
 	if err != nil {
@@ -68,8 +67,7 @@
 	return status, nil
 }
 
-// Send gives the order. It returns ErrFenced if the instance refused it as
-// too old.
+// Send sends the order. It returns ErrFenced if the instance rejected the order as too old.
 func (c *Client) Send(ctx context.Context, addr netip.AddrPort, order types.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -79,8 +77,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	// An order that may have been sent must not be sent again behind our
-	// back on another connection.
+	// Without GetBody the transport can't resend an order that may have been sent.
 	req.GetBody = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
--- a/worker/engine/orderer.go
+++ b/worker/engine/orderer.go
@@ -8,16 +8,14 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// OrderBound is how long after it was decided an order may still be sent.
-// An instance that does not check fences relies on it: see the design note
-// on orders.
+// MaxOrderAge is how long after its decision an order may still be sent. Instances that do not
+// check fences depend on this bound; see the design note on orders.
 const MaxOrderAge = time.Second
 
-// ErrOrderTooLate is returned for an order that was not sent because its
-// decision is too old.
+// ErrOrderExpired is returned for an order that was not sent because it was decided too long ago.
 var ErrOrderExpired = errors.New("the order is too old to be sent")
 
-// Orderer sends orders, one after another.
+// Orderer sends orders sequentially.
 type Orderer struct {
 	Client *Client
 	Orders <-chan types.Dispatch
--- a/worker/engine/watcher.go
+++ b/worker/engine/watcher.go
@@ -10,8 +10,7 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// Watch asks the engines in targets for their status at each tick, until
-// the context ends.
+// Watch probes the status of the target engines at each tick until the context ends.
 func (c *Client) Watch(
 	ctx context.Context, ticks <-chan timer.Tick,
 	targets <-chan map[models.InstanceID]netip.AddrPort, out chan<- types.Message,
--- a/worker/engine/wire.go
+++ b/worker/engine/wire.go
@@ -1,6 +1,6 @@
-// Package engine speaks to model engines: it watches their status, sends
-// them fenced orders and carries requests to them. Everything that depends
-// on the engines' own protocol is in this folder.
+// Package engine is the client of model engines: it probes their status, sends them fenced orders
+// and defines the headers of requests to them. Everything that depends on the engines' protocol
+// is in this folder.
 package engine
 
 // Headers between a daemon and an upstream.
@@ -9,7 +9,7 @@
 	HeaderGroup    = "Lupinkeel-Group"
 	HeaderFence    = "Lupinkeel-Fence"
 	HeaderPriority = "Lupinkeel-Priority"
-	// HeaderNotRun is set on an upstream's refusal when it proves that the
-	// request was not run.
+	// HeaderNotRun is set on an error response of an upstream to prove that the request did not
+	// run.
 	HeaderNotRun = "Lupinkeel-Not-Run"
 )
--- a/worker/peer/client.go
+++ b/worker/peer/client.go
@@ -25,8 +25,8 @@
 	return &Client{dialer: dialer, conns: map[netip.AddrPort]net.Conn{}}
 }
 
-// Exchange sends a heartbeat and returns the answer. Only one exchange with
-// an address may run at a time. On any doubt the connection is closed.
+// Exchange sends a heartbeat and returns the response. Only one exchange with an address may run
+// at a time. After any error it closes the connection.
 func (c *Client) Exchange(ctx context.Context, addr netip.AddrPort, heartbeat Heartbeat) (Response, error) {
 	conn, err := c.conn(ctx, addr)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// Keep closes the connections to all addresses but these.
+// CloseExcept closes the connections to all addresses that are not in keep.
 func (c *Client) CloseExcept(keep map[netip.AddrPort]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/worker/peer/server.go
+++ b/worker/peer/server.go
@@ -15,25 +15,25 @@
 	"github.com/lupinkeel/lupinkeel/lib/frame"
 )
 
-// Source answers heartbeats. It is called from many goroutines.
+// Handler handles heartbeats. It is called concurrently.
 type Handler interface {
 	HandleHeartbeat(Heartbeat) Response
 }
 
-// idleTimeout closes a connection on which no heartbeat comes.
+// idleTimeout is how long a connection without heartbeats stays open.
 const idleTimeout = 10 * time.Second
 
 // Server answers the heartbeats of other daemons.
 type Server struct {
 	Handler Handler
 	Log     zerolog.Logger
-	// Bytes, if set, counts what is sent and received.
+	// CountBytes, if set, counts the bytes sent and received.
 	CountBytes dial.CountFunc
 
 	listener net.Listener
 }
 
-// Listen binds the address and returns the one bound.
+// Listen binds the address and returns the bound address.
 func (s *Server) Listen(addr netip.AddrPort) (netip.AddrPort, error) {
 	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
@@ -44,7 +44,7 @@
 	return netip.AddrPortFrom(bound.Addr().Unmap(), bound.Port()), nil
 }
 
-// Run answers until the context ends.
+// Run answers heartbeats until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { s.listener.Close() })
 	defer stop()
--- a/worker/peer/wire.go
+++ b/worker/peer/wire.go
@@ -1,6 +1,6 @@
-// Package peer lets daemons hear of one another: each sends heartbeats to
-// some others over TCP and gets their status back, together with what they
-// heard of third daemons and, if it asks, the log records it lacks.
+// Package peer exchanges status between daemons: each sends heartbeats to some others over TCP.
+// The response carries the receiver's status, statuses of other daemons (gossip) and, if
+// requested, the log records that the sender lacks.
 package peer
 
 import (
@@ -16,32 +16,32 @@
 	kindResponse
 )
 
-// Heartbeat is what one daemon sends.
+// Heartbeat is the message that a daemon sends to another.
 type Heartbeat struct {
 	From types.PeerStatus `msgpack:"f"`
-	// After asks for the records after this offset, if WantRecords is set.
+	// After requests the records after this offset if WantRecords is set.
 	After       models.Offset `msgpack:"o"`
 	WantRecords bool          `msgpack:"w"`
-	// Silent are instances that do not answer the sender.
+	// Silent lists instances that do not answer the sender.
 	Silent []models.InstanceID `msgpack:"s,omitempty"`
 }
 
-// Answer is what the other sends back.
+// Response is the reply to a heartbeat.
 type Response struct {
 	Status types.PeerStatus `msgpack:"s"`
-	// Heard are the daemons that the other has heard of lately.
+	// Gossip holds the statuses of other daemons that the responder has received recently.
 	Gossip []GossipEntry `msgpack:"h,omitempty"`
-	// Vouches tell of the silent instances that the other has seen.
+	// Observations are the responder's observations of instances in Heartbeat.Silent.
 	Observations []types.Observation `msgpack:"v,omitempty"`
-	// Records follow the offset asked for; State is sent instead when the
-	// other does not remember them any more.
+	// Records follow the requested offset. Snapshot is sent instead if the responder no longer
+	// keeps them.
 	Records  []types.Entry `msgpack:"r,omitempty"`
 	Snapshot []byte        `msgpack:"st,omitempty"`
 }
 
-// Heard is one daemon's status as another heard it.
+// GossipEntry is the status of a daemon as another daemon received it.
 type GossipEntry struct {
 	Status types.PeerStatus `msgpack:"s"`
-	// Age is how long before the answer the status was true at the latest.
+	// Age is how long before the response the status was last known to be true.
 	Age time.Duration `msgpack:"a"`
 }
--- a/worker/platform/appender.go
+++ b/worker/platform/appender.go
@@ -10,16 +10,15 @@
 
 const appendRetryDelay = 100 * time.Millisecond
 
-// Appender appends records and tries again until the append's time is up. A
-// record that was tried more than once may stand on the log more than once;
-// the fold knows it by its id.
+// Appender appends records and retries until the append's deadline. A record with several
+// attempts may be on the log several times; the state detects duplicates by record ID.
 type Appender struct {
 	Client  *Client
 	Appends <-chan types.Append
 	Out     chan<- types.Message
 }
 
-// Run appends until the context ends.
+// Run appends records until the context ends.
 func (a *Appender) Run(ctx context.Context) error {
 	for {
 		select {
@@ -31,7 +30,7 @@
 	}
 }
 
-// ErrTooLate is returned for a record whose time was up before it was sent.
+// ErrAppendDeadline is returned for a record that was not sent before its deadline.
 var ErrAppendDeadline = errors.New("the record's time was up")
 
 func (a *Appender) append(ctx context.Context, req types.Append) types.AppendResult {
--- a/worker/platform/checkpoint.go
+++ b/worker/platform/checkpoint.go
@@ -11,8 +11,7 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// farOffset is past the end of any stream: reading from it tells where the
-// stream ends.
+// beyondEnd is an offset past the end of any stream; a read at it returns where the stream ends.
 const beyondEnd = models.Offset(1) << 62
 
 // ReadTail reads the last entries of a stream, at most count.
--- a/worker/platform/client.go
+++ b/worker/platform/client.go
@@ -17,12 +17,11 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Errors that calls to the platform return.
+// Errors of calls to the platform.
 var (
-	// ErrRefused: the platform said that it did not do what it was asked.
+	// ErrRefused: the platform reported that it did not carry out the call.
 	ErrRefused = errors.New("the platform refused")
-	// ErrUnknown: the platform's answer was lost; the call may have taken
-	// effect.
+	// ErrUnknown: the platform's response was lost; the call may have taken effect.
 	ErrUnknown = errors.New("no answer from the platform")
 	// ErrExpired: the log no longer holds the offset.
 	ErrExpired = errors.New("the log no longer holds this offset")
@@ -40,14 +39,14 @@
 	http *http.Client
 }
 
-// NewClient returns a client of the log and the list at these addresses.
+// NewClient returns a client of the log and the instance list at the given addresses.
 func NewClient(log, list netip.AddrPort, dialer dial.Dialer) *Client {
 	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute}
 	return &Client{log: log, list: list, http: &http.Client{Transport: transport}}
 }
 
-// Append appends one record to a stream. It returns ErrRefused if the log
-// said that it did not take the record, and ErrUnknown if it may have.
+// Append appends one record to a stream. It returns ErrRefused if the log did not accept the
+// record, and ErrUnknown if it may have.
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (models.Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -74,9 +73,9 @@
 	return answer.Offset, nil
 }
 
-// Read reads the stream from the offset on. If there is nothing yet, it
-// waits up to the given time. It returns ErrExpired, with First set in the
-// answer, for an offset that the log no longer holds.
+// Read reads the stream from the offset on. If there are no entries yet, it waits for the given
+// time. For an offset that the log no longer holds it returns ErrExpired and sets First in the
+// answer.
 func (c *Client) Read(ctx context.Context, stream string, from models.Offset, wait time.Duration) (ReadAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
@@ -92,7 +91,7 @@
 	return answer, nil
 }
 
-// Instances reads the platform's list of instances.
+// Instances returns the platform's list of instances.
 func (c *Client) Instances(ctx context.Context) ([]models.Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/worker/platform/follower.go
+++ b/worker/platform/follower.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// readWait is how long a read at the end of the stream waits for more.
+	// maxReadWait is how long a read at the end of the stream waits for new entries.
 	maxReadWait = time.Second
-	// retryRead is the pause after a failed read.
+	// readRetryDelay is the pause after a failed read.
 	readRetryDelay = 200 * time.Millisecond
 )
 
-// Follower reads one stream to its end and then waits for more.
+// Follower reads one stream to its end and then waits for new entries.
 type Follower struct {
 	Client *Client
 	Stream string
-	// Next is the first offset wanted.
+	// Next is the offset to read next.
 	Next models.Offset
-	// Seek moves Next while the follower runs.
+	// Seek carries offsets that replace Next while the follower runs.
 	Seek <-chan models.Offset
 	Out  chan<- types.Message
 
-	// atEnd tells that the last read came to the end of the stream.
+	// atEnd is set if the last read reached the end of the stream.
 	atEnd bool
 }
 
-// Run follows the stream until the context ends. When the offset that it
-// wants has expired it says so and waits to be told where to go on.
+// Run follows the stream until the context ends. If the next offset has expired, it sends
+// LogExpired and waits for a new offset on Seek.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		f.pollSeek()
@@ -57,10 +57,9 @@
 	return ctx.Err()
 }
 
-// wait is how long the next read may take. Until the end was reached a read
-// comes back at once: a daemon that starts again, or goes on from a checkpoint
-// at the end of the stream, serves nothing until it knows that it has read
-// everything, 1 s sooner by this.
+// nextWait returns how long the next read may wait for entries. Before the end was reached a read
+// returns immediately: a daemon that restarts, or continues from a checkpoint at the end of the
+// stream, serves nothing until it knows that it has read everything. Not waiting saves it 1 s.
 func (f *Follower) nextWait() time.Duration {
 	if f.atEnd {
 		return maxReadWait
@@ -68,7 +67,7 @@
 	return 0
 }
 
-// takeSeek moves to the offset that the follower was told, if it was.
+// pollSeek moves to the offset on Seek, if there is one.
 func (f *Follower) pollSeek() {
 	select {
 	case next := <-f.Seek:
@@ -77,8 +76,7 @@
 	}
 }
 
-// waitSeek moves to the offset that the follower is told within the given
-// time.
+// awaitSeek waits for an offset on Seek, at most for the timeout, and moves there.
 func (f *Follower) awaitSeek(ctx context.Context, timeout time.Duration) {
 	t := time.NewTimer(timeout)
 	defer t.Stop()
--- a/worker/platform/follower_test.go
+++ b/worker/platform/follower_test.go
@@ -17,9 +17,9 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// TestFollowerKnowsTheEndAtOnce checks that a follower which starts, or is
-// moved, at the end of its stream says so without waiting for a record that
-// may not come: until then its daemon serves nothing. Later reads do wait.
+// TestFollowerReportsEndWithoutWaiting checks that a follower that starts, or is moved, at the
+// end of its stream reports the end without waiting for a new record: until then its daemon
+// serves nothing. Later reads wait.
 func TestFollowerReportsEndWithoutWaiting(t *testing.T) {
 	c := qt.New(t)
 	const noWait, longPoll = "0s", "1s"
@@ -53,7 +53,7 @@
 	c.Assert(<-reads, qt.Equals, longPoll)
 
 	seek <- 2
-	_, err := client.Append(ctx, platform.StreamState, []byte("ends the read that waits"))
+	_, err := client.Append(ctx, platform.StreamState, []byte("ends the long poll"))
 	c.Assert(err, qt.IsNil)
 	c.Assert(<-reads, qt.Equals, noWait)
 	c.Assert(<-reads, qt.Equals, longPoll)
--- a/worker/platform/list.go
+++ b/worker/platform/list.go
@@ -7,7 +7,7 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// PollInstances reads the list at each tick until the context ends.
+// PollInstances reads the list of instances at each tick until the context ends.
 func (c *Client) PollInstances(ctx context.Context, ticks <-chan timer.Tick, out chan<- types.Message) error {
 	for {
 		instances, err := c.Instances(ctx)
--- a/worker/platform/wire.go
+++ b/worker/platform/wire.go
@@ -1,6 +1,5 @@
-// Package platform speaks to the operators' platform: its append-only log,
-// its list of upstream instances. Everything that depends on the platform's
-// own protocol is in this folder.
+// Package platform is the client of the operators' platform: its append-only log and its list of
+// upstream instances. Everything that depends on the platform's protocol is in this folder.
 package platform
 
 import (
@@ -8,23 +7,23 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// Streams of the log that the system uses.
+// Log streams that the system uses.
 const (
 	// StreamState carries the records of package state.
 	StreamState = "state"
-	// StreamCheckpoint carries checkpoints of the whole state, in parts.
+	// StreamCheckpoint carries checkpoints of the state, in parts.
 	StreamCheckpoint = "checkpoint"
-	// StreamTrail carries batches of what became of requests.
+	// StreamTrail carries batches of trail entries, which record how requests ended.
 	StreamTrail = "trail"
 )
 
-// AppendAnswer is what the log answers to an append.
+// AppendAnswer is the log's response to an append.
 type AppendAnswer struct {
 	Offset models.Offset `json:"offset"`
 }
 
-// ReadAnswer is what the log answers to a read. With status 410 it holds
-// only First: the records before it have expired.
+// ReadAnswer is the log's response to a read. With status 410 only First is set: older records
+// have expired.
 type ReadAnswer struct {
 	First   models.Offset `json:"first"`
 	Next    models.Offset `json:"next"`
--- a/worker/probe/probe.go
+++ b/worker/probe/probe.go
@@ -1,5 +1,4 @@
-// Package probe asks many targets the same question at a steady pace, each
-// without waiting for the others.
+// Package probe sends the same probe to many targets at a fixed interval, concurrently.
 package probe
 
 import (
@@ -9,30 +8,29 @@
 	"github.com/lupinkeel/lupinkeel/lib/timer"
 )
 
-// Timeout bounds one question.
+// Timeout bounds one probe.
 const Timeout = time.Second
 
-// Result is what one target answered.
+// Result is the result of probing one target.
 type Result[K comparable, T, A any] struct {
 	Key    K
 	Target T
-	// Asked is when the question was sent.
+	// SentAt is when the probe was sent.
 	SentAt   time.Time
 	Response A
 	Err      error
 }
 
-// Prober asks every target at each tick unless it still waits for that
-// target's last answer.
+// Prober probes every target at each tick, except those whose last probe is still in flight.
 type Prober[K comparable, T, A any] struct {
 	Ticks <-chan timer.Tick
-	// Targets replaces all targets.
+	// Targets carries complete target sets; each replaces the previous set.
 	Targets <-chan map[K]T
 	Probe   func(context.Context, K, T) (A, error)
 	Deliver func(context.Context, Result[K, T, A])
 }
 
-// Run asks until the context ends, and waits for the last answers.
+// Run probes until the context ends, and then waits for the probes in flight.
 func (p *Prober[K, T, A]) Run(ctx context.Context) error {
 	targets := map[K]T{}
 	inFlight := map[K]bool{}
--- a/worker/service/service.go
+++ b/worker/service/service.go
@@ -1,5 +1,4 @@
-// Package service speaks to plain services: calls that the system routes
-// and does not understand.
+// Package service probes plain services, whose calls the system routes without interpreting them.
 package service
 
 import (
@@ -15,9 +14,8 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// Watch tries at each tick whether the services' instances in targets accept
-// connections, until the context ends. Plain services have no status call in
-// common.
+// Watch checks at each tick whether the target instances accept connections, until the context
+// ends. Plain services have no common status call.
 func Watch(
 	ctx context.Context, dialer dial.Dialer, ticks <-chan timer.Tick,
 	targets <-chan map[models.InstanceID]netip.AddrPort, out chan<- types.Message,
--- a/worker/types/grouporders.go
+++ b/worker/types/grouporders.go
@@ -6,56 +6,56 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// GroupOrderKind tells what a group order asks an instance for.
+// GroupOrderKind is what a group order asks an instance to do.
 type GroupOrderKind string
 
-// The kinds of group orders.
+// Kinds of group orders.
 const (
 	// GroupJoin makes the instance a member of a group.
 	GroupJoin GroupOrderKind = "join"
-	// GroupOpen lets a group's head take requests.
+	// GroupOpen lets the head of a group accept requests.
 	GroupOpen GroupOrderKind = "open"
-	// GroupCut stops the head at once, GroupFinish once its requests ended.
+	// GroupCut stops the head immediately; GroupFinish stops it once its requests have ended.
 	GroupCut    GroupOrderKind = "cut"
 	GroupFinish GroupOrderKind = "finish"
-	// GroupLeave takes the instance out of its group.
+	// GroupLeave removes the instance from its group.
 	GroupLeave GroupOrderKind = "leave"
-	// GroupStage loads a model onto the instance's host ahead of need.
+	// GroupStage loads a model onto the instance's host before it is needed.
 	GroupStage GroupOrderKind = "stage"
 )
 
-// GroupOrder is one order to one instance.
+// GroupOrder is an order to one instance.
 type GroupOrder struct {
 	Kind     GroupOrderKind
 	Instance models.InstanceID
-	// Born is the birth of the life of the instance that the order is meant for,
-	// zero if it is not known. What comes of it says nothing of another life.
+	// Born is the start time of the instance that the order is meant for; zero if unknown. An
+	// instance that restarts under the same ID has another start time, and the outcome of the
+	// order says nothing about it.
 	Born  time.Time
 	Group models.GroupKey
-	// Fence rises with every order: an instance refuses an order whose fence
-	// is older than one that it has seen.
+	// Fence increases with every order. An instance rejects an order whose fence is older than
+	// one it has seen.
 	Fence int64
-	// Model is set for joins and stagings, Members (the head first) for
-	// joins.
+	// Model is set for GroupJoin and GroupStage. Members is set for GroupJoin; the head is first.
 	Model   models.ModelName
 	Members []models.InstanceID
 }
 
-// OrderOutcome is what came of a group order.
+// OrderOutcome is the result of a group order.
 type OrderOutcome string
 
-// The outcomes of orders.
+// Outcomes of group orders.
 const (
-	// OrderUnknown: no answer; the order may still be carried out.
+	// OrderUnknown: no response; the order may still be carried out.
 	OrderUnknown OrderOutcome = "unknown"
-	// OrderBegun: the instance is at it.
+	// OrderBegun: the instance is carrying out the order.
 	OrderBegun OrderOutcome = "begun"
-	// OrderDone: what was ordered holds.
+	// OrderDone: the instance is in the ordered state.
 	OrderDone OrderOutcome = "done"
-	// OrderUnfit: it does not fit the instance's state.
+	// OrderUnfit: the order is not valid in the instance's state.
 	OrderUnfit OrderOutcome = "unfit"
 	// OrderFenced: the instance has seen a newer fence or epoch.
 	OrderFenced OrderOutcome = "fenced"
-	// OrderOtherInstance: another instance has the address now.
+	// OrderOtherInstance: another instance answers at the address.
 	OrderOtherInstance OrderOutcome = "other-instance"
 )
--- a/worker/types/log.go
+++ b/worker/types/log.go
@@ -6,13 +6,13 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Entry is one record of the log with its offset.
+// Entry is one record of a log stream with its offset.
 type Entry struct {
 	Offset models.Offset `json:"offset" msgpack:"o"`
 	Data   []byte        `json:"data" msgpack:"d"`
 }
 
-// Append is a record to be appended, and until when to try.
+// Append is a record to append to a stream. It is retried until the deadline.
 type Append struct {
 	Stream   string
 	Record   models.RecordID
--- a/worker/types/messages.go
+++ b/worker/types/messages.go
@@ -1,6 +1,5 @@
-// Package types holds the messages by which the workers, which speak to the
-// outside, tell a daemon's owner what they saw. Data flows one way: a worker
-// never changes what the owner holds.
+// Package types defines the messages in which the workers, which do the network I/O, report to a
+// daemon's owner. Data flows one way: workers never change the owner's state.
 package types
 
 import (
@@ -11,40 +10,40 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Message is one of the types below.
+// Message is implemented by the message types of this package.
 type Message interface{ message() }
 
-// LogRead tells that a read of the state stream that began at Began was
-// answered: the stream held nothing from Next on at that time or later.
+// LogRead reports a successful read of the state stream that started at StartedAt. At that time
+// or later the stream held no entry at Next or beyond.
 type LogRead struct {
 	StartedAt time.Time
 	Entries   []Entry
 	Next      models.Offset
 }
 
-// LogExpired tells that the offset wanted next is no longer on the log.
+// LogExpired reports that the log no longer holds the next offset wanted; First is the oldest
+// offset that it holds.
 type LogExpired struct{ First models.Offset }
 
-// LogAway tells that a read of the log failed.
+// LogUnavailable reports that a read of the log failed.
 type LogUnavailable struct{ Err error }
 
-// AppendEnded tells what the log answered to an append. Err is nil once the
-// log has taken the record.
+// AppendResult reports the result of an append. Err is nil if the log accepted the record.
 type AppendResult struct {
 	Append Append
 	Offset models.Offset
-	// Ambiguous tells that a try may have taken effect although Err is set.
+	// Ambiguous reports that an attempt may have taken effect although Err is set.
 	Ambiguous bool
 	Err       error
 }
 
-// CheckpointRead carries the newest whole checkpoint on the log.
+// CheckpointRead carries the newest complete checkpoint on the log.
 type CheckpointRead struct {
 	Offset   models.Offset
 	Snapshot []byte
 }
 
-// CheckpointWritten tells how writing a checkpoint ended.
+// CheckpointWritten reports the result of writing a checkpoint.
 type CheckpointWritten struct {
 	Offset models.Offset
 	Bytes  int
@@ -54,11 +53,11 @@
 // ListRead carries the platform's list of instances.
 type ListRead struct{ Instances []models.Instance }
 
-// ListAway tells that the list could not be read.
+// ListUnavailable reports that the list could not be read.
 type ListUnavailable struct{ Err error }
 
-// InstanceSeen carries an instance's own word. It was true at some time
-// after Asked.
+// InstanceSeen carries the status that an instance reported. It was true at some time after
+// SentAt, when the probe was sent.
 type InstanceSeen struct {
 	Instance models.InstanceID
 	Addr     netip.AddrPort
@@ -66,60 +65,59 @@
 	Status   EngineStatus
 }
 
-// ServiceSeen tells that a plain service's instance accepted a connection
-// at some time after Asked.
+// ServiceSeen reports that an instance of a plain service accepted a connection at some time
+// after SentAt.
 type ServiceSeen struct {
 	Instance models.InstanceID
 	SentAt   time.Time
 }
 
-// InstanceSilent tells that an instance did not answer a question sent at
-// Asked in time.
+// InstanceSilent reports that an instance did not answer the probe sent at SentAt in time.
 type InstanceSilent struct {
 	Instance models.InstanceID
 	SentAt   time.Time
 	Err      error
 }
 
-// OrderEnded tells what an instance answered to an order.
+// OrderResult reports the result of an order.
 type OrderResult struct {
 	Dispatch Dispatch
 	Err      error
 }
 
-// PeerSeen carries what another daemon told in answer to a heartbeat that
-// was sent at Asked.
+// PeerSeen carries the status of another daemon, from the response to a heartbeat that was sent
+// at SentAt. For a status received by gossip, SentAt is earlier by the age of the status.
 type PeerSeen struct {
 	SentAt time.Time
 	Status PeerStatus
 }
 
-// PeerSilent tells that the daemon at the address did not answer in time.
+// PeerSilent reports that the daemon at the address did not answer a heartbeat in time.
 type PeerSilent struct {
 	Addr netip.AddrPort
 	Err  error
 }
 
-// PeerVouched carries what another daemon saw of instances. Ages count from
-// Asked back.
+// PeerObservations carries another daemon's observations of instances. Their ages count back from
+// SentAt.
 type PeerObservations struct {
 	SentAt       time.Time
 	Observations []Observation
 }
 
-// Vouch is one instance as another daemon saw it.
+// Observation is the status of an instance as another daemon observed it.
 type Observation struct {
 	Age    time.Duration `msgpack:"a"`
 	Status EngineStatus  `msgpack:"s"`
 }
 
-// PeerRecords carries records that another daemon relayed.
+// PeerRecords carries records relayed by another daemon.
 type PeerRecords struct {
 	From    models.DaemonID
 	Entries []Entry
 }
 
-// PeerState carries a whole state from another daemon.
+// PeerSnapshot carries a snapshot of the state from another daemon.
 type PeerSnapshot struct {
 	From     models.DaemonID
 	Snapshot []byte
@@ -143,7 +141,7 @@
 func (PeerRecords) message()       {}
 func (PeerSnapshot) message()      {}
 
-// PeerStatus is what a daemon tells others of itself with each heartbeat.
+// PeerStatus is the status that a daemon reports about itself in each heartbeat and response.
 type PeerStatus struct {
 	//lint:ignore U1000 The codec reads it: fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
@@ -154,10 +152,10 @@
 	Addr        netip.AddrPort  `msgpack:"a"`
 	Applied     models.Offset   `msgpack:"o"`
 	Config      models.Offset   `msgpack:"c"`
-	// LogAge is how long ago the daemon last knew from the log that it had
-	// folded all there was; negative if it never did.
+	// LogAge is how long ago the log last confirmed that the daemon had applied all its records;
+	// negative if it never did.
 	LogAge time.Duration `msgpack:"l"`
-	// Serving tells that the daemon takes new requests.
+	// Serving reports whether the daemon accepts new requests.
 	Serving bool `msgpack:"s"`
 }
 
--- a/worker/upstream/events.go
+++ b/worker/upstream/events.go
@@ -9,50 +9,49 @@
 	"strconv"
 )
 
-// ErrEndedEarly is returned for a stream of events that ended without its
-// end mark.
+// ErrTruncated is returned for an event stream that ended without its [DONE] event.
 var ErrTruncated = errors.New("the stream ended without its end mark")
 
-// endMark is the data of a stream's last event.
+// doneMarker is the data of the last event of a stream.
 const doneMarker = "[DONE]"
 
-// maxEventLen is the longest event accepted, in bytes.
+// maxEventLen is the maximum length of an event in bytes.
 const maxEventLen = 1 << 20
 
 // Event is one server-sent event.
 type Event struct {
-	// ID numbers the tokens up to this event; 0 if the event has none.
+	// ID is the number of tokens up to and including this event; 0 if the event has no ID.
 	ID   int
 	Data []byte
 }
 
-// Last reports whether the event is the end mark.
+// IsDone reports whether the event is the [DONE] event.
 func (e Event) IsDone() bool { return string(e.Data) == doneMarker }
 
-// WriteTo writes the event as it goes over the wire, without its id.
+// WriteTo writes the event in its wire format, without its ID.
 func (e Event) WriteTo(w io.Writer) (int64, error) {
 	n, err := fmt.Fprintf(w, "data: %s\n\n", e.Data)
 	return int64(n), err
 }
 
-// Events reads server-sent events.
+// EventReader reads server-sent events.
 type EventReader struct {
 	body  io.ReadCloser
 	lines *bufio.Scanner
 }
 
-// Close closes what the events are read from.
+// Close closes the underlying body.
 func (e *EventReader) Close() error { return e.body.Close() }
 
-// NewEvents reads events from the body of an answer.
+// NewEventReader returns a reader of the events in a response body.
 func NewEventReader(body io.ReadCloser) *EventReader {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4<<10), maxEventLen)
 	return &EventReader{body: body, lines: lines}
 }
 
-// Next returns the next whole event. It returns ErrEndedEarly if the stream
-// ends, cleanly or not, and the caller has not seen the end mark.
+// Next returns the next complete event. It returns ErrTruncated when the stream ends, whether
+// cleanly or not; a caller that has seen the [DONE] event does not call it again.
 func (e *EventReader) Next() (Event, error) {
 	var event Event
 	for e.lines.Scan() {
@@ -63,7 +62,7 @@
 		case len(line) == 0 && event.Data != nil:
 			return event, nil
 		case string(field) == "id":
-			// An id that is no number leaves the event without one.
+			// An ID that is not a number leaves the event without an ID.
 			event.ID, _ = strconv.Atoi(string(value))
 		case string(field) == "data" && event.Data != nil:
 			event.Data = append(append(event.Data, '\n'), value...)
--- a/worker/upstream/upstream.go
+++ b/worker/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream carries requests to engines and plain services over HTTP
-// and tells, for each that fails, whether it can have been run.
+// Package upstream sends requests to engines and plain services over HTTP and reports, for each
+// that fails, whether it may have run.
 package upstream
 
 import (
@@ -22,21 +22,21 @@
 	"github.com/lupinkeel/lupinkeel/worker/engine"
 )
 
-// Ends of a call that gave no whole answer.
+// Errors of a call without a complete response.
 var (
-	// ErrNotRun: the call never reached the upstream, or the upstream
-	// proved that it did not run it.
+	// ErrNotRun: the call never reached the upstream, or the upstream proved that it did not run
+	// it.
 	ErrNotRun = errors.New("the request was not run")
-	// ErrMayHaveRun: the call may have been run.
+	// ErrMayHaveRun: the call may have run.
 	ErrMayHaveRun = errors.New("the request may have been run")
-	// ErrNotServing comes with either of the above: the upstream can't be
-	// reached, broke off, or refuses to serve its group.
+	// ErrNotServing accompanies ErrNotRun or ErrMayHaveRun: the upstream can't be reached, closed
+	// the connection, or refuses to serve its group.
 	ErrNotServing = errors.New("the upstream does not serve")
-	// ErrTooLong: the answer is longer than is accepted.
+	// ErrTooLong: the response is longer than the limit.
 	ErrTooLong = errors.New("the answer is too long")
 )
 
-// Call is one try of a request.
+// Call is one attempt of a request.
 type Call struct {
 	Addr   netip.AddrPort
 	Method string
@@ -48,19 +48,19 @@
 	Group    models.GroupID
 	Fence    models.Fence
 	Priority int
-	// Fresh asks for a connection of its own. On a reused connection a
-	// failure to send can't be told from a lost answer.
+	// NewConn requests a new connection. On a reused connection a failure to send can't be told
+	// from a lost response.
 	NewConn bool
 }
 
-// Answer is the head of an answer. The body must be closed.
+// Answer is the header of a response and its body, which must be closed.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
 }
 
-// Client carries calls.
+// Client sends calls.
 type Client struct {
 	pooled   *http.Client
 	unpooled *http.Client
@@ -79,12 +79,12 @@
 func newHTTPClient(transport *http.Transport) *http.Client {
 	return &http.Client{
 		Transport: transport,
-		// A redirect would send the request somewhere that nobody chose.
+		// A redirect would send the request to an upstream that the router did not choose.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// Do sends the call and returns the head of the answer. Its error wraps
+// Do sends the call and returns the response once its header has arrived. Its error wraps
 // ErrNotRun or ErrMayHaveRun.
 func (c *Client) Do(ctx context.Context, call Call) (*Answer, error) {
 	var connected atomic.Bool
@@ -120,8 +120,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the transport can't send the request a second time
-	// on its own.
+	// Without GetBody the transport can't resend the request on its own.
 	req.GetBody = nil
 	for k, v := range call.Header {
 		req.Header[k] = v
@@ -135,8 +134,8 @@
 	return req, nil
 }
 
-// checkHead refuses an answer that is a proof of not having run, or that
-// belongs to another request.
+// checkHeader returns an error for a response that proves that the request did not run, and for
+// one that belongs to another request.
 func checkHeader(call Call, resp *Answer) error {
 	if resp.Status >= 400 && resp.Header.Get(engine.HeaderNotRun) == "true" {
 		if resp.Status == http.StatusConflict {
@@ -154,9 +153,8 @@
 	return nil
 }
 
-// ReadWhole reads the rest of an answer to its end and closes it. An answer
-// that ends early, or is longer than limit, gives an error that wraps
-// ErrMayHaveRun.
+// ReadAll reads the rest of the body and closes it. For a body that ends early, or is longer than
+// limit, it returns an error that wraps ErrMayHaveRun.
 func (a *Answer) ReadAll(limit int64) ([]byte, error) {
 	defer a.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(a.Body, limit+1))
