--- a/api/auth.go
+++ b/api/auth.go
@@ -11,14 +11,13 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// HashToken returns the hash by which the configuration knows a token.
+// HashToken returns the hash of a token as it is stored in the configuration.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// tokenHash returns the hash of the request's bearer token, empty if it has
-// none.
+// tokenHash returns the hash of the request's bearer token; empty if there is none.
 func tokenHash(r *http.Request) string {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
@@ -27,7 +26,7 @@
 	return HashToken(token)
 }
 
-// hasHash compares with every hash in constant time.
+// containsHash compares the hash with every known hash in constant time.
 func containsHash(hashes []string, hash string) bool {
 	found := 0
 	for _, h := range hashes {
@@ -46,11 +45,11 @@
 	return models.Workspace{}, ErrUnknownToken
 }
 
-// bootstrapOperator is who acts with the bootstrap token.
+// bootstrapOperator is the name under which the bootstrap token acts.
 const bootstrapOperator models.OperatorName = "bootstrap"
 
-// operatorOf returns the operator who sent the request. The bootstrap token
-// counts only while nobody else may change the configuration.
+// authenticateOperator returns the operator who sent the request. The bootstrap token is valid
+// only while no operator with a token may change the configuration.
 func authenticateOperator(s *state.State, bootstrap string, r *http.Request) (models.Operator, error) {
 	hash := tokenHash(r)
 	if hash == "" {
--- a/api/buffered.go
+++ b/api/buffered.go
@@ -11,7 +11,7 @@
 	"github.com/lupinkeel/lupinkeel/worker/upstream"
 )
 
-// answerWhole reads the answer to its end before the caller sees any of it.
+// forwardBuffered reads the whole response before it sends any of it to the caller.
 func (e *exchange) forwardBuffered(_ context.Context, target router.Target, resp *upstream.Answer) error {
 	data, err := resp.ReadAll(maxBufferedResponse)
 	if err != nil {
@@ -30,11 +30,11 @@
 	return err
 }
 
-// errNotWhole is returned for an engine's answer without its end mark.
+// errIncomplete is returned for an engine's response that is not complete.
 var errIncomplete = errors.New("the answer is not whole")
 
-// checkCompletion accepts an answer only if every choice has come to its
-// end. An engine's own error is no answer, unless it blames the request.
+// checkCompletion returns an error unless every choice has a finish reason. Server errors of the
+// engine (5xx) count as no response; client errors (4xx) are forwarded.
 func checkCompletion(status int, data []byte) error {
 	if status >= 500 {
 		return fmt.Errorf("%w: %w: status %d", upstream.ErrMayHaveRun, errIncomplete, status)
--- a/api/callers.go
+++ b/api/callers.go
@@ -16,21 +16,19 @@
 
 // Headers that callers may set.
 const (
-	// HeaderPriority is a number; higher goes first. 0 if not set.
+	// HeaderPriority is a number; higher numbers go first. The default is 0.
 	HeaderPriority = "Lupinkeel-Priority"
-	// HeaderTimeout is how long the caller waits, as in "30s".
+	// HeaderTimeout is how long the caller waits, such as "30s".
 	HeaderTimeout = "Lupinkeel-Timeout"
-	// HeaderRepeatable is true or false: whether running the request twice
-	// does no harm.
+	// HeaderRepeatable is true or false: whether the request may safely run twice.
 	HeaderRepeatable = "Lupinkeel-Repeatable"
-	// HeaderKey names a request that must run at most once, whichever
-	// daemon it is sent to and however often.
+	// HeaderKey identifies a request that must run at most once, regardless of how often and to
+	// which daemons it is sent.
 	HeaderKey = "Idempotency-Key"
 )
 
-// begin checks what every request has in common. It returns nil after it
-// has answered a request that can't go on. The caller of begin must call
-// done.
+// beginExchange does the checks common to all requests. If one fails it sends the error response
+// and returns nil. Otherwise the caller must call the returned function at the end.
 func (s *Server) beginExchange(w http.ResponseWriter, r *http.Request, repeatable bool) (*exchange, context.Context, func()) {
 	id := models.RequestID(uuid.NewString())
 	w.Header().Set(HeaderRequest, string(id))
@@ -59,7 +57,8 @@
 	}
 }
 
-// allotment is this daemon's part of a workspace's limit.
+// workspaceShare returns this daemon's share of a workspace's concurrency limit; 0 means no
+// limit.
 func (s *Server) workspaceShare(w models.Workspace) int {
 	if w.Concurrent == 0 {
 		return 0
--- a/api/chat.go
+++ b/api/chat.go
@@ -18,8 +18,8 @@
 
 const chatPath = "/v1/chat/completions"
 
-// chatRequest is the part of a request that the daemon reads. The whole body
-// goes to the engine as it came.
+// chatRequest is the part of a request body that the daemon reads. The body is forwarded to the
+// engine unchanged.
 type chatRequest struct {
 	Model    models.ModelName  `json:"model"`
 	Messages []json.RawMessage `json:"messages"`
@@ -40,11 +40,11 @@
 	return chat, nil
 }
 
-// prefixLen is how much of a prompt's beginning decides which cache it goes
-// to, in bytes.
+// prefixLen is how many bytes at the start of a prompt determine to which prefix cache it is
+// routed.
 const prefixLen = 256
 
-// prefixOf is a hash of the beginning of the first message.
+// prefixHash returns a hash of the start of the first message.
 func prefixHash(chat chatRequest) uint64 {
 	first := chat.Messages[0]
 	h := fnv.New64a()
@@ -99,9 +99,8 @@
 	e.run(ctx)
 }
 
-// cancelRun tells an engine that nobody waits for a run any more. It does so
-// in the background: the caller's answer must not wait for an engine that may
-// be away.
+// cancelRun asks an engine to cancel a run for which nobody waits any more. It runs in the
+// background: the caller's response must not wait for an engine that may be unreachable.
 func (s *Server) cancelRun(addr netip.AddrPort, id models.RequestID) {
 	task.Start(context.Background(), "cancel", func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
@@ -115,8 +114,8 @@
 	})
 }
 
-// answerStream passes events on, each whole, until the end mark. It says
-// nothing to the caller before the first event.
+// forwardStream forwards complete events until the [DONE] event. It sends the caller nothing
+// before the first event.
 func (e *exchange) forwardStream(ctx context.Context, target router.Target, resp *upstream.Answer) error {
 	if resp.Status != http.StatusOK {
 		return e.forwardBuffered(ctx, target, resp)
@@ -160,8 +159,8 @@
 	resumeDelay    = 200 * time.Millisecond
 )
 
-// resume asks the engine for the rest of the same run, after the event that
-// the caller got last. The rest of another run never takes its place.
+// resume requests the rest of the same run, after the last event that the caller received. It
+// never continues with a different run.
 func (e *exchange) resume(ctx context.Context, target router.Target, after int, cause error) (*upstream.EventReader, upstream.Event, error) {
 	if after == 0 {
 		return nil, upstream.Event{}, cause
@@ -193,15 +192,15 @@
 	return nil, upstream.Event{}, cause
 }
 
-// writeErrorEvent tells a caller within the stream that it ends here. The
-// connection is broken off afterwards.
+// writeErrorEvent sends the caller an error event within the stream. Afterwards the connection is
+// aborted.
 func (e *exchange) writeErrorEvent(cause error) {
 	err := fmt.Errorf("%w: %w", ErrUpstreamFailed, cause)
 	data, marshalErr := json.Marshal(errorBody{Error: newErrorDetail(err, router.EndMayHaveRun)})
 	if marshalErr != nil {
 		return
 	}
-	// If this fails the caller is gone and needs no telling.
+	// An error here means that the caller has disconnected.
 	_, _ = fmt.Fprintf(e.w, "event: error\ndata: %s\n\n", data)
 	_ = http.NewResponseController(e.w).Flush()
 }
--- a/api/claim.go
+++ b/api/claim.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// claimWithin bounds how long a request waits for its key to be recorded.
+	// claimTimeout bounds how long a request waits for its key to be recorded.
 	claimTimeout = 3 * time.Second
-	// releaseWithin bounds the giving up of a key, for which nobody waits.
+	// releaseTimeout bounds the release of a key, for which no caller waits.
 	releaseTimeout = 10 * time.Second
 )
 
-// claim records the request's key on the log before anything is sent. Only
-// the request whose claim is the first on the log goes on.
+// claim records the request's idempotency key on the log before anything is sent. Only the
+// request whose claim is first on the log continues.
 func (e *exchange) claim(ctx context.Context) error {
 	if e.keyHash == "" {
 		return nil
@@ -29,8 +29,8 @@
 	holder, err := e.s.daemon.Claim(ctx, e.keyHash, e.req.ID)
 	switch {
 	case err != nil:
-		// If the outcome is unknown the key may stay claimed for nothing: it
-		// is to be released, since nothing was sent.
+		// With an unknown outcome the key may be claimed although nothing was sent, so it has to
+		// be released.
 		e.keyClaimed = errors.Is(err, daemon.ErrOutcomeUnknown)
 		return fmt.Errorf("%w: %w", ErrKeyNotRecorded, err)
 	case holder != e.req.ID:
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// release gives a key up in the background, so that the caller may try again
-// with it. If that fails the key stays claimed, which is safe.
+// release releases a key in the background, so that the caller may retry with it. If the release
+// fails the key stays claimed, which is safe.
 func (s *Server) release(key string, id models.RequestID) {
 	task.Start(context.Background(), "release", func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
--- a/api/client.go
+++ b/api/client.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// askTimeout is longer than a daemon takes for any command.
+// askTimeout exceeds the time that a daemon takes for any command.
 const askTimeout = changeTimeout + inForceTimeout + 2*time.Second
 
-// Ask sends an operator's commands to the daemon at the address. Its error
-// means that no daemon answered; the answer tells of everything else.
+// Ask sends an operator's commands to the daemon at the address. It returns an error only if no
+// daemon answered; all other errors are in the answer.
 func Ask(ctx context.Context, admin netip.AddrPort, token, text string, opts AskOptions) (AskAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
--- a/api/errors.go
+++ b/api/errors.go
@@ -1,6 +1,5 @@
-// Package api serves HTTP: to callers an OpenAI-style interface and the
-// plain services, to operators their language, to the platform probes and
-// metrics.
+// Package api serves HTTP: an OpenAI-compatible API and the plain services to callers, the
+// command language to operators, and probes and metrics to the platform.
 package api
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/lupinkeel/lupinkeel/router"
 )
 
-// Headers of answers to callers.
+// Headers of responses to callers.
 const (
 	HeaderRequest   = "Lupinkeel-Request"
 	HeaderGroup     = "Lupinkeel-Group"
@@ -25,11 +24,11 @@
 	HeaderDomain    = "Lupinkeel-Domain"
 	HeaderVersion   = "Lupinkeel-Version"
 	HeaderDaemon    = "Lupinkeel-Daemon"
-	// HeaderEnd is not-run or may-have-run on an answer that is an error.
+	// HeaderEnd is not-run or may-have-run on an error response.
 	HeaderEnd = "Lupinkeel-End"
 )
 
-// Reasons for which a request is refused before it is routed.
+// Errors of requests, which callers and operators get.
 var (
 	ErrBadBody        = errors.New("bad request body")
 	ErrBodyTooLong    = errors.New("request body too long")
@@ -40,26 +39,25 @@
 	ErrUpstreamFailed = errors.New("the upstream failed")
 	// ErrKeyInUse: a request with this key was sent before.
 	ErrKeyInUse = errors.New("a request with this idempotency key may have run already")
-	// ErrNoClaim: the log can't record the key now.
+	// ErrKeyNotRecorded: the log can't record the key now.
 	ErrKeyNotRecorded = errors.New("the idempotency key can't be recorded now")
 )
 
-// retrySoon is when a caller should come back after something that passes.
+// shortRetryAfter is when a caller should retry after a transient error.
 const shortRetryAfter = time.Second
 
-// problem is how an error looks to a caller.
+// errorClass is how a class of errors is reported to callers.
 type errorClass struct {
 	status  int
 	errType string
 	code    string
-	// retry is when to come back; 0 if that would not help.
+	// retryAfter is when to retry; 0 if a retry would not help.
 	retryAfter time.Duration
 }
 
-// problems maps sentinels to what callers see; the first that matches
-// counts.
+// errorClasses maps sentinel errors to classes; the first match applies.
 var errorClasses = []struct {
-	is error
+	target error
 	errorClass
 }{
 	{ErrBodyTooLong, errorClass{http.StatusRequestEntityTooLarge, "invalid_request_error", "body_too_long", 0}},
@@ -83,14 +81,14 @@
 
 func classify(err error) errorClass {
 	for _, p := range errorClasses {
-		if errors.Is(err, p.is) {
+		if errors.Is(err, p.target) {
 			return p.errorClass
 		}
 	}
 	return errorClass{http.StatusInternalServerError, "api_error", "internal", 0}
 }
 
-// errorBody is the OpenAI-style form of an error.
+// errorBody is an OpenAI-compatible error response.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -107,8 +105,8 @@
 	return errorDetail{Message: err.Error(), Type: p.errType, Code: p.code, End: end}
 }
 
-// writeProblem answers with an error. end tells whether the request may have
-// been run; it is empty for calls that run nothing.
+// writeError sends an error response. end tells whether the request may have run; it is empty for
+// calls that run nothing.
 func writeError(w http.ResponseWriter, err error, end router.End) {
 	p := classify(err)
 	if p.retryAfter > 0 {
@@ -123,6 +121,6 @@
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller has gone if this fails; there is nobody left to tell.
+	// An error here means that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(value)
 }
--- a/api/exchange.go
+++ b/api/exchange.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// maxTries is how often one request is sent at most.
-	maxTriesPerRequest  = 3
+	// maxTries is the maximum number of attempts for one request.
+	maxTries            = 3
 	maxBufferedResponse = 16 << 20
 	maxPriority         = 9
 	cancelTimeout       = time.Second
 )
 
-// exchange is one caller's request on its way through the daemon.
+// exchange is the processing of one caller's request.
 type exchange struct {
 	s          *Server
 	w          http.ResponseWriter
@@ -33,21 +33,20 @@
 	priority   int
 	started    time.Time
 	triedAddrs []netip.AddrPort
-	// key is the hash of workspace and idempotency key; empty without one.
+	// keyHash is the hash of workspace and idempotency key; empty without a key.
 	keyHash    string
 	keyClaimed bool
-	// entry is what the trail tells of the request.
+	// entry is the request's entry on the trail.
 	entry models.TrailEntry
-	// choose picks the upstream of the next try, none of those to avoid.
+	// chooseTarget picks the upstream of the next attempt, excluding the addresses to avoid.
 	chooseTarget func(now time.Time, avoid []netip.AddrPort) (router.Target, error)
-	// call makes the try at the target.
+	// newCall returns the call of an attempt at the target.
 	newCall func(router.Target) upstream.Call
-	// answer passes an upstream's answer on. It returns an error for an
-	// answer that is not whole.
+	// forward forwards an upstream's response. It returns an error for an incomplete response.
 	forward func(context.Context, router.Target, *upstream.Answer) error
 }
 
-// run sends the request until it has its end.
+// run processes the request to its end.
 func (e *exchange) run(ctx context.Context) {
 	err := e.claim(ctx)
 	if err == nil {
@@ -69,15 +68,15 @@
 	switch {
 	case err == nil:
 	case responseStarted:
-		// The head has gone out, so only a broken connection tells the
-		// caller that the answer is not whole.
+		// The header has been sent, so only an aborted connection tells the caller that the
+		// response is incomplete.
 		panic(http.ErrAbortHandler)
 	default:
 		writeError(e.w, err, end)
 	}
 }
 
-// note puts the request's end on the trail.
+// recordEnd records the end of the request on the trail.
 func (e *exchange) recordEnd(end router.End, err error) {
 	e.entry.End, e.entry.Tries, e.entry.Took = string(end), e.req.Tries(), time.Since(e.started)
 	if err != nil {
@@ -86,18 +85,17 @@
 	e.s.daemon.RecordTrail(e.entry)
 }
 
-// noteTarget puts on the trail where the request is about to be sent.
+// recordTarget records on the trail where the request is about to be sent.
 func (e *exchange) recordTarget(t router.Target) {
 	e.entry.Group, e.entry.Version, e.entry.Instances = t.Group.ID, t.Group.Version, t.Instances
 	e.entry.Zone, e.entry.Domain = t.Zone, t.Domain
 	e.s.daemon.RecordTrail(e.entry)
 }
 
-// tryAll makes one try after another while that is allowed, and returns the
-// error of the last.
+// tryAll makes attempts while retries are allowed, and returns the last error.
 func (e *exchange) tryAll(ctx context.Context) error {
 	var lastErr error
-	for e.req.MayRetry() && e.req.Tries() < maxTriesPerRequest && ctx.Err() == nil {
+	for e.req.MayRetry() && e.req.Tries() < maxTries && ctx.Err() == nil {
 		target, err := e.pickTarget(time.Now())
 		if err != nil {
 			return errors.Join(err, lastErr)
@@ -118,8 +116,8 @@
 	return fmt.Errorf("%w: %w", ErrUpstreamFailed, lastErr)
 }
 
-// pick chooses the upstream of the next try. Suspects are asked only if
-// nothing else is there.
+// pickTarget chooses the upstream of the next attempt. Suspected upstreams are used only if there
+// is no other.
 func (e *exchange) pickTarget(now time.Time) (router.Target, error) {
 	suspects := e.s.suspects.List(now)
 	if len(suspects) == 0 {
@@ -132,7 +130,7 @@
 	return target, err
 }
 
-// judge notes whether the upstream of a try serves.
+// recordHealth records whether the upstream of an attempt serves.
 func (e *exchange) recordHealth(ctx context.Context, target router.Target, err error) {
 	switch {
 	case err == nil:
@@ -143,7 +141,7 @@
 	}
 }
 
-// try sends the request to one upstream and passes its answer on.
+// try sends the request to one upstream and forwards the response.
 func (e *exchange) try(ctx context.Context, target router.Target) error {
 	e.triedAddrs = append(e.triedAddrs, target.Addr)
 	e.s.inFlight.startTry(target.Addr)
@@ -166,8 +164,8 @@
 	return err
 }
 
-// writeHead writes the place where the request ran and the answer's head,
-// and notes that the answer has begun.
+// writeHeader sends the response header, with where the request ran, and marks the response as
+// started.
 func (e *exchange) writeHeader(target router.Target, resp *upstream.Answer) error {
 	if err := e.req.Answer(); err != nil {
 		return err
--- a/api/inflight.go
+++ b/api/inflight.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// flights counts the requests in flight, for the choice of upstreams and for
-// a planned stop.
+// inFlightCounter counts the requests in flight, for choosing upstreams and for draining at
+// shutdown.
 type inFlightCounter struct {
 	mu          sync.Mutex
 	stopping    bool
 	total       int
 	triesByAddr map[netip.AddrPort]int
-	// quiet is closed when a stop was asked for and nothing is in flight.
+	// drained is closed when draining has begun and no request is in flight.
 	drained chan struct{}
 }
 
@@ -21,8 +21,7 @@
 	return &inFlightCounter{triesByAddr: map[netip.AddrPort]int{}, drained: make(chan struct{})}
 }
 
-// begin counts a request in; it returns ErrStopping once a stop was asked
-// for.
+// begin counts a new request. It returns ErrStopping once draining has begun.
 func (f *inFlightCounter) begin() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,7 +45,7 @@
 	}
 }
 
-// take and give count the tries at one upstream.
+// startTry and endTry count the attempts in flight at one upstream.
 func (f *inFlightCounter) startTry(addr netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,8 +72,7 @@
 	return f.total
 }
 
-// drain refuses new requests and waits until none is in flight or the
-// context ends.
+// drain rejects new requests and waits until none is in flight or the context ends.
 func (f *inFlightCounter) drain(ctx context.Context) {
 	f.mu.Lock()
 	if !f.stopping {
--- a/api/operators.go
+++ b/api/operators.go
@@ -19,68 +19,67 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// AskAnswer is what an operator's command gives.
+// AskAnswer is the result of an operator's commands.
 type AskAnswer struct {
 	query.Answer
-	// Change is set for a command that changes something.
+	// Change is set for commands that change the configuration.
 	Change *ChangeResult `json:"change,omitempty"`
-	// Error is set for a command that could not be carried out.
+	// Error is set if the commands could not be carried out.
 	Error *errorDetail `json:"error,omitempty"`
 }
 
-// ChangeResult tells what became of a change.
+// ChangeResult is the result of a change.
 type ChangeResult struct {
 	Result ChangeOutcome `json:"result"`
 	Reason string        `json:"reason,omitempty"`
 	Offset models.Offset `json:"offset,omitempty"`
-	// InForce of Of daemons of the roster have the change in force.
+	// InForce is on how many of the Of daemons of the roster the change is in force.
 	InForce int `json:"in_force"`
 	Of      int `json:"of"`
-	// RetryAfterMS is when to try a refused change again, 0 if that would
-	// not help.
+	// RetryAfterMS is when to retry a refused change, in milliseconds; 0 if a retry would not
+	// help.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
-// ChangeEnd is what became of a change.
+// ChangeOutcome is the outcome of a change.
 type ChangeOutcome string
 
-// The ends of a change.
+// Outcomes of a change.
 const (
-	// ChangeAccepted: a majority of the daemons has it in force, and it
-	// will never revert.
+	// ChangeAccepted: the change is in force on a majority of the daemons and will never revert.
 	ChangeAccepted ChangeOutcome = "accepted"
-	// ChangeRecorded: the change is agreed, but not known to be in force on
-	// a majority of the daemons yet.
+	// ChangeRecorded: the change is agreed, but not yet known to be in force on a majority of the
+	// daemons.
 	ChangeRecorded ChangeOutcome = "recorded"
 	// ChangeRefused: the change did not and will not take effect.
 	ChangeRefused ChangeOutcome = "refused"
-	// ChangeUnknown: the change may take effect; show audit tells.
+	// ChangeUnknown: the change may take effect; the command "show audit" tells whether it did.
 	ChangeUnknown ChangeOutcome = "unknown"
-	// ChangeWouldRefuse: the change would be refused now.
+	// ChangeWouldRefuse: the previewed change would be refused now.
 	ChangeWouldRefuse ChangeOutcome = "would-be-refused"
-	// ChangePlanned: the change would be accepted now.
+	// ChangePlanned: the previewed change would be accepted now.
 	ChangePlanned ChangeOutcome = "planned"
 )
 
 const (
 	// changeTimeout bounds how long an operator waits for a change.
 	changeTimeout = 8 * time.Second
-	// forceTimeout bounds how long of this a majority, or all daemons, are
-	// waited for.
+	// inForceTimeout bounds the part of that wait in which the change comes into force on a
+	// majority of, or all, daemons.
 	inForceTimeout = 3 * time.Second
 )
 
-// AskOptions say how commands are to be carried out.
+// AskOptions are options of the commands.
 type AskOptions struct {
 	// WaitAll waits until a change is in force on every daemon.
 	WaitAll bool
-	// Diff tells what changes would do instead of making them.
+	// Diff shows what changes would do instead of making them.
 	Diff bool
-	// Prune removes what the changes do not set.
+	// Prune removes configuration that the changes do not set.
 	Prune bool
 }
 
-// The query parameters of a call, which are true or not there.
+// Query parameters; each is "true" or absent.
 const (
 	paramWaitAll = "wait_all"
 	paramDiff    = "diff"
@@ -88,8 +87,8 @@
 )
 
 func readAskOptions(q url.Values) AskOptions {
-	on := func(name string) bool { return q.Get(name) == "true" }
-	return AskOptions{WaitAll: on(paramWaitAll), Diff: on(paramDiff), Prune: on(paramPrune)}
+	isSet := func(name string) bool { return q.Get(name) == "true" }
+	return AskOptions{WaitAll: isSet(paramWaitAll), Diff: isSet(paramDiff), Prune: isSet(paramPrune)}
 }
 
 func (o AskOptions) values() url.Values {
@@ -102,7 +101,7 @@
 	return q
 }
 
-// serveAsk carries out commands.
+// serveAsk runs an operator's commands.
 func (s *Server) serveAsk(w http.ResponseWriter, r *http.Request) {
 	view := s.daemon.View()
 	operator, err := authenticateOperator(view.State, s.cfg.BootstrapToken, r)
@@ -154,7 +153,7 @@
 	}
 }
 
-// asker carries out one operator's commands on one view.
+// commandRunner runs one operator's commands on one view.
 type commandRunner struct {
 	s        *Server
 	view     *daemon.View
@@ -163,10 +162,10 @@
 	opts     AskOptions
 }
 
-// errMixed is returned for commands that can't be carried out together.
+// errMixed is returned for commands that can't run together.
 var errMixed = errors.New("changes and questions can't be mixed, and only one question or plan is answered at a time")
 
-func (a commandRunner) run(ctx context.Context, commands []*query.Command) (AskAnswer, error) {
+func (cr commandRunner) run(ctx context.Context, commands []*query.Command) (AskAnswer, error) {
 	var changes []*query.Change
 	for _, c := range commands {
 		if c.Change != nil {
@@ -176,83 +175,83 @@
 	switch {
 	case len(commands) == 0:
 		return AskAnswer{}, fmt.Errorf("%w: there is no command", ErrBadBody)
-	case len(changes) == len(commands) && a.opts.Diff:
-		return a.preview(changes)
+	case len(changes) == len(commands) && cr.opts.Diff:
+		return cr.preview(changes)
 	case len(changes) == len(commands):
-		return a.change(ctx, changes)
+		return cr.change(ctx, changes)
 	case len(commands) > 1:
 		return AskAnswer{}, errMixed
 	case commands[0].Plan != nil:
-		return a.preview([]*query.Change{commands[0].Plan})
+		return cr.preview([]*query.Change{commands[0].Plan})
 	case commands[0].Where != nil:
-		return a.where(ctx, commands[0].Where.Request)
+		return cr.whereRequest(ctx, commands[0].Where.Request)
 	case commands[0].Why != nil && commands[0].Why.What == "request":
-		return a.whyRequest(ctx, commands[0].Why.Name)
+		return cr.whyRequest(ctx, commands[0].Why.Name)
 	default:
-		answer, err := query.Ask(a.facts(), commands[0])
+		answer, err := query.Ask(cr.facts(), commands[0])
 		return AskAnswer{Answer: answer}, err
 	}
 }
 
-func (a commandRunner) facts() query.Facts {
+func (cr commandRunner) facts() query.Facts {
 	now := time.Now()
 	f := query.Facts{
-		Now: now, Self: a.s.cfg.ID, State: a.view.State, Instances: a.view.Instances,
-		Evidence: a.view.Evidence, Gates: a.view.Table.Gates,
-		Rules: planner.DefaultRules(a.s.cfg.ReplaceAfter, a.s.cfg.GateBound),
+		Now: now, Self: cr.s.cfg.ID, State: cr.view.State, Instances: cr.view.Instances,
+		Evidence: cr.view.Evidence, Gates: cr.view.Table.Gates,
+		Rules: planner.DefaultRules(cr.s.cfg.ReplaceAfter, cr.s.cfg.GateBound),
 	}
-	own := a.s.daemon.Status(now)
-	_, listed := a.view.State.Daemons[own.ID]
+	own := cr.s.daemon.Status(now)
+	_, listed := cr.view.State.Daemons[own.ID]
 	f.Daemons = append(f.Daemons, query.Daemon{Status: own, OnRoster: listed})
-	for _, p := range a.view.Peers {
+	for _, p := range cr.view.Peers {
 		f.Daemons = append(f.Daemons, query.Daemon{Status: p.Status, Age: now.Sub(p.Seen), OnRoster: p.OnRoster})
 	}
 	return f
 }
 
-// findWithin bounds the search of the log for a request.
+// findTimeout bounds the search of the log for a request.
 const findTimeout = 5 * time.Second
 
-func (a commandRunner) findRequest(ctx context.Context, id string) (models.TrailEntry, error) {
+func (cr commandRunner) findRequest(ctx context.Context, id string) (models.TrailEntry, error) {
 	ctx, cancel := context.WithTimeout(ctx, findTimeout)
 	defer cancel()
-	entry, found, err := a.s.daemon.FindTrail(ctx, models.RequestID(id))
+	entry, found, err := cr.s.daemon.FindTrail(ctx, models.RequestID(id))
 	if err == nil && !found {
 		err = fmt.Errorf("%w: request %q is not on the trail (any more)", query.ErrNotFound, id)
 	}
 	return entry, err
 }
 
-// where tells where a request ran.
-func (a commandRunner) where(ctx context.Context, id string) (AskAnswer, error) {
-	entry, err := a.findRequest(ctx, id)
+// whereRequest answers where a request ran.
+func (cr commandRunner) whereRequest(ctx context.Context, id string) (AskAnswer, error) {
+	entry, err := cr.findRequest(ctx, id)
 	if err != nil {
 		return AskAnswer{}, err
 	}
 	return AskAnswer{Answer: query.WhereRequest(entry)}, nil
 }
 
-// whyRequest tells in a sentence why a request ended as it did.
-func (a commandRunner) whyRequest(ctx context.Context, id string) (AskAnswer, error) {
-	entry, err := a.findRequest(ctx, id)
+// whyRequest answers in one sentence why a request ended as it did.
+func (cr commandRunner) whyRequest(ctx context.Context, id string) (AskAnswer, error) {
+	entry, err := cr.findRequest(ctx, id)
 	if err != nil {
 		return AskAnswer{}, err
 	}
 	return AskAnswer{Answer: query.WhyRequest(entry)}, nil
 }
 
-func (a commandRunner) compile(changes []*query.Change) (state.ChangeConfig, error) {
-	if a.operator.Right != models.RightChange {
+func (cr commandRunner) compile(changes []*query.Change) (state.ChangeConfig, error) {
+	if cr.operator.Right != models.RightChange {
 		return state.ChangeConfig{}, ErrReadOnly
 	}
-	if a.opts.Prune {
-		changes = append(changes, query.Prune(a.view.State, changes)...)
+	if cr.opts.Prune {
+		changes = append(changes, query.Prune(cr.view.State, changes)...)
 	}
-	ops, err := query.Compile(a.view.State, changes)
+	ops, err := query.Compile(cr.view.State, changes)
 	if err != nil {
 		return state.ChangeConfig{}, err
 	}
-	ops = query.Effective(a.view.State, ops)
+	ops = query.Effective(cr.view.State, ops)
 	var notes []string
 	for _, c := range changes {
 		if c.Note != "" {
@@ -260,78 +259,77 @@
 		}
 	}
 	return state.ChangeConfig{
-		Operator: a.operator.Name, Note: strings.Join(notes, "; "), Text: strings.TrimSpace(a.text), Ops: ops,
+		Operator: cr.operator.Name, Note: strings.Join(notes, "; "), Text: strings.TrimSpace(cr.text), Ops: ops,
 	}, nil
 }
 
-// preview tells what a change would do, without making it.
-func (a commandRunner) preview(changes []*query.Change) (AskAnswer, error) {
-	change, err := a.compile(changes)
+// preview answers what a change would do, without making it.
+func (cr commandRunner) preview(changes []*query.Change) (AskAnswer, error) {
+	change, err := cr.compile(changes)
 	if err != nil {
 		return AskAnswer{}, err
 	}
 	if len(change.Ops) == 0 {
-		return a.unchanged(), nil
+		return cr.unchanged(), nil
 	}
-	next, err := a.view.State.Preview(change.Ops)
+	next, err := cr.view.State.Preview(change.Ops)
 	if err != nil {
 		return AskAnswer{Change: &ChangeResult{Result: ChangeWouldRefuse, Reason: err.Error()}}, nil
 	}
-	answer := query.Preview(a.facts(), next)
-	answer.Text = query.Diff(a.view.State, next)
-	return AskAnswer{Answer: answer, Change: &ChangeResult{Result: ChangePlanned, Of: len(a.view.State.Daemons)}}, nil
+	answer := query.Preview(cr.facts(), next)
+	answer.Text = query.Diff(cr.view.State, next)
+	return AskAnswer{Answer: answer, Change: &ChangeResult{Result: ChangePlanned, Of: len(cr.view.State.Daemons)}}, nil
 }
 
-// nothing answers changes that leave everything as it is.
-func (a commandRunner) unchanged() AskAnswer {
-	offset := a.view.State.ConfigOffset
-	have, of := a.view.InForce(a.s.cfg.ID, offset)
+// unchanged returns the answer to changes that have no effect.
+func (cr commandRunner) unchanged() AskAnswer {
+	offset := cr.view.State.ConfigOffset
+	inForce, total := cr.view.InForce(cr.s.cfg.ID, offset)
 	return AskAnswer{
 		Answer: query.Answer{Text: "Nothing to change."},
-		Change: &ChangeResult{Result: ChangeAccepted, Offset: offset, InForce: have, Of: of},
+		Change: &ChangeResult{Result: ChangeAccepted, Offset: offset, InForce: inForce, Of: total},
 	}
 }
 
-// change makes a change and tells on how many daemons it is in force.
-func (a commandRunner) change(ctx context.Context, changes []*query.Change) (AskAnswer, error) {
-	change, err := a.compile(changes)
+// change makes a change and answers on how many daemons it is in force.
+func (cr commandRunner) change(ctx context.Context, changes []*query.Change) (AskAnswer, error) {
+	change, err := cr.compile(changes)
 	if err != nil {
 		return AskAnswer{}, err
 	}
 	if len(change.Ops) == 0 {
-		return a.unchanged(), nil
+		return cr.unchanged(), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	outcome, err := a.s.daemon.Propose(ctx, change)
+	outcome, err := cr.s.daemon.Propose(ctx, change)
 	switch {
 	case errors.Is(err, daemon.ErrLogUnavailable):
 		return AskAnswer{Change: &ChangeResult{Result: ChangeRefused, Reason: err.Error(), RetryAfterMS: logRetryAfter.Milliseconds()}}, nil
 	case err != nil:
 		return AskAnswer{Change: &ChangeResult{Result: ChangeUnknown, Reason: err.Error() + "; show audit tells whether it took effect"}}, nil
 	case outcome.Refused != nil:
-		return AskAnswer{Change: &ChangeResult{Result: ChangeRefused, Offset: outcome.Offset, Reason: a.refusalReason(ctx, outcome)}}, nil
+		return AskAnswer{Change: &ChangeResult{Result: ChangeRefused, Offset: outcome.Offset, Reason: cr.refusalReason(ctx, outcome)}}, nil
 	}
-	return AskAnswer{Change: a.waitInForce(ctx, outcome.Offset)}, nil
+	return AskAnswer{Change: cr.waitInForce(ctx, outcome.Offset)}, nil
 }
 
-// retryLog is when to try a change again that met an outage of the log.
+// logRetryAfter is when to retry what failed because the log was unavailable.
 const logRetryAfter = 5 * time.Second
 
 const (
-	// viewWithin bounds the wait for the state to show an offset that the
-	// daemon has folded: views come ten times a second.
+	// viewTimeout bounds the wait until the view includes an offset that the daemon has applied.
+	// Views are published ten times a second.
 	viewTimeout      = 500 * time.Millisecond
 	viewPollInterval = 10 * time.Millisecond
 )
 
-// stateAt returns the state as soon as it shows the offset, or what there is
-// in time.
-func (a commandRunner) stateAt(ctx context.Context, offset models.Offset) *state.State {
+// stateAt returns the state once it includes the offset, or the latest state at the timeout.
+func (cr commandRunner) stateAt(ctx context.Context, offset models.Offset) *state.State {
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
 	for {
-		s := a.s.daemon.View().State
+		s := cr.s.daemon.View().State
 		if s.Applied >= offset {
 			return s
 		}
@@ -343,14 +341,15 @@
 	}
 }
 
-// explain tells a loser which change it lost to.
-func (a commandRunner) refusalReason(ctx context.Context, outcome state.Outcome) string {
+// refusalReason returns why a change was refused; for a conflict it names the change that came
+// first.
+func (cr commandRunner) refusalReason(ctx context.Context, outcome state.Outcome) string {
 	reason := outcome.Refused.Error()
 	var conflict *state.Conflict
 	if !errors.As(outcome.Refused, &conflict) {
 		return reason
 	}
-	for _, e := range slices.Backward(a.stateAt(ctx, conflict.Present).Audit) {
+	for _, e := range slices.Backward(cr.stateAt(ctx, conflict.Present).Audit) {
 		if e.Offset == conflict.Present {
 			return fmt.Sprintf("%s; revision %d was made by %s through %s: %s", reason, e.Offset, e.Operator, e.Daemon, e.Change)
 		}
@@ -358,18 +357,18 @@
 	return reason
 }
 
-func (a commandRunner) waitInForce(ctx context.Context, offset models.Offset) *ChangeResult {
+func (cr commandRunner) waitInForce(ctx context.Context, offset models.Offset) *ChangeResult {
 	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
-	enough := func(have, of int) bool {
-		if a.opts.WaitAll {
-			return have == of && of > 0
+	enough := func(inForce, total int) bool {
+		if cr.opts.WaitAll {
+			return inForce == total && total > 0
 		}
-		return have > of/2
+		return inForce > total/2
 	}
-	have, of := a.s.daemon.WaitInForce(ctx, offset, enough)
-	result := &ChangeResult{Result: ChangeRecorded, Offset: offset, InForce: have, Of: of}
-	if have > of/2 {
+	inForce, total := cr.s.daemon.WaitInForce(ctx, offset, enough)
+	result := &ChangeResult{Result: ChangeRecorded, Offset: offset, InForce: inForce, Of: total}
+	if inForce > total/2 {
 		result.Result = ChangeAccepted
 	}
 	return result
--- a/api/options.go
+++ b/api/options.go
@@ -9,7 +9,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// settings are what a caller says of its request.
+// requestOptions are the options that a caller sets for a request.
 type requestOptions struct {
 	repeatable bool
 	priority   int
@@ -17,10 +17,10 @@
 	key        string
 }
 
-// maxKey is the longest idempotency key, in bytes.
+// maxKeyLen is the maximum length of an idempotency key in bytes.
 const maxKeyLen = 256
 
-// keyIn is the hash of a workspace's key; empty without a key.
+// keyHash returns the hash of the workspace and the key; empty without a key.
 func (s requestOptions) keyHash(w models.WorkspaceName) string {
 	if s.key == "" {
 		return ""
--- a/api/server.go
+++ b/api/server.go
@@ -23,14 +23,14 @@
 
 const (
 	readHeaderTimeout = 10 * time.Second
-	// stopNotice is how long a stopping daemon still takes requests after
-	// it says that it is not ready, so that the balancer sees it first.
+	// notReadyDelay is how long a stopping daemon accepts requests after its readiness probe
+	// fails, so that the load balancer stops sending first.
 	notReadyDelay = 2 * time.Second
-	// closeGrace bounds how long connections are given to close.
+	// closeTimeout bounds how long connections have to close.
 	closeTimeout = time.Second
 )
 
-// Server serves one daemon's callers and operators.
+// Server serves the callers and operators of one daemon.
 type Server struct {
 	cfg       config.Serve
 	log       zerolog.Logger
@@ -49,7 +49,7 @@
 	adminListener  net.Listener
 }
 
-// stats are the metrics of requests.
+// stats holds the metrics of requests.
 type stats struct {
 	byEnd      map[router.End]*metrics.Counter
 	refused    *metrics.Counter
@@ -71,7 +71,7 @@
 	return s
 }
 
-// New makes a server and binds its addresses.
+// New creates a server and binds its addresses.
 func New(cfg config.Serve, log zerolog.Logger, d *daemon.Daemon) (*Server, error) {
 	s := &Server{
 		cfg: cfg, log: log.With().Str("daemon", string(cfg.ID)).Logger(), daemon: d,
@@ -89,10 +89,10 @@
 	return s, nil
 }
 
-// Addr is where callers come.
+// Addr returns the address for callers.
 func (s *Server) Addr() netip.AddrPort { return addrOf(s.callerListener) }
 
-// AdminAddr is where operators come.
+// AdminAddr returns the address for operators.
 func (s *Server) AdminAddr() netip.AddrPort { return addrOf(s.adminListener) }
 
 func addrOf(l net.Listener) netip.AddrPort {
@@ -100,9 +100,8 @@
 	return netip.AddrPortFrom(bound.Addr().Unmap(), bound.Port())
 }
 
-// Run serves until the context ends. Then it stops as planned: it says that
-// it is not ready, later takes no new requests, and lets those in flight
-// end.
+// Run serves until the context ends, and then shuts down gracefully: it fails the readiness
+// probe, after a delay rejects new requests, and drains the requests in flight.
 func (s *Server) Run(ctx context.Context) error {
 	callers := &http.Server{Handler: s.callerRoutes(), ReadHeaderTimeout: readHeaderTimeout}
 	admin := &http.Server{Handler: s.adminRoutes(), ReadHeaderTimeout: readHeaderTimeout}
@@ -113,14 +112,14 @@
 	}
 	err := task.WaitAny(ctx, tasks...)
 	if err == nil {
-		s.stop(background)
+		s.shutdown(background)
 	}
 	closeServer(background, callers)
 	closeServer(background, admin)
 	return errors.Join(err, task.Wait(tasks...))
 }
 
-func (s *Server) stop(ctx context.Context) {
+func (s *Server) shutdown(ctx context.Context) {
 	s.log.Info().Int("in-flight", s.inFlight.count()).Msg("stop-begun")
 	s.stopping.Store(true)
 	if s.cfg.StopGrace > 0 {
@@ -166,7 +165,7 @@
 	return mux
 }
 
-// serveReady tells the balancer whether to send requests here.
+// serveReady answers the readiness probe of the load balancer.
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case s.stopping.Load():
--- a/api/service.go
+++ b/api/service.go
@@ -10,8 +10,8 @@
 	"github.com/lupinkeel/lupinkeel/worker/upstream"
 )
 
-// serveService passes a call to a plain service on. Only methods that
-// change nothing count as repeatable unless the caller says otherwise.
+// serveService forwards a call to a plain service. Only safe methods (GET, HEAD) count as
+// repeatable unless the caller says otherwise.
 func (s *Server) serveService(w http.ResponseWriter, r *http.Request) {
 	safeMethod := r.Method == http.MethodGet || r.Method == http.MethodHead
 	e, ctx, finish := s.beginExchange(w, r, safeMethod)
@@ -38,7 +38,7 @@
 	e.run(ctx)
 }
 
-// passOn picks the headers that an upstream gets to see.
+// forwardedHeaders returns the headers that are forwarded to an upstream.
 func forwardedHeaders(h http.Header) http.Header {
 	out := http.Header{}
 	for _, name := range []string{"Content-Type", "Accept", "Accept-Language"} {
