--- a/lib/dial/dial.go
+++ b/lib/dial/dial.go
@@ -1,5 +1,5 @@
-// Package dial makes the connections of a process: they leave from an
-// address of its own, as the settings say, and their bytes are counted.
+// Package dial makes outgoing connections from a configured source address and counts their
+// bytes.
 package dial
 
 import (
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// Timeout bounds how long a connection may take to be made.
+// Timeout bounds the making of a connection.
 const Timeout = time.Second
 
-// Count is told how many bytes have passed.
+// CountFunc is called with the number of bytes sent and received by each read or write.
 type CountFunc func(sent, received int)
 
-// Dialer makes connections. The zero value lets the system choose the
-// address and counts nothing.
+// Dialer makes connections. The zero value lets the system choose the source address and counts
+// nothing.
 type Dialer struct {
-	// Source is where connections leave from, if valid.
+	// Source is the source address of connections, if valid.
 	Source netip.Addr
-	// Count, if set, is told of the bytes of all connections.
+	// Count, if set, counts the bytes of all connections.
 	Count CountFunc
 }
 
-// DialContext connects as net.Dialer does.
+// DialContext connects like net.Dialer.DialContext.
 func (d Dialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: Timeout}
 	if d.Source.IsValid() {
@@ -37,7 +37,7 @@
 	return WithCount(conn, d.Count), nil
 }
 
-// Counted returns the connection with its bytes counted.
+// WithCount returns the connection with its bytes counted by count.
 func WithCount(conn net.Conn, count CountFunc) net.Conn {
 	if count == nil {
 		return conn
--- a/lib/frame/packed.go
+++ b/lib/frame/compress.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// packed marks the kind of a frame whose body is compressed (DEFLATE).
+	// compressedFlag marks the kind of a frame whose value is compressed with DEFLATE.
 	compressedFlag Kind = 0x80
-	// packFrom is the shortest body that is compressed, in bytes. Shorter ones
-	// come out about as long.
+	// minCompressLen is the minimum length of a value that is compressed, in bytes. Shorter
+	// values barely shrink.
 	minCompressLen = 512
-	// packLevel is the fastest level but one: 640 KB in 3 ms to 86 KB, where the
-	// fastest takes 4 ms to 89 KB and level 6 takes 10 ms to 77 KB.
+	// compressionLevel is the second fastest level: it compresses 640 KB to 86 KB in 3 ms, while
+	// the fastest needs 4 ms for 89 KB and level 6 needs 10 ms for 77 KB.
 	compressionLevel = 2
 )
 
 var (
-	writers = sync.Pool{New: func() any {
+	flateWriters = sync.Pool{New: func() any {
 		w, err := flate.NewWriter(io.Discard, compressionLevel)
 		if err != nil {
-			panic(err) // packLevel is not a level of the package.
+			panic(err) // compressionLevel is not a valid level.
 		}
 		return w
 	}}
-	readers = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
+	flateReaders = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
 )
 
-// Packed is the frame compressed, for those who read that, or the frame itself
-// if that is no longer.
+// Packed returns the frame compressed, for peers that can read compressed frames, or the frame
+// itself if compression does not make it shorter.
 func (f Frame) Packed() Frame {
 	body := f.Bytes[headerLen:]
 	if len(body) < minCompressLen {
@@ -41,12 +41,12 @@
 	}
 	var buf bytes.Buffer
 	buf.Write(make([]byte, headerLen))
-	w := writers.Get().(*flate.Writer)
-	defer writers.Put(w)
+	w := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(w)
 	w.Reset(&buf)
 	_, err := w.Write(body)
 	if err := errors.Join(err, w.Close()); err != nil {
-		panic(err) // A buffer takes everything.
+		panic(err) // Writes to a buffer do not fail.
 	}
 	if buf.Len() >= len(f.Bytes) {
 		return f
@@ -57,10 +57,10 @@
 	return Frame{Kind: f.Kind, Bytes: out}
 }
 
-// unpack is the body of a compressed frame as it was.
+// decompress returns the decompressed value of a frame.
 func decompress(body []byte) ([]byte, error) {
-	r := readers.Get().(io.ReadCloser)
-	defer readers.Put(r)
+	r := flateReaders.Get().(io.ReadCloser)
+	defer flateReaders.Put(r)
 	if err := r.(flate.Resetter).Reset(bytes.NewReader(body), nil); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrFormat, err)
 	}
@@ -70,7 +70,7 @@
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrFormat, err)
 	case n > MaxLen:
-		return nil, fmt.Errorf("%w: more than %d bytes when unpacked", ErrTooLong, MaxLen)
+		return nil, fmt.Errorf("%w: more than %d bytes when decompressed", ErrTooLong, MaxLen)
 	}
 	return out.Bytes(), nil
 }
--- a/lib/frame/packed_test.go
+++ b/lib/frame/compress_test.go
@@ -49,7 +49,7 @@
 	c.Assert(err, qt.ErrorIs, frame.ErrTooLong)
 }
 
-// bomb is a compressed frame that holds as many zeros.
+// compressedZeros returns a compressed frame whose value is the given number of zero bytes.
 func compressedZeros(c *qt.C, zeros int) []byte {
 	buf := bytes.NewBuffer(make([]byte, 5))
 	w, err := flate.NewWriter(buf, flate.BestSpeed)
--- a/lib/frame/frame.go
+++ b/lib/frame/frame.go
@@ -1,6 +1,6 @@
-// Package frame carries msgpack values over a byte stream: each frame is a
-// four-byte big-endian length, one kind byte and the encoded value. The kind's
-// highest bit tells that the value is compressed.
+// Package frame sends msgpack values over a byte stream. Each frame is a four-byte big-endian
+// length, one kind byte and the encoded value. The highest bit of the kind marks a compressed
+// value.
 package frame
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/lupinkeel/lupinkeel/lib/pack"
 )
 
-// MaxLen is the longest frame accepted, in bytes.
+// MaxLen is the maximum length of a frame's value in bytes, encoded or decompressed.
 const MaxLen = 16 << 20
 
 const headerLen = 5
@@ -23,17 +23,17 @@
 	ErrFormat  = errors.New("malformed frame")
 )
 
-// Kind tells the reader which type a frame holds.
+// Kind identifies the type of a frame's value.
 type Kind uint8
 
-// Frame is a whole frame, ready to be written any number of times. Its bytes are
-// never changed.
+// Frame is a complete encoded frame, which may be written any number of times. Bytes is never
+// modified.
 type Frame struct {
 	Kind  Kind
 	Bytes []byte
 }
 
-// Encode makes a frame of a value.
+// Encode returns a frame with the encoded value.
 func Encode(kind Kind, value any) (Frame, error) {
 	body, err := pack.Marshal(value)
 	if err != nil {
@@ -48,8 +48,7 @@
 	return Frame{Kind: kind, Bytes: append(buf, body...)}, nil
 }
 
-// Write encodes the value and writes it as one frame. It returns how many bytes
-// were written.
+// Write encodes the value and writes it as one frame. It returns the number of bytes written.
 func Write(w io.Writer, kind Kind, value any) (int, error) {
 	f, err := Encode(kind, value)
 	if err != nil {
@@ -58,8 +57,8 @@
 	return w.Write(f.Bytes)
 }
 
-// Read reads one frame and returns its kind and its encoded value. It
-// returns io.EOF only between two frames.
+// Read reads one frame and returns its kind and its encoded value, decompressed. It returns
+// io.EOF only between two frames.
 func Read(r io.Reader) (Kind, []byte, error) {
 	var header [headerLen]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -81,7 +80,7 @@
 	return kind &^ compressedFlag, body, err
 }
 
-// Decode reads the encoded value of a frame into out.
+// Decode decodes the value of a frame into out.
 func Decode(body []byte, out any) error {
 	if err := pack.Unmarshal(body, out); err != nil {
 		return fmt.Errorf("%w: %w", ErrFormat, err)
--- a/lib/h1/body.go
+++ b/lib/h1/body.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Response is the head of an answer. Its body must be closed; one that was
-// read to its end before gives the connection back to the pool.
+// Response is the header of a response and its body, which must be closed. Closing a body that
+// was read to its end returns the connection to the pool.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   *Body
-	// Framed tells that the answer's length is known or marked, so that an
-	// end of the connection can't pass for the end of the body.
+	// Framed reports whether the length of the body is known or marked, so that a closed
+	// connection can't be mistaken for the end of the body.
 	Framed bool
 }
 
-// Body is the body of an answer.
+// Body is the body of a response.
 type Body struct {
 	c         *conn
 	r         io.ReadCloser
@@ -29,7 +29,7 @@
 	closed    bool
 }
 
-// Read reads from the body; io.EOF is its proper end.
+// Read reads from the body. It returns io.EOF only at the proper end of the body.
 func (b *Body) Read(p []byte) (int, error) {
 	n, err := b.r.Read(p)
 	switch {
@@ -41,10 +41,10 @@
 	return n, err
 }
 
-// SetPatience changes who is asked when nothing comes.
+// SetPatience replaces the Patience of the request.
 func (b *Body) SetPatience(p Patience) { b.c.stallPolicy = p }
 
-// Buffered tells how many bytes have come that are not read yet.
+// Buffered returns the number of bytes that have been received but not read.
 func (b *Body) Buffered() int { return b.c.br.Buffered() }
 
 // Discard closes the connection, which tells the upstream to stop.
@@ -57,16 +57,16 @@
 	b.c.close()
 }
 
-// Close gives the connection back to the pool if the body was read to its
-// end and nothing follows it, and closes it otherwise. Closing it once more
-// does nothing: by then the connection may be another request's.
+// Close returns the connection to the pool if the body was read to its end and nothing follows
+// it; otherwise it closes the connection. Further calls do nothing, because the connection may
+// then serve another request.
 func (b *Body) Close() error {
 	if b.closed {
 		return nil
 	}
 	b.closed = true
-	live := b.stop()
-	if !live || !b.atEOF || b.failed || !b.keepAlive || b.c.br.Buffered() > 0 {
+	active := b.stop()
+	if !active || !b.atEOF || b.failed || !b.keepAlive || b.c.br.Buffered() > 0 {
 		b.c.close()
 		return nil
 	}
--- a/lib/h1/conn.go
+++ b/lib/h1/conn.go
@@ -18,30 +18,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Patience tells how much longer to wait after a silence. Each wait for bytes
-// begins with a silence of 0.
+// Patience returns how much longer to wait for bytes, given how long none have arrived; 0 aborts
+// the request. Each wait starts with a silence of 0.
 type Patience func(silence time.Duration) time.Duration
 
-// ErrStalled is returned by reads that a Patience ended.
-var ErrStalled = errors.New("the answer stands still")
+// ErrStalled is returned by reads that a Patience aborted.
+var ErrStalled = errors.New("the response stalled")
 
 type conn struct {
 	pool *Pool
 	addr netip.AddrPort
 	nc   *net.TCPConn
 	br   *bufio.Reader
-	// rested is since when the connection is idle, idleFor how long it may
-	// stay so.
+	// idleSince is since when the connection is idle; idleTimeout is how long it may stay idle.
 	idleSince   time.Time
 	idleTimeout time.Duration
 	closed      atomic.Bool
-	// patience is that of the request under way.
+	// stallPolicy is the Patience of the current request.
 	stallPolicy Patience
 	// meter counts the connection's bytes; it may be nil.
 	meter Meter
 }
 
-// readBuffer is a connection's buffer, in bytes: a head fits in.
+// readBufferLen is the length of a connection's read buffer in bytes, large enough for a response
+// header.
 const readBufferLen = 4 << 10
 
 func newConn(p *Pool, addr netip.AddrPort, nc *net.TCPConn) *conn {
@@ -50,8 +50,7 @@
 	return c
 }
 
-// Read reads from the connection and asks the request's patience how long to
-// wait.
+// Read reads from the connection; the current request's stall policy decides how long it waits.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.readWithStallPolicy(p)
 	if c.meter != nil {
@@ -87,13 +86,13 @@
 
 func (c *conn) close() {
 	if c.closed.CompareAndSwap(false, true) {
-		// Nobody can do anything about a close that fails.
+		// There is no way to handle an error of Close.
 		_ = c.nc.Close()
 	}
 }
 
-// usable reports whether nothing has come on an idle connection: neither its
-// end nor bytes that belong to no request.
+// isReusable reports whether an idle connection has received nothing: neither its end nor bytes
+// that belong to no request.
 func (c *conn) isReusable() bool {
 	if time.Since(c.idleSince) > c.idleTimeout || c.br.Buffered() > 0 {
 		return false
@@ -112,8 +111,8 @@
 	return err == nil && empty
 }
 
-// Do sends the request and returns the head of the answer. When the context
-// ends the connection is closed, also while the body is read.
+// Do sends the request and returns the response once its header has arrived. When the context
+// ends the connection is closed, even while the body is being read.
 func (p *Pool) Do(ctx context.Context, addr netip.AddrPort, r Request) (*Response, error) {
 	c, err := p.get(ctx, addr, r.Freshest)
 	if err != nil {
@@ -148,10 +147,11 @@
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: body, Framed: framed}, nil
 }
 
-// maxDropped bounds the body of a dropped answer, in bytes.
+// maxDiscardedBody is the maximum length in bytes of the body of a discarded response.
 const maxDiscardedBody = 1 << 20
 
-// readHead reads the head of the request's final answer.
+// readHeader reads the header of the final response to the request. It skips informational (1xx)
+// responses and discards responses to other requests.
 func (c *conn) readHeader(r Request) (*http.Response, error) {
 	httpReq := &http.Request{Method: r.Method}
 	for {
@@ -171,8 +171,8 @@
 	}
 }
 
-// ErrOtherRequest tells that the answer belongs to another request.
-var ErrOtherRequest = errors.New("the answer belongs to another request")
+// ErrOtherRequest is returned if the response belongs to another request and can't be discarded.
+var ErrOtherRequest = errors.New("the response belongs to another request")
 
 func (c *conn) applyKeepAlive(h http.Header) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
--- a/lib/h1/pool.go
+++ b/lib/h1/pool.go
@@ -1,6 +1,6 @@
-// Package h1 keeps HTTP/1.1 connections to upstreams and sends one request
-// at a time on each. Unlike net/http's transport it never sends a request
-// twice, and it tells whether any byte of a request that failed was written.
+// Package h1 is a pool of HTTP/1.1 connections to upstreams that sends one request at a time on
+// each connection. Unlike net/http's transport it never sends a request twice, and it reports
+// whether any byte of a failed request was written.
 package h1
 
 import (
@@ -20,51 +20,50 @@
 var (
 	// ErrNotSent: no byte of the request was written.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrNoAnswer: the request was written, at least in part, and no head
-	// of an answer came back. It may have been run.
-	ErrNoAnswer = errors.New("the request got no answer")
+	// ErrNoAnswer: the request was written at least in part, and no response header was received.
+	// It may have run.
+	ErrNoAnswer = errors.New("no response to the request")
 )
 
 const (
-	// idleDefault is how long a connection rests in the pool when the
-	// upstream does not tell how long it keeps one.
+	// defaultIdleTimeout is how long a connection stays idle in the pool if the upstream does not
+	// announce a keep-alive timeout.
 	defaultIdleTimeout = 4 * time.Second
-	// idleMargin is how much sooner than the upstream the pool gives up a
-	// resting connection, so that a request does not cross its close.
+	// idleMargin is how much earlier than the upstream the pool closes an idle connection, so
+	// that the upstream does not close it while a request is being sent.
 	idleMargin = 300 * time.Millisecond
-	// MaxIdle is how many connections to one address rest in the pool at most.
+	// MaxIdle is the maximum number of idle connections to one address.
 	MaxIdle = 64
 )
 
-// Pool keeps idle connections, by address. The zero value is not usable; see
-// NewPool.
+// Pool keeps idle connections by address. The zero value is not usable; see NewPool.
 type Pool struct {
-	// dialTimeout bounds how long a connection may take to be made.
+	// dialTimeout bounds the making of a connection.
 	dialTimeout time.Duration
-	// opened is called for each new connection and may return what counts its
-	// bytes; it may be nil.
+	// newMeter is called for each new connection and may return a meter of its bytes; it may be
+	// nil.
 	newMeter func(netip.AddrPort) Meter
 
 	mu   sync.Mutex
 	idle map[netip.AddrPort][]*conn
-	// allowed is how many may rest to each address; nil before the first Allow.
+	// maxIdle is the maximum number of idle connections to each address; nil before the first
+	// Allow.
 	maxIdle map[netip.AddrPort]int
 }
 
-// Meter counts the bytes that go over connections. It must be safe for use by
-// several goroutines.
+// Meter counts the bytes of connections. It must be safe for concurrent use.
 type Meter interface {
 	Sent(n int)
 	Received(n int)
 }
 
-// NewPool returns an empty pool. The function opened is called for each new
-// connection and may return what counts its bytes; it may be nil.
+// NewPool returns an empty pool. The function newMeter is called for each new connection and may
+// return a meter of its bytes; it may be nil.
 func NewPool(dialTimeout time.Duration, newMeter func(netip.AddrPort) Meter) *Pool {
 	return &Pool{dialTimeout: dialTimeout, newMeter: newMeter, idle: map[netip.AddrPort][]*conn{}}
 }
 
-// take returns a connection that rested for at most freshest, or a new one.
+// get returns a connection that has been idle for at most maxIdleAge, or a new connection.
 func (p *Pool) get(ctx context.Context, addr netip.AddrPort, maxIdleAge time.Duration) (*conn, error) {
 	for {
 		c := p.pop(addr)
@@ -98,7 +97,7 @@
 	defer p.mu.Unlock()
 	limit, known := p.maxIdle[c.addr]
 	if !known {
-		// The address may have come since the last Allow.
+		// The address may be newer than the last Allow.
 		limit = MaxIdle
 	}
 	if len(p.idle[c.addr]) >= limit {
@@ -108,17 +107,16 @@
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// Allow sets how many connections may rest to each address; the next Sweep
-// closes those to others. Before the first call, and to an address that has come
-// since the last one, MaxIdle may rest.
+// Allow sets the maximum number of idle connections to each address; the next Sweep closes the
+// connections to other addresses. The maximum is MaxIdle before the first call, and for addresses
+// that became known after the last call.
 func (p *Pool) Allow(maxIdle map[netip.AddrPort]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxIdle = maxIdle
 }
 
-// Sweep closes connections that have rested for too long, and those that may
-// not rest.
+// Sweep closes connections that have been idle for too long or exceed the maximum number.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,28 +125,28 @@
 		if p.maxIdle != nil {
 			limit = p.maxIdle[addr]
 		}
-		kept := closeStale(conns, limit, now)
-		if len(kept) == 0 {
+		remaining := closeStale(conns, limit, now)
+		if len(remaining) == 0 {
 			delete(p.idle, addr)
 			continue
 		}
-		p.idle[addr] = kept
+		p.idle[addr] = remaining
 	}
 }
 
-// closeStale closes, in place, what has rested for too long of the connections
-// to one address and what is beyond the most that may rest. It returns the rest.
+// closeStale closes the connections to one address that have been idle for too long or exceed the
+// limit. It filters conns in place and returns the remaining connections.
 func closeStale(conns []*conn, limit int, now time.Time) []*conn {
-	kept := conns[:0]
+	remaining := conns[:0]
 	for i, c := range conns {
-		// The last ones have rested for the shortest time.
+		// The last connections have been idle for the shortest time.
 		if len(conns)-i <= limit && now.Before(c.idleSince.Add(c.idleTimeout)) {
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 			continue
 		}
 		c.close()
 	}
-	return kept
+	return remaining
 }
 
 func (p *Pool) dial(ctx context.Context, addr netip.AddrPort) (*conn, error) {
@@ -164,8 +162,8 @@
 	return c, nil
 }
 
-// userTimeout is after how long without an acknowledgement the kernel gives
-// up a connection whose peer lost power or is cut off.
+// tcpUserTimeout is how long data may stay unacknowledged before the kernel closes the
+// connection, in case the peer lost power or is partitioned.
 const tcpUserTimeout = 4 * time.Second
 
 func (p *Pool) setUserTimeout(_, _ string, raw syscall.RawConn) error {
--- a/lib/h1/pool_test.go
+++ b/lib/h1/pool_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestRestingConnections checks that no more connections rest than are allowed,
-// and that those are kept which have rested for the shortest time.
+// TestIdleConnections checks that the pool keeps no more idle connections than allowed, and that
+// it keeps those that have been idle for the shortest time.
 func TestIdleConnections(t *testing.T) {
 	c := qt.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -21,14 +21,14 @@
 	pool := NewPool(time.Second, nil)
 	var conns []*conn
 	for range 4 {
-		made, err := pool.dial(t.Context(), addr)
+		dialed, err := pool.dial(t.Context(), addr)
 		c.Assert(err, qt.IsNil)
-		defer made.close()
-		conns = append(conns, made)
+		defer dialed.close()
+		conns = append(conns, dialed)
 	}
 	open := func() (out []int) {
-		for i, made := range conns {
-			if !made.closed.Load() {
+		for i, dialed := range conns {
+			if !dialed.closed.Load() {
 				out = append(out, i)
 			}
 		}
@@ -36,8 +36,8 @@
 	}
 
 	pool.Allow(map[netip.AddrPort]int{addr: 3})
-	for _, made := range conns {
-		pool.put(made)
+	for _, dialed := range conns {
+		pool.put(dialed)
 	}
 	c.Assert(open(), qt.DeepEquals, []int{0, 1, 2})
 	pool.Sweep(time.Now())
@@ -50,30 +50,30 @@
 	c.Assert(open(), qt.HasLen, 0)
 }
 
-// TestNotReady checks that a request which is kept back once there is a connection reaches
-// nobody, and that the error tells so.
+// TestReadyError checks that a request whose Ready function returns an error is not sent, and
+// that the error wraps ErrNotSent.
 func TestReadyError(t *testing.T) {
 	c := qt.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer l.Close()
-	read := make(chan int, 1)
+	bytesRead := make(chan int, 1)
 	go func() {
 		conn, err := l.Accept()
 		if err != nil {
-			close(read)
+			close(bytesRead)
 			return
 		}
 		defer conn.Close()
 		n, _ := conn.Read(make([]byte, 1))
-		read <- n
+		bytesRead <- n
 	}()
-	errNotReady := errors.New("kept back")
+	errNotReady := errors.New("not ready")
 	pool := NewPool(time.Second, nil)
 	_, err = pool.Do(t.Context(), netip.MustParseAddrPort(l.Addr().String()), Request{
 		Method: "GET", Target: "/", Ready: func() error { return errNotReady },
 	})
 	c.Assert(err, qt.ErrorIs, errNotReady)
 	c.Assert(err, qt.ErrorIs, ErrNotSent)
-	c.Assert(<-read, qt.Equals, 0)
+	c.Assert(<-bytesRead, qt.Equals, 0)
 }
--- a/lib/h1/request.go
+++ b/lib/h1/request.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Request is one request as it goes onto the wire.
+// Request is one request.
 type Request struct {
 	Method string
-	// Target is the path and query as the caller wrote them.
+	// Target is the path and query, as the caller wrote them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Freshest is the longest time that a connection may have rested to be
-	// used again; 0 asks for a new connection.
+	// Freshest is the maximum time for which a reused connection may have been idle; 0 requires a
+	// new connection.
 	Freshest time.Duration
-	// Mine, if set, tells an answer's head from that of another request,
-	// which is read to its end and dropped.
+	// Mine, if set, reports whether a response header belongs to this request. A response to
+	// another request is read to its end and discarded.
 	Mine func(http.Header) bool
-	// Ready, if set, is asked once there is a connection; an error keeps the request from
-	// being sent.
+	// Ready, if set, is called once there is a connection. If it returns an error the request is
+	// not sent.
 	Ready func() error
-	// Patience, if set, tells how much longer to wait for the next bytes when
-	// none came for so long; 0 ends the request.
+	// Patience, if set, decides how long to wait for the next bytes of the response, given how
+	// long none have arrived; 0 aborts the request.
 	Patience Patience
 }
 
--- a/lib/h1/script_test.go
+++ b/lib/h1/script_test.go
@@ -18,18 +18,19 @@
 	"github.com/rogpeppe/go-internal/txtar"
 )
 
-// TestScripts runs the archives in testdata. The file "serve" holds what a
-// server does, step by step over all connections:
+// TestScripts runs the scripts in testdata. The file "server" holds the server's steps over all
+// connections:
 //
-//	answer TEXT   reads a request and answers; \r\n stands for a line end
-//	send TEXT     sends without reading a request
+//	respond TEXT  reads a request and writes a response; \r\n stands for a line end
+//	send TEXT     writes without reading a request
 //	read          reads a request
 //	wait DURATION waits
-//	close, reset  ends the connection; the next step takes a new one
+//	close, reset  ends the connection; the next step accepts a new one
 //
-// The file "ask" holds what the client does, and "want" a line for each:
+// The file "client" holds the client's steps, and "want" one result line per request and the
+// number of connections:
 //
-//	get ID [fresh DURATION] [patience DURATION]
+//	get ID [max-idle-age DURATION] [stall-timeout DURATION]
 //	wait DURATION
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
@@ -51,12 +52,12 @@
 	c.Assert(err, qt.IsNil)
 	defer l.Close()
 	serverDone := make(chan error, 1)
-	go func() { serverDone <- serveSteps(l, parseSteps(parts["serve"])) }()
+	go func() { serverDone <- serveSteps(l, parseSteps(parts["server"])) }()
 	addr := netip.MustParseAddrPort(l.Addr().String())
 	dialed := 0
 	pool := NewPool(time.Second, func(netip.AddrPort) Meter { dialed++; return nil })
 	var got []string
-	for _, step := range parseSteps(parts["ask"]) {
+	for _, step := range parseSteps(parts["client"]) {
 		if line := runClientStep(pool, addr, step); line != "" {
 			got = append(got, line)
 		}
@@ -94,7 +95,7 @@
 		text = strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(text)
 		var err error
 		switch verb {
-		case "answer":
+		case "respond":
 			if _, err = http.ReadRequest(r); err == nil {
 				_, err = io.WriteString(conn, text)
 			}
@@ -139,7 +140,7 @@
 		if err != nil {
 			return err.Error()
 		}
-		if words[i] == "fresh" {
+		if words[i] == "max-idle-age" {
 			r.Freshest = d
 		} else {
 			r.Patience = func(silence time.Duration) time.Duration { return d - silence }
@@ -159,7 +160,7 @@
 	return fmt.Sprintf("%d %s framed=%t", resp.Status, body, resp.Framed)
 }
 
-// errText names the sentinel errors that an error wraps.
+// errorNames returns the names of the sentinel errors that an error wraps.
 func errorNames(err error) string {
 	if err == nil {
 		return ""
--- a/lib/inflight/inflight.go
+++ b/lib/inflight/inflight.go
@@ -1,9 +1,9 @@
-// Package inflight bounds how many calls are under way at once by how long they take: where
-// many wait for the same processor each answer comes the later the more there are, and more of
-// them bring nothing but a longer wait for all. The bound follows what is observed, as the
-// window of a TCP connection does.
+// Package inflight limits the number of concurrent calls by their latency. When many calls wait
+// for the same processor, more concurrent calls only increase the latency of all. The limit
+// adapts to observed latencies with multiplicative increase and decrease, similar to a TCP
+// congestion window.
 //
-// The package is pure: it does no input or output, and times are handed in.
+// The package is pure: it does no I/O, and the caller passes in all times.
 package inflight
 
 import (
@@ -12,34 +12,34 @@
 )
 
 const (
-	// growth is by which part the bound rises while answers come soon.
+	// growthFactor is the fraction by which the limit rises while latency is low.
 	growthFactor = 0.25
-	// cut is by which part it falls when they come late.
+	// backoffFactor is the factor by which the limit falls when latency is high.
 	backoffFactor = 0.5
 )
 
-// Limit is a bound on calls under way. It is not safe for use by several goroutines.
+// Limit is an adaptive limit on concurrent calls. It is not safe for concurrent use.
 type Limit struct {
-	min, max int
-	// wait is how much longer than the quickest calls may take in the middle.
+	minCalls, maxCalls int
+	// maxDelay is how much the median call may take longer than the fastest.
 	maxDelay time.Duration
 
 	current int
 	fastest time.Duration
-	// batch are the calls that were answered since the bound was looked at last.
+	// batch holds the durations of the calls since the limit was last adjusted.
 	batch []time.Duration
 }
 
-// New returns a limit that begins with the least.
+// New returns a limit that starts at minCalls.
 func New(minCalls, maxCalls int, maxDelay time.Duration) *Limit {
-	return &Limit{min: minCalls, max: maxCalls, maxDelay: maxDelay, current: minCalls}
+	return &Limit{minCalls: minCalls, maxCalls: maxCalls, maxDelay: maxDelay, current: minCalls}
 }
 
-// Most is how many calls may be under way.
+// Most returns how many calls may be in flight.
 func (l *Limit) Most() int { return l.current }
 
-// Note takes in how long a call took. The bound is looked at once per as many calls as it
-// allows, by the one in the middle: some instances are late by themselves.
+// Note records how long a call took. The limit is adjusted once per as many calls as it allows,
+// and by their median, because some instances are slow for reasons of their own.
 func (l *Limit) Note(took time.Duration) {
 	if l.fastest == 0 || took < l.fastest {
 		l.fastest = took
@@ -52,8 +52,8 @@
 	median := l.batch[len(l.batch)/2]
 	l.batch = l.batch[:0]
 	if median-l.fastest > l.maxDelay {
-		l.current = max(l.min, int(backoffFactor*float64(l.current)))
+		l.current = max(l.minCalls, int(backoffFactor*float64(l.current)))
 		return
 	}
-	l.current = min(l.max, l.current+max(1, int(growthFactor*float64(l.current))))
+	l.current = min(l.maxCalls, l.current+max(1, int(growthFactor*float64(l.current))))
 }
--- a/lib/inflight/inflight_test.go
+++ b/lib/inflight/inflight_test.go
@@ -9,7 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// queue answers calls one after the other, each in so long, and after a way of its own.
+// simulateQueue simulates calls that a server processes one after another, each for the service
+// time, after a network latency. A fraction of the calls is unresponsive and takes 500 ms.
 func simulateQueue(l *Limit, calls int, service, latency time.Duration, unresponsive float64) (highest int, typical time.Duration) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for range calls {
@@ -23,8 +24,8 @@
 	return highest, latency + time.Duration(l.Most())*service
 }
 
-// Calls that wait for a slow processor are kept few; a fast one, or some instances that do not
-// answer, do not keep them back.
+// TestLimitAdaptsToLatency checks that the limit stays low with a slow processor, and that it
+// reaches its maximum with a fast one even if some instances do not respond.
 func TestLimitAdaptsToLatency(t *testing.T) {
 	const minCalls, maxCalls, maxDelay = 8, 128, 50 * time.Millisecond
 	c := qt.New(t)
@@ -39,12 +40,12 @@
 	c.Assert(highest, qt.Equals, maxCalls)
 	c.Assert(l.Most(), qt.Equals, maxCalls)
 
-	// It was fast, and is slowed.
+	// The processor was fast and becomes slow.
 	simulateQueue(l, 3000, 20*time.Millisecond, 5*time.Millisecond, 0)
 	c.Assert(l.Most() <= 2*minCalls, qt.IsTrue, qt.Commentf("%d", l.Most()))
 }
 
-// The bound rises by a quarter while answers come soon, and is halved when they do not.
+// The limit rises by a quarter while latency is low and is halved when latency is high.
 func ExampleLimit_Note() {
 	l := New(4, 16, 50*time.Millisecond)
 	for range 4 {
--- a/lib/latency/latency.go
+++ b/lib/latency/latency.go
@@ -1,4 +1,4 @@
-// Package latency gathers durations and tells their percentiles.
+// Package latency collects durations and computes their percentiles.
 package latency
 
 import (
@@ -12,20 +12,20 @@
 	significantDigits = 3
 )
 
-// Times gathers durations to three digits. It is not safe for use by several
-// goroutines at once.
+// Times is a histogram of durations with three significant digits. It is not safe for concurrent
+// use.
 type Times struct{ histogram *hdrhistogram.Histogram }
 
-// New returns an empty collection.
+// New returns an empty histogram.
 func New() Times { return Times{hdrhistogram.New(1, maxMicroseconds, significantDigits)} }
 
-// Add takes a duration. One longer than ten minutes counts as ten minutes.
+// Add records a duration. A duration above ten minutes counts as ten minutes.
 func (t Times) Add(d time.Duration) {
-	// Within these bounds the histogram takes every value.
+	// Within these bounds RecordValue can't fail.
 	_ = t.histogram.RecordValue(min(maxMicroseconds, max(1, d.Microseconds())))
 }
 
-// Percentiles are in milliseconds.
+// Percentiles holds percentiles in milliseconds.
 type Percentiles struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
@@ -33,8 +33,8 @@
 	Max float64 `json:"max_ms"`
 }
 
-// Percentiles returns what half, 95, 99 and all of 100 durations are within.
+// Percentiles returns the 50th, 95th and 99th percentile and the maximum.
 func (t Times) Percentiles() Percentiles {
-	at := func(q float64) float64 { return float64(t.histogram.ValueAtQuantile(q)) / 1000 }
-	return Percentiles{P50: at(50), P95: at(95), P99: at(99), Max: float64(t.histogram.Max()) / 1000}
+	percentile := func(q float64) float64 { return float64(t.histogram.ValueAtQuantile(q)) / 1000 }
+	return Percentiles{P50: percentile(50), P95: percentile(95), P99: percentile(99), Max: float64(t.histogram.Max()) / 1000}
 }
--- a/lib/logfmt/bounded.go
+++ b/lib/logfmt/bounded.go
@@ -9,20 +9,20 @@
 	"github.com/rs/zerolog"
 )
 
-// Bounded hands lines to a writer that may block, without ever blocking those
-// who log. Lines beyond its queue are left out, and it says how many.
+// Bounded is an asynchronous writer: it queues lines for a writer that may block, so that logging
+// never blocks. It drops lines when the queue is full and logs how many were dropped.
 type Bounded struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewBounded returns a writer with a queue of so many lines.
+// NewBounded returns a writer with a queue of queueLen lines.
 func NewBounded(out io.Writer, queueLen int) *Bounded {
 	return &Bounded{out: out, lines: make(chan []byte, queueLen)}
 }
 
-// Write takes a line, or leaves it out if the queue is full.
+// Write queues a line, or drops it if the queue is full.
 func (b *Bounded) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- bytes.Clone(line):
@@ -32,7 +32,7 @@
 	return len(line), nil
 }
 
-// Run hands lines on until the context ends, and then what is left.
+// Run writes queued lines until the context ends, and then flushes the queue.
 func (b *Bounded) Run(ctx context.Context) error {
 	for {
 		select {
--- a/lib/logfmt/bounded_test.go
+++ b/lib/logfmt/bounded_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestBoundedNeverBlocks fills the queue while nothing is written, and checks
-// that what was left out is told.
+// TestBoundedNeverBlocks fills the queue while nothing is written, and checks that the number of
+// dropped lines is logged.
 func TestBoundedNeverBlocks(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
--- a/lib/logfmt/logfmt.go
+++ b/lib/logfmt/logfmt.go
@@ -1,5 +1,5 @@
-// Package logfmt makes loggers that write one line of key=value pairs for
-// each event. The line starts with time, level and event.
+// Package logfmt creates loggers that write one line of key=value pairs per event. Each line
+// starts with time, level and event.
 package logfmt
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 )
 
-// New returns a logger that writes to w from the given level on.
+// New returns a logger that writes events of the given level and above to w.
 func New(w io.Writer, level zerolog.Level) zerolog.Logger {
 	out := zerolog.ConsoleWriter{
 		Out:     w,
@@ -43,7 +43,7 @@
 		s = string(raw)
 	}
 	if strings.HasPrefix(s, `"`) {
-		// The writer hands some values over quoted already.
+		// The console writer passes some values already quoted.
 		return s
 	}
 	if s == "" || strings.ContainsAny(s, " =\"\n\t") {
--- a/lib/pack/check.go
+++ b/lib/pack/check.go
@@ -7,17 +7,15 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxDepth is how deep arrays and maps may nest.
+// maxDepth is the maximum nesting depth of arrays and maps.
 const maxDepth = 32
 
-// check walks over one encoded value without keeping any of it. It refuses
-// lengths that the data can't hold, for which the codec would set memory
-// aside, and nesting so deep that the codec's recursion would run out of
-// stack.
+// validate walks over one encoded value without storing it. It rejects lengths that exceed the
+// data, for which the codec would allocate memory, and nesting so deep that the codec's recursion
+// would overflow the stack.
 func validate(data []byte) error {
 	w := walker{data: data}
-	// open holds, for each array or map that is being walked, how many of
-	// its values are still to come.
+	// pending holds, for each array or map being walked, how many of its values remain.
 	pending := []int{1}
 	for len(pending) > 0 {
 		last := len(pending) - 1
@@ -44,10 +42,10 @@
 	return nil
 }
 
-// walker holds the bytes that are still to be walked.
+// walker holds the bytes that remain to be walked.
 type walker struct{ data []byte }
 
-// step walks over one value up to its children and returns their number.
+// step walks over one value up to its children and returns the number of children.
 func (w *walker) step() (int, error) {
 	head, err := w.take(1)
 	if err != nil {
@@ -128,7 +126,7 @@
 	return err
 }
 
-// count reads a length of so many bytes.
+// readLen reads a length of the given width in bytes.
 func (w *walker) readLen(width int) (int, error) {
 	b, err := w.take(width)
 	if err != nil {
@@ -139,7 +137,7 @@
 	return int(binary.BigEndian.Uint32(wide[:])), nil
 }
 
-// skipCounted skips a length, that many bytes, and some more.
+// skipSized skips a length of the given width, as many bytes as it says, and extra more.
 func (w *walker) skipSized(width, extra int) error {
 	n, err := w.readLen(width)
 	if err != nil {
--- a/lib/pack/pack.go
+++ b/lib/pack/pack.go
@@ -1,5 +1,4 @@
-// Package pack encodes values as msgpack and decodes bytes that may come
-// from anywhere.
+// Package pack encodes values as msgpack and decodes untrusted bytes.
 package pack
 
 import (
@@ -10,12 +9,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrMalformed is returned for bytes that do not hold the value wanted.
+// ErrMalformed is returned for bytes that do not encode the expected value.
 var ErrMalformed = errors.New("malformed value")
 
-// Marshal encodes a value, with each number in as few bytes as it takes. Fields
-// that are often zero are left out by their tags; the codec's own way to leave
-// out zeros takes any type without exported fields for zero, such as netip's.
+// Marshal encodes a value, with each number in as few bytes as possible. Fields that are often
+// zero have omitempty tags instead of the codec's global omitempty option, because that option
+// treats every value of a type without exported fields, such as those of netip, as zero.
 func Marshal(value any) ([]byte, error) {
 	e := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(e)
@@ -26,9 +25,9 @@
 	return buf.Bytes(), err
 }
 
-// Unmarshal decodes bytes into out. The codec panics on some malformed
-// bytes, such as a nil where a time should be; that is an error here like
-// any other, for a record on the log must not end the daemons that read it.
+// Unmarshal decodes bytes into out. The codec panics on some malformed bytes, such as a nil in
+// place of a time; Unmarshal returns an error instead, because a malformed record on the log must
+// not crash the daemons that read it.
 func Unmarshal(data []byte, out any) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/lib/pack/pack_test.go
+++ b/lib/pack/pack_test.go
@@ -18,11 +18,11 @@
 	}
 	for _, test := range []struct{ name, data string }{
 		{"empty", ""},
-		{"nil where a time should be", "\x81\xa1t\xc0"},
+		{"nil in place of a time", "\x81\xa1t\xc0"},
 		{"an array longer than the data", "\x81\xa1l\xdd\x7f\xff\xff\xff"},
 		{"a map longer than the data", "\x81\xa1m\xdf\x7f\xff\xff\xff"},
 		{"a string longer than the data", "\x81\xa1l\x91\xdb\xff\xff\xff\xff"},
-		{"nested without end", "\x81\xa1x" + strings.Repeat("\x91", 1<<20)},
+		{"nested too deep", "\x81\xa1x" + strings.Repeat("\x91", 1<<20)},
 		{"an unknown code", "\xc1"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/lib/sse/reader.go
+++ b/lib/sse/reader.go
@@ -1,5 +1,4 @@
-// Package sse splits a stream of server-sent events into whole events and
-// leaves their bytes as they are.
+// Package sse splits a stream of server-sent events into events without changing their bytes.
 package sse
 
 import (
@@ -10,7 +9,7 @@
 	"strconv"
 )
 
-// MaxEvent is the longest event accepted, in bytes.
+// MaxEvent is the maximum length of an event in bytes.
 const MaxEvent = 1 << 20
 
 // Errors of Next.
@@ -21,23 +20,23 @@
 	ErrTooLong = errors.New("event too long")
 )
 
-// Event is one whole event with the blank line that ends it.
+// Event is one complete event.
 type Event struct {
 	Raw []byte
-	// ID is the number in the event's id field; HasID tells that it has one.
+	// ID is the number in the event's id field; HasID reports whether there is one.
 	ID    int64
 	HasID bool
 }
 
-// Reader splits events off a reader.
+// Reader reads events from an io.Reader.
 type Reader struct {
 	r   io.Reader
 	buf []byte
-	// at is where the unread bytes in buf begin.
+	// start is the index in buf at which the unread bytes start.
 	start int
 }
 
-// firstBuffer is the buffer to begin with, in bytes; it grows with the events.
+// initialBufferLen is the initial length of the buffer in bytes; it grows with the events.
 const initialBufferLen = 2 << 10
 
 // NewReader returns a reader of events.
@@ -45,8 +44,8 @@
 	return &Reader{r: r, buf: make([]byte, 0, initialBufferLen)}
 }
 
-// Next returns the next event, which is valid until the next call. It returns
-// io.EOF only between two events.
+// Next returns the next event, which is valid until the next call. It returns io.EOF only between
+// two events.
 func (r *Reader) Next() (Event, error) {
 	for {
 		if event, ok := r.nextBuffered(); ok {
@@ -64,7 +63,7 @@
 	}
 }
 
-// Pending reports whether a whole event has been read already.
+// Pending reports whether a complete event is buffered.
 func (r *Reader) Pending() bool { return bytes.Contains(r.buf[r.start:], []byte("\n\n")) }
 
 func (r *Reader) nextBuffered() (Event, bool) {
--- a/lib/sse/reader_test.go
+++ b/lib/sse/reader_test.go
@@ -14,9 +14,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestStreams reads the streams in testdata, whole and byte by byte, and
-// checks the events that come of them. The lines before "---" are the
-// stream, those after it what is wanted.
+// TestStreamFiles reads the streams in testdata, at once and byte by byte, and checks the
+// resulting events. In each file the stream precedes the line "---" and the expected result
+// follows it.
 func TestStreamFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.stream")
 	qt.Assert(t, err, qt.IsNil)
--- a/lib/task/task.go
+++ b/lib/task/task.go
@@ -1,5 +1,4 @@
-// Package task starts goroutines that take a context and report their end
-// on a channel that their owner reads.
+// Package task starts goroutines that take a context and report their result on a channel.
 package task
 
 import (
@@ -11,13 +10,13 @@
 // Task is one running goroutine.
 type Task struct {
 	Name string
-	// Done yields the goroutine's error, or nil, once, and is then closed.
+	// Done receives the goroutine's error, or nil, once, and is then closed.
 	Done <-chan error
-	// over ends together with the goroutine.
+	// ended is done when the goroutine has ended.
 	ended context.Context
 }
 
-// Start runs the function in a goroutine of its own.
+// Start runs the function in a new goroutine.
 func Start(ctx context.Context, name string, run func(context.Context) error) Task {
 	done := make(chan error, 1)
 	ended, cancel := context.WithCancel(context.Background())
@@ -29,8 +28,8 @@
 	return Task{Name: name, Done: done, ended: ended}
 }
 
-// WaitAny returns when the context ends or one of the tasks does. The task's
-// end stays to be read by Wait.
+// WaitAny returns when the context ends or one of the tasks ends. It leaves the task's result for
+// Wait.
 func WaitAny(ctx context.Context, tasks ...Task) error {
 	ended := make(chan string, len(tasks))
 	for _, t := range tasks {
@@ -48,11 +47,11 @@
 	}
 }
 
-// ErrEnded tells that a task ended before it was asked to.
-var ErrEnded = errors.New("a part ended on its own")
+// ErrEnded is returned when a task ends before its context does.
+var ErrEnded = errors.New("task ended unexpectedly")
 
-// Wait reads the end of every task and joins their errors. A task that
-// ended because its context was cancelled counts as ended well.
+// Wait waits for all tasks and joins their errors. A task that ended because its context was
+// cancelled counts as successful.
 func Wait(tasks ...Task) error {
 	var errs []error
 	for _, t := range tasks {
--- a/lib/timer/suspended.go
+++ b/lib/timer/suspended.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// suspendedLeast is the shortest suspension that counts. Shorter ones are within the
-	// slack of all bounds that are told to users.
+	// minSuspension is the minimum length of a suspension that counts. Shorter ones are within
+	// the tolerance of all documented time limits.
 	minSuspension = 300 * time.Millisecond
-	// drain is for how long after a suspension what is received may have been sent before
-	// its end: it lay in the buffers of connections meanwhile.
+	// bufferDrain is how long after a suspension data may arrive that was sent before its end and
+	// waited in connection buffers.
 	bufferDrain = 300 * time.Millisecond
-	// readingMost is how long the reading of two clocks may take to be relied on,
-	// readings how often it is tried.
+	// maxClockReadTime is the maximum time between the two monotonic clock readings around a boot
+	// clock reading for the comparison to be reliable; maxClockReads is how often it is
+	// attempted.
 	maxClockReadTime = 5 * time.Millisecond
 	maxClockReads    = 3
-	// suspensionsKept is how many are remembered.
+	// maxSuspensions is how many suspensions are remembered.
 	maxSuspensions = 16
 )
 
-// suspension is time that the machine was suspended. The steady clock does not count it.
+// suspension is a period in which the machine was suspended. The monotonic clock does not advance
+// during it.
 type suspension struct {
-	// woken is when it was noticed, by the steady clock.
+	// resumedAt is when the suspension was detected, by the monotonic clock.
 	resumedAt time.Time
 	length    time.Duration
 }
 
-// BootTime is the time since the machine was started, suspensions among it.
+// BootTime returns the time since boot, including suspensions.
 func BootTime() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -37,20 +39,21 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// suspensions finds out when the machine was suspended, from a clock that counts that time
-// beside the steady one that does not.
+// suspensions detects suspensions of the machine by comparing a clock that advances during
+// suspensions with the monotonic clock, which does not.
 type suspensions struct {
 	boot func() (time.Duration, error)
-	// began is where both clocks stood at first, ahead how far the one has come ahead of
-	// the other since.
+	// startedAt and bootAtStart are the initial readings of both clocks; counted is how far the
+	// boot clock has advanced ahead of the monotonic clock since, by suspensions already
+	// detected.
 	startedAt   time.Time
 	bootAtStart time.Duration
 	counted     time.Duration
 	recent      []suspension
 }
 
-// CountSuspensions has the service count time in which the machine is suspended, by a clock
-// as BootTime.
+// CountSuspensions makes the service detect suspensions of the machine with a clock like
+// BootTime.
 func (s *Service) CountSuspensions(boot func() (time.Duration, error)) error {
 	at, err := boot()
 	if err != nil {
@@ -62,7 +65,7 @@
 	return nil
 }
 
-// look notices a suspension that has just ended, and returns its length.
+// detect detects a suspension that has just ended and returns its length.
 func (s *suspensions) detect(now func() time.Time) time.Duration {
 	if s.boot == nil {
 		return 0
@@ -72,7 +75,7 @@
 		boot, err := s.boot()
 		after := now()
 		if err != nil {
-			// It could be read before; what was seen then holds.
+			// The clock could be read before. The suspensions detected until now stay valid.
 			return 0
 		}
 		if after.Sub(before) > maxClockReadTime {
@@ -92,8 +95,8 @@
 	return 0
 }
 
-// after is how long the machine was suspended since a time. What was received just after a
-// suspension counts as from before.
+// since returns how long the machine was suspended after a time. Data received within bufferDrain
+// after a suspension counts as sent before it.
 func (s *suspensions) since(t time.Time) time.Duration {
 	total := time.Duration(0)
 	for _, suspended := range s.recent {
@@ -104,8 +107,8 @@
 	return total
 }
 
-// Suspended is how long the machine was suspended since a time. It is looked up at once:
-// whoever acts on something that is valid for a time asks before each act.
+// Suspended returns how long the machine was suspended since a time. It reads the clocks on every
+// call, so that a caller can check before each use of something that expires.
 func (s *Service) Suspended(since time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,6 +116,7 @@
 	return s.suspensions.since(since)
 }
 
-// Since is how long ago a time was, suspensions among it: by the steady clock alone a key
-// that was taken away, or a lease, would be good again for a while after one.
+// Since returns the time elapsed since a time, including suspensions. By the monotonic clock
+// alone a revoked key or an expired lease would become valid again for a while after a
+// suspension.
 func (s *Service) Since(t time.Time) time.Duration { return time.Since(t) + s.Suspended(t) }
--- a/lib/timer/suspended_test.go
+++ b/lib/timer/suspended_test.go
@@ -9,10 +9,11 @@
 	"github.com/lupinkeel/lupinkeel/lib/timer"
 )
 
-// A machine is suspended for 10 s. The steady clock does not count that time, so that what
-// was valid before it for another 4 s would still be valid when the machine wakes, and so
-// would what lay in the buffers of connections meanwhile. Another clock counts it: from the
-// first look on all times before count as 10 s longer ago, and subscribers are told once.
+// TestSuspension checks that a suspension of 10 s counts as elapsed time. The monotonic clock
+// does not count it, so something that was valid for another 4 s before the suspension, or that
+// waited in connection buffers meanwhile, would still be valid afterwards. From the first reading
+// of the boot clock all earlier times count as 10 s longer ago, and subscribers are notified
+// once.
 func TestSuspension(t *testing.T) {
 	c := qt.New(t)
 	start := time.Now()
@@ -20,23 +21,23 @@
 	s := timer.New(start)
 	c.Assert(s.CountSuspensions(func() (time.Duration, error) { return time.Since(start) + suspended, nil }), qt.IsNil)
 	ticks := s.Subscribe(timer.Step)
-	valid := time.Now()
-	c.Assert(s.Suspended(valid), qt.Equals, time.Duration(0))
+	earlier := time.Now()
+	c.Assert(s.Suspended(earlier), qt.Equals, time.Duration(0))
 
 	const length = 10 * time.Second
 	suspended = length
-	since := s.Since(valid)
+	since := s.Since(earlier)
 	c.Assert(since >= length && since < length+time.Second, qt.IsTrue, qt.Commentf("%v", since))
-	c.Assert(s.Since(time.Now()) >= length, qt.IsTrue, qt.Commentf("what is received just after may be from before"))
+	c.Assert(s.Since(time.Now()) >= length, qt.IsTrue, qt.Commentf("data received just after a suspension may have been sent before it"))
 	c.Assert(s.Suspended(time.Now().Add(time.Second)), qt.Equals, time.Duration(0))
 	s.Advance(start.Add(2 * timer.Step))
-	told := (<-ticks).Paused
-	c.Assert(told >= length && told < length+time.Second, qt.IsTrue, qt.Commentf("%v", told))
+	reported := (<-ticks).Paused
+	c.Assert(reported >= length && reported < length+time.Second, qt.IsTrue, qt.Commentf("%v", reported))
 	s.Advance(start.Add(4 * timer.Step))
 	c.Assert((<-ticks).Paused, qt.Equals, time.Duration(0))
 }
 
-// The system's own clock is taken, and shows no suspension where there was none.
+// TestBootTime checks that the system's boot clock shows no suspension if there was none.
 func TestBootTime(t *testing.T) {
 	c := qt.New(t)
 	s := timer.New(time.Now())
@@ -47,7 +48,7 @@
 	}
 }
 
-// BenchmarkSuspended is asked once for each request with a key.
+// BenchmarkSuspended measures Suspended, which is called once per request with a key.
 func BenchmarkSuspended(b *testing.B) {
 	s := timer.New(time.Now())
 	if err := s.CountSuspensions(timer.BootTime); err != nil {
--- a/lib/timer/timer.go
+++ b/lib/timer/timer.go
@@ -1,6 +1,5 @@
-// Package timer is the one source of time for the parts of a daemon: they
-// subscribe to its ticks instead of keeping timers of their own. It also
-// notices when the whole process was paused.
+// Package timer is the time source of a daemon's parts: they subscribe to its ticks instead of
+// running their own timers. It also detects pauses of the process and suspensions of the machine.
 package timer
 
 import (
@@ -9,30 +8,28 @@
 	"time"
 )
 
-// Step is how often a running service looks at the clock.
+// Step is the interval at which a running service reads the clock.
 const Step = 50 * time.Millisecond
 
-// PauseBound is how late a step must come to count as a pause of the
-// process.
+// MinPause is how late a step must be to count as a pause of the process.
 const MinPause = 500 * time.Millisecond
 
 // Tick tells a subscriber that its period has passed.
 type Tick struct {
-	// At carries a monotonic reading.
+	// At includes a monotonic clock reading.
 	At time.Time
-	// Paused is how long the process stood still before this tick, while the
-	// machine was suspended as well; 0 if it did not.
+	// Paused is how long the process was paused, or the machine suspended, before this tick; 0 if
+	// neither.
 	Paused time.Duration
 }
 
-// Service hands ticks to subscribers. Create it with New; the zero value is
-// not usable.
+// Service sends ticks to subscribers. Create it with New; the zero value is not usable.
 type Service struct {
 	mu            sync.Mutex
 	subscriptions []*subscription
 	last          time.Time
-	// suspended is when the machine was suspended, unread what subscribers were not told
-	// of it yet.
+	// suspensions records the suspensions of the machine; unreported is the suspended time not
+	// yet reported to subscribers.
 	suspensions suspensions
 	unreported  time.Duration
 }
@@ -44,13 +41,13 @@
 	ticks  chan Tick
 }
 
-// New returns a service that starts counting at the given time.
+// New returns a service that starts at the given time.
 func New(now time.Time) *Service {
 	return &Service{last: now}
 }
 
-// Subscribe returns a channel that gets a tick each period. A subscriber
-// that is slower than its period gets the newest tick late, not a backlog.
+// Subscribe returns a channel that receives a tick each period. A subscriber slower than its
+// period receives one late tick, not a backlog.
 func (s *Service) Subscribe(period time.Duration) <-chan Tick {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,8 +56,8 @@
 	return sub.ticks
 }
 
-// Advance moves the service to the given time and sends what is due. Run
-// calls it with the clock; tests call it with times of their own.
+// Advance moves the service to the given time and sends the ticks that are due. Run calls it with
+// the current time; tests call it with times of their own.
 func (s *Service) Advance(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +77,8 @@
 		case sub.ticks <- Tick{At: now, Paused: sub.paused}:
 			sub.paused = 0
 		default:
-			// The subscriber has a tick to read; a pause stays noted.
+			// The subscriber has not read its last tick; sub.paused keeps the pause for its next
+			// one.
 		}
 		sub.next = now.Add(sub.period)
 	}
--- a/lib/timer/timer_test.go
+++ b/lib/timer/timer_test.go
@@ -20,8 +20,8 @@
 	}{
 		{"before its period", []time.Duration{50 * time.Millisecond}, 0, 0},
 		{"at its period", []time.Duration{50 * time.Millisecond, 100 * time.Millisecond}, 1, 0},
-		{"a slow reader gets no backlog", []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond}, 1, 0},
-		{"a pause is told", []time.Duration{3 * time.Second}, 1, 3 * time.Second},
+		{"a slow subscriber gets no backlog", []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond}, 1, 0},
+		{"a pause is reported", []time.Duration{3 * time.Second}, 1, 3 * time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
