--- a/api/server.go
+++ b/api/server.go
@@ -23,113 +23,112 @@
 
 const (
 	readHeaderTimeout = 10 * time.Second
-	// stopNotice is how long a stopping daemon still takes requests after
-	// it says that it is not ready, so that the balancer sees it first.
-	stopNotice = 2 * time.Second
-	// closeGrace bounds how long connections are given to close.
-	closeGrace = time.Second
+	// notReadyDelay is how long a stopping daemon accepts requests after its readiness probe
+	// fails, so that the load balancer stops sending first.
+	notReadyDelay = 2 * time.Second
+	// closeTimeout bounds how long connections have to close.
+	closeTimeout = time.Second
 )
 
-// Server serves one daemon's callers and operators.
+// Server serves the callers and operators of one daemon.
 type Server struct {
-	cfg      config.Serve
-	log      zerolog.Logger
-	daemon   *daemon.Daemon
-	upstream *upstream.Client
-	flights  *flights
-	limits   *router.Limits
-	admitted *router.Admission
-	prefixes *router.Prefixes
-	budget   router.Budget
-	suspects router.Suspects
-	stopping atomic.Bool
-	stats    *stats
-
-	callers net.Listener
-	admin   net.Listener
+	cfg       config.Serve
+	log       zerolog.Logger
+	daemon    *daemon.Daemon
+	upstream  *upstream.Client
+	inFlight  *inFlightCounter
+	limits    *router.Limits
+	admission *router.Admission
+	prefixes  *router.Prefixes
+	budget    router.Budget
+	suspects  router.Suspects
+	stopping  atomic.Bool
+	stats     *stats
+
+	callerListener net.Listener
+	adminListener  net.Listener
 }
 
-// stats are the metrics of requests.
+// stats holds the metrics of requests.
 type stats struct {
-	ends       map[router.End]*metrics.Counter
+	byEnd      map[router.End]*metrics.Counter
 	refused    *metrics.Counter
 	retries    *metrics.Counter
 	firstToken *metrics.Histogram
 }
 
-func newStats(set *metrics.Set, count func() int) *stats {
-	set.NewGauge("lupinkeel_requests_in_flight", func() float64 { return float64(count()) })
+func newStats(set *metrics.Set, inFlight func() int) *stats {
+	set.NewGauge("lupinkeel_requests_in_flight", func() float64 { return float64(inFlight()) })
 	s := &stats{
-		ends:       map[router.End]*metrics.Counter{},
+		byEnd:      map[router.End]*metrics.Counter{},
 		refused:    set.NewCounter("lupinkeel_requests_refused_total"),
 		retries:    set.NewCounter("lupinkeel_request_retries_total"),
 		firstToken: set.NewHistogram("lupinkeel_first_token_seconds"),
 	}
 	for _, end := range []router.End{router.EndWhole, router.EndNotRun, router.EndMayHaveRun} {
-		s.ends[end] = set.NewCounter(fmt.Sprintf("lupinkeel_requests_total{end=%q}", end))
+		s.byEnd[end] = set.NewCounter(fmt.Sprintf("lupinkeel_requests_total{end=%q}", end))
 	}
 	return s
 }
 
-// New makes a server and binds its addresses.
+// New creates a server and binds its addresses.
 func New(cfg config.Serve, log zerolog.Logger, d *daemon.Daemon) (*Server, error) {
 	s := &Server{
 		cfg: cfg, log: log.With().Str("daemon", string(cfg.ID)).Logger(), daemon: d,
-		upstream: upstream.NewClient(dial.Dialer{Source: cfg.Source}), flights: newFlights(), limits: router.NewLimits(), admitted: router.NewAdmission(), prefixes: router.NewPrefixes(),
+		upstream: upstream.NewClient(dial.Dialer{Source: cfg.Source}), inFlight: newInFlightCounter(), limits: router.NewLimits(), admission: router.NewAdmission(), prefixes: router.NewPrefixes(),
 	}
-	s.stats = newStats(d.Metrics(), s.flights.count)
+	s.stats = newStats(d.Metrics(), s.inFlight.count)
 	var err error
-	if s.callers, err = net.Listen("tcp", cfg.Listen.String()); err != nil {
+	if s.callerListener, err = net.Listen("tcp", cfg.Listen.String()); err != nil {
 		return nil, fmt.Errorf("listen for callers: %w", err)
 	}
-	if s.admin, err = net.Listen("tcp", cfg.Admin.String()); err != nil {
-		s.callers.Close()
+	if s.adminListener, err = net.Listen("tcp", cfg.Admin.String()); err != nil {
+		s.callerListener.Close()
 		return nil, fmt.Errorf("listen for operators: %w", err)
 	}
 	return s, nil
 }
 
-// Addr is where callers come.
-func (s *Server) Addr() netip.AddrPort { return addrOf(s.callers) }
+// Addr returns the address for callers.
+func (s *Server) Addr() netip.AddrPort { return addrOf(s.callerListener) }
 
-// AdminAddr is where operators come.
-func (s *Server) AdminAddr() netip.AddrPort { return addrOf(s.admin) }
+// AdminAddr returns the address for operators.
+func (s *Server) AdminAddr() netip.AddrPort { return addrOf(s.adminListener) }
 
 func addrOf(l net.Listener) netip.AddrPort {
 	bound := l.Addr().(*net.TCPAddr).AddrPort()
 	return netip.AddrPortFrom(bound.Addr().Unmap(), bound.Port())
 }
 
-// Run serves until the context ends. Then it stops as planned: it says that
-// it is not ready, later takes no new requests, and lets those in flight
-// end.
+// Run serves until the context ends, and then shuts down gracefully: it fails the readiness
+// probe, after a delay rejects new requests, and drains the requests in flight.
 func (s *Server) Run(ctx context.Context) error {
 	callers := &http.Server{Handler: s.callerRoutes(), ReadHeaderTimeout: readHeaderTimeout}
 	admin := &http.Server{Handler: s.adminRoutes(), ReadHeaderTimeout: readHeaderTimeout}
 	background := context.WithoutCancel(ctx)
 	tasks := []task.Task{
-		task.Start(background, "callers", func(context.Context) error { return serve(callers, s.callers) }),
-		task.Start(background, "operators", func(context.Context) error { return serve(admin, s.admin) }),
+		task.Start(background, "callers", func(context.Context) error { return serve(callers, s.callerListener) }),
+		task.Start(background, "operators", func(context.Context) error { return serve(admin, s.adminListener) }),
 	}
 	err := task.WaitAny(ctx, tasks...)
 	if err == nil {
-		s.stop(background)
+		s.shutdown(background)
 	}
 	closeServer(background, callers)
 	closeServer(background, admin)
 	return errors.Join(err, task.Wait(tasks...))
 }
 
-func (s *Server) stop(ctx context.Context) {
-	s.log.Info().Int("in-flight", s.flights.count()).Msg("stop-begun")
+func (s *Server) shutdown(ctx context.Context) {
+	s.log.Info().Int("in-flight", s.inFlight.count()).Msg("stop-begun")
 	s.stopping.Store(true)
 	if s.cfg.StopGrace > 0 {
-		time.Sleep(min(stopNotice, s.cfg.StopGrace))
+		time.Sleep(min(notReadyDelay, s.cfg.StopGrace))
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.StopGrace)
 	defer cancel()
-	s.flights.drain(ctx)
-	s.log.Info().Int("cut-off", s.flights.count()).Msg("stop-drained")
+	s.inFlight.drain(ctx)
+	s.log.Info().Int("cut-off", s.inFlight.count()).Msg("stop-drained")
 }
 
 func serve(server *http.Server, l net.Listener) error {
@@ -140,7 +139,7 @@
 }
 
 func closeServer(ctx context.Context, server *http.Server) {
-	ctx, cancel := context.WithTimeout(ctx, closeGrace)
+	ctx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
 		server.Close()
@@ -166,13 +165,13 @@
 	return mux
 }
 
-// serveReady tells the balancer whether to send requests here.
+// serveReady answers the readiness probe of the load balancer.
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case s.stopping.Load():
-		writeProblem(w, ErrStopping, router.EndNone)
+		writeError(w, ErrStopping, router.EndNone)
 	case !s.daemon.View().Current(time.Now()):
-		writeProblem(w, ErrNotCurrent, router.EndNone)
+		writeError(w, ErrNotCurrent, router.EndNone)
 	default:
 		w.WriteHeader(http.StatusNoContent)
 	}
--- a/lib/logfmt/logfmt.go
+++ b/lib/logfmt/logfmt.go
@@ -1,5 +1,5 @@
-// Package logfmt makes loggers that write one line of key=value pairs for
-// each event. The line starts with time, level and event.
+// Package logfmt creates loggers that write one line of key=value pairs per event. Each line
+// starts with time, level and event.
 package logfmt
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 )
 
-// New returns a logger that writes to w from the given level on.
+// New returns a logger that writes events of the given level and above to w.
 func New(w io.Writer, level zerolog.Level) zerolog.Logger {
 	out := zerolog.ConsoleWriter{
 		Out:     w,
@@ -20,11 +20,11 @@
 		PartsOrder: []string{
 			zerolog.TimestampFieldName, zerolog.LevelFieldName, zerolog.MessageFieldName,
 		},
-		FormatTimestamp:     pair("time"),
-		FormatLevel:         pair("level"),
-		FormatMessage:       pair("event"),
-		FormatErrFieldValue: value,
-		FormatFieldValue:    value,
+		FormatTimestamp:     formatPair("time"),
+		FormatLevel:         formatPair("level"),
+		FormatMessage:       formatPair("event"),
+		FormatErrFieldValue: formatValue,
+		FormatFieldValue:    formatValue,
 	}
 	return zerolog.New(out).Level(level).With().Timestamp().Logger()
 }
@@ -33,17 +33,17 @@
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 }
 
-func pair(key string) zerolog.Formatter {
-	return func(v any) string { return key + "=" + value(v) }
+func formatPair(key string) zerolog.Formatter {
+	return func(v any) string { return key + "=" + formatValue(v) }
 }
 
-func value(v any) string {
+func formatValue(v any) string {
 	s := fmt.Sprint(v)
 	if raw, ok := v.([]byte); ok {
 		s = string(raw)
 	}
 	if strings.HasPrefix(s, `"`) {
-		// The writer hands some values over quoted already.
+		// The console writer passes some values already quoted.
 		return s
 	}
 	if s == "" || strings.ContainsAny(s, " =\"\n\t") {
--- a/worker/engine/watcher.go
+++ b/worker/engine/watcher.go
@@ -10,20 +10,19 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// Watch asks the engines in targets for their status at each tick, until
-// the context ends.
+// Watch probes the status of the target engines at each tick until the context ends.
 func (c *Client) Watch(
 	ctx context.Context, ticks <-chan timer.Tick,
 	targets <-chan map[models.InstanceID]netip.AddrPort, out chan<- types.Message,
 ) error {
 	p := probe.Prober[models.InstanceID, netip.AddrPort, types.EngineStatus]{
-		Ticks: ticks, Targets: targets, Ask: c.Status,
+		Ticks: ticks, Targets: targets, Probe: c.Status,
 		Deliver: func(ctx context.Context, r probe.Result[models.InstanceID, netip.AddrPort, types.EngineStatus]) {
 			if r.Err != nil {
-				types.Send(ctx, out, types.InstanceSilent{Instance: r.Key, Asked: r.Asked, Err: r.Err})
+				types.Send(ctx, out, types.InstanceSilent{Instance: r.Key, SentAt: r.SentAt, Err: r.Err})
 				return
 			}
-			types.Send(ctx, out, types.InstanceSeen{Instance: r.Key, Addr: r.Target, Asked: r.Asked, Status: r.Answer})
+			types.Send(ctx, out, types.InstanceSeen{Instance: r.Key, Addr: r.Target, SentAt: r.SentAt, Status: r.Response})
 		},
 	}
 	return p.Run(ctx)
--- a/worker/platform/client.go
+++ b/worker/platform/client.go
@@ -17,20 +17,19 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Errors that calls to the platform return.
+// Errors of calls to the platform.
 var (
-	// ErrRefused: the platform said that it did not do what it was asked.
+	// ErrRefused: the platform reported that it did not carry out the call.
 	ErrRefused = errors.New("the platform refused")
-	// ErrUnknown: the platform's answer was lost; the call may have taken
-	// effect.
+	// ErrUnknown: the platform's response was lost; the call may have taken effect.
 	ErrUnknown = errors.New("no answer from the platform")
 	// ErrExpired: the log no longer holds the offset.
 	ErrExpired = errors.New("the log no longer holds this offset")
 )
 
 const (
-	callTimeout = 2 * time.Second
-	maxAnswer   = 64 << 20
+	callTimeout    = 2 * time.Second
+	maxResponseLen = 64 << 20
 )
 
 // Client calls the platform's log and instance list.
@@ -40,14 +39,14 @@
 	http *http.Client
 }
 
-// NewClient returns a client of the log and the list at these addresses.
+// NewClient returns a client of the log and the instance list at the given addresses.
 func NewClient(log, list netip.AddrPort, dialer dial.Dialer) *Client {
 	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute}
 	return &Client{log: log, list: list, http: &http.Client{Transport: transport}}
 }
 
-// Append appends one record to a stream. It returns ErrRefused if the log
-// said that it did not take the record, and ErrUnknown if it may have.
+// Append appends one record to a stream. It returns ErrRefused if the log did not accept the
+// record, and ErrUnknown if it may have.
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (models.Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -68,21 +67,21 @@
 		return 0, trace.Wrap(fmt.Errorf("%w: append: %s", ErrUnknown, resp.Status))
 	}
 	var answer AppendAnswer
-	if err := decode(resp.Body, &answer); err != nil {
+	if err := decodeJSON(resp.Body, &answer); err != nil {
 		return 0, trace.Wrap(errors.Join(ErrUnknown, err))
 	}
 	return answer.Offset, nil
 }
 
-// Read reads the stream from the offset on. If there is nothing yet, it
-// waits up to the given time. It returns ErrExpired, with First set in the
-// answer, for an offset that the log no longer holds.
+// Read reads the stream from the offset on. If there are no entries yet, it waits for the given
+// time. For an offset that the log no longer holds it returns ErrExpired and sets First in the
+// answer.
 func (c *Client) Read(ctx context.Context, stream string, from models.Offset, wait time.Duration) (ReadAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	var answer ReadAnswer
 	url := fmt.Sprintf("http://%s/log/%s?from=%d&wait=%s", c.log, stream, from, wait)
-	status, err := c.load(ctx, url, &answer)
+	status, err := c.getJSON(ctx, url, &answer)
 	if err != nil {
 		return ReadAnswer{}, err
 	}
@@ -92,16 +91,16 @@
 	return answer, nil
 }
 
-// Instances reads the platform's list of instances.
+// Instances returns the platform's list of instances.
 func (c *Client) Instances(ctx context.Context) ([]models.Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var answer ListAnswer
-	_, err := c.load(ctx, fmt.Sprintf("http://%s/instances", c.list), &answer)
+	_, err := c.getJSON(ctx, fmt.Sprintf("http://%s/instances", c.list), &answer)
 	return answer.Instances, err
 }
 
-func (c *Client) load(ctx context.Context, url string, out any) (int, error) {
+func (c *Client) getJSON(ctx context.Context, url string, out any) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0, trace.Wrap(err)
@@ -114,9 +113,9 @@
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusGone {
 		return resp.StatusCode, trace.Wrap(fmt.Errorf("%w: %s", ErrRefused, resp.Status))
 	}
-	return resp.StatusCode, trace.Wrap(decode(resp.Body, out))
+	return resp.StatusCode, trace.Wrap(decodeJSON(resp.Body, out))
 }
 
-func decode(body io.Reader, out any) error {
-	return json.NewDecoder(io.LimitReader(body, maxAnswer)).Decode(out)
+func decodeJSON(body io.Reader, out any) error {
+	return json.NewDecoder(io.LimitReader(body, maxResponseLen)).Decode(out)
 }
