--- a/api/auth.go
+++ b/api/auth.go
@@ -11,14 +11,13 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// HashToken returns the hash by which the configuration knows a token.
+// HashToken returns the hash of a token as it is stored in the configuration.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// tokenHash returns the hash of the request's bearer token, empty if it has
-// none.
+// tokenHash returns the hash of the request's bearer token; empty if there is none.
 func tokenHash(r *http.Request) string {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
@@ -27,8 +26,8 @@
 	return HashToken(token)
 }
 
-// hasHash compares with every hash in constant time.
-func hasHash(hashes []string, hash string) bool {
+// containsHash compares the hash with every known hash in constant time.
+func containsHash(hashes []string, hash string) bool {
 	found := 0
 	for _, h := range hashes {
 		found |= subtle.ConstantTimeCompare([]byte(h), []byte(hash))
@@ -36,35 +35,35 @@
 	return found == 1
 }
 
-func workspaceOf(s *state.State, r *http.Request) (models.Workspace, error) {
+func authenticateWorkspace(s *state.State, r *http.Request) (models.Workspace, error) {
 	hash := tokenHash(r)
 	for _, w := range s.Workspaces {
-		if hash != "" && hasHash(w.Tokens, hash) {
+		if hash != "" && containsHash(w.Tokens, hash) {
 			return w, nil
 		}
 	}
-	return models.Workspace{}, ErrToken
+	return models.Workspace{}, ErrUnknownToken
 }
 
-// bootstrapOperator is who acts with the bootstrap token.
+// bootstrapOperator is the name under which the bootstrap token acts.
 const bootstrapOperator models.OperatorName = "bootstrap"
 
-// operatorOf returns the operator who sent the request. The bootstrap token
-// counts only while nobody else may change the configuration.
-func operatorOf(s *state.State, bootstrap string, r *http.Request) (models.Operator, error) {
+// authenticateOperator returns the operator who sent the request. The bootstrap token is valid
+// only while no operator with a token may change the configuration.
+func authenticateOperator(s *state.State, bootstrap string, r *http.Request) (models.Operator, error) {
 	hash := tokenHash(r)
 	if hash == "" {
-		return models.Operator{}, ErrToken
+		return models.Operator{}, ErrUnknownToken
 	}
-	someoneChanges := false
+	changerExists := false
 	for _, o := range s.Operators {
-		if hasHash(o.Tokens, hash) {
+		if containsHash(o.Tokens, hash) {
 			return o, nil
 		}
-		someoneChanges = someoneChanges || (o.Right == models.RightChange && len(o.Tokens) > 0)
+		changerExists = changerExists || (o.Right == models.RightChange && len(o.Tokens) > 0)
 	}
-	if !someoneChanges && bootstrap != "" && hasHash([]string{bootstrap}, hash) {
+	if !changerExists && bootstrap != "" && containsHash([]string{bootstrap}, hash) {
 		return models.Operator{Name: bootstrapOperator, Right: models.RightChange}, nil
 	}
-	return models.Operator{}, ErrToken
+	return models.Operator{}, ErrUnknownToken
 }
--- a/cluster/lease.go
+++ b/cluster/lease.go
@@ -10,132 +10,130 @@
 )
 
 const (
-	// plannerGroup is the store's group whose member that holds partition 0
-	// plans the replica groups.
+	// plannerGroup is the store's consumer group for the planner's lease: the member that holds
+	// partition 0 is the planner.
 	plannerGroup = "lupinkeel-planner"
 	plannerTopic = "planner"
 	plannerPart  = 0
-	// termsTopic gives each planner its term: the place of its record.
+	// termsTopic assigns terms: the position of a planner's record is its term.
 	termsTopic = "terms"
-	// termEraBits is how far an era of the store is shifted in a term: it has room for a
-	// million terms, and for 8,000 eras until a fence leaves the whole numbers that JSON
-	// carries exactly.
+	// termEraBits is the shift of the store's era in a term. It leaves room for a million terms per
+	// era, and for 8,000 eras until a fence exceeds the integers that JSON carries exactly.
 	termEraBits = 20
-	// renewDiv is how many times a lease is renewed while it lasts. It lasts
-	// as short as the store grants, so that another takes over soon.
-	renewDiv = 4
-	// leaseMargin is how much sooner than the store a holder takes its lease
-	// for ended.
+	// renewalsPerLease is how often a lease is renewed during its term. The lease is the shortest
+	// that the store grants, so that another daemon takes over soon.
+	renewalsPerLease = 4
+	// leaseMargin is how much earlier than the store the holder regards its lease as expired.
 	leaseMargin = 100 * time.Millisecond
-	// meetOthers is how long a daemon waits at its start to hear of others
-	// before it asks for the lease.
-	meetOthers = 350 * time.Millisecond
-	// renewTimeout bounds one renewal.
+	// peerDiscoveryDelay is how long a starting daemon waits for heartbeats of others before it
+	// asks for the lease.
+	peerDiscoveryDelay = 350 * time.Millisecond
+	// renewTimeout bounds each call for the lease or a term.
 	renewTimeout = 400 * time.Millisecond
 )
 
-// holdLease keeps asking the store for the planner's lease while this node is a
-// candidate for it.
+// holdLease acquires and renews the planner's lease while this node is a candidate.
 func (n *Node) holdLease(ctx context.Context) error {
 	h := leaseHolder{n: n, member: string(n.cfg.ID) + "-" + time.Unix(0, n.started).UTC().Format("150405.000")}
-	defer n.leaveLease(ctx, h.member)
-	if err := pause(ctx, meetOthers); err != nil {
+	defer n.releaseLease(ctx, h.member)
+	if err := sleep(ctx, peerDiscoveryDelay); err != nil {
 		return err
 	}
 	for {
-		wait := askPause
+		wait := candidacyCheckInterval
 		if n.View().candidate {
-			asked := time.Now()
-			if err := h.ask(ctx); err != nil {
+			requestedAt := time.Now()
+			if err := h.acquire(ctx); err != nil {
 				return err
 			}
-			// The wait for the answer counts: where it is long the lease would end else.
-			wait = n.cfg.LeaseMin/renewDiv - time.Since(asked)
+			// The time for the answer is part of the interval; otherwise the lease could expire
+			// after a slow answer.
+			wait = n.cfg.LeaseMin/renewalsPerLease - time.Since(requestedAt)
 		} else {
-			h.standAside(ctx)
+			h.release(ctx)
 		}
-		if err := pause(ctx, wait); err != nil {
+		if err := sleep(ctx, wait); err != nil {
 			return err
 		}
 	}
 }
 
-// leaseHolder is a node as a member of the store's group of planners.
+// leaseHolder is this node as a member of the store's planner group.
 type leaseHolder struct {
 	n      *Node
 	member string
-	// generation is what the store named last, term the one in which the node
-	// holds the lease, 0 if it does not.
+	// generation is the last group generation that the store returned, term the term in which this
+	// node holds the lease, 0 if it does not hold it.
 	generation int64
 	term       int64
-	// era is the store's in which the term began.
+	// era is the store's era in which the term began.
 	era int64
-	// told is the term that the owner was told last.
-	told int64
+	// postedTerm is the last term that was posted to the owner.
+	postedTerm int64
 }
 
-// ask asks for the lease, or for more of it, and tells the owner what came of
-// that. It fails only if the context ended.
-func (h *leaseHolder) ask(ctx context.Context) error {
+// acquire acquires or renews the lease and posts the result to the owner. It returns an error only
+// if the context ended.
+func (h *leaseHolder) acquire(ctx context.Context) error {
 	n, ttl := h.n, h.n.cfg.LeaseMin
-	n.leasing.Store(true)
-	asked := time.Now()
+	n.inLeaseGroup.Store(true)
+	requestedAt := time.Now()
 	held, lease, err := n.renew(ctx, h.member, ttl, h.generation)
 	switch {
 	case ctx.Err() != nil:
 		return ctx.Err()
 	case err != nil:
 		n.stats.storeErrors.Inc()
-		n.tell(ctx, storeAway{what: plannerGroup, err: err})
+		n.post(ctx, storeCallFailed{what: plannerGroup, err: err})
 		return nil
 	}
 	h.generation = lease.Generation
 	era := lease.Era
 	if !held {
-		h.endTerm(ctx, "dealt to another")
+		h.endTerm(ctx, "assigned to another daemon")
 		return nil
 	}
-	if h.term == 0 || h.term == n.spentTerm.Load() || h.era < era {
-		// The store forgets terms that were begun shortly before it came back from a copy;
-		// one that it has forgotten may be another's now.
+	if h.term == 0 || h.term == n.lastEndedTerm.Load() || h.era < era {
+		// A restored store has lost terms that began shortly before, and may assign the term of
+		// this node to another one.
 		h.term, h.era = n.beginTerm(ctx)
 	}
 	if h.term != 0 {
-		h.tellHeld(ctx, leaseHeld{term: h.term, until: asked.Add(ttl - leaseMargin)})
+		h.postHeld(ctx, leaseHeld{term: h.term, until: requestedAt.Add(ttl - leaseMargin)})
 	}
 	return nil
 }
 
-// tellHeld tells the owner of a new term. That a lease was renewed it reads itself:
-// with 3,000 instances 256 messages waited for the owner, and the word of the
-// renewal, as well as the renewal after it, came after the lease had ended.
-func (h *leaseHolder) tellHeld(ctx context.Context, l leaseHeld) {
+// postHeld posts a new term to the owner. The owner reads renewals from Node.lease: with 3,000
+// instances 256 messages were queued for the owner, and the message of a renewal, as well as the
+// one after it, came up only after the lease had expired.
+func (h *leaseHolder) postHeld(ctx context.Context, l leaseHeld) {
 	h.n.lease.Store(&l)
-	if h.told != l.term {
-		h.n.tell(ctx, l)
+	if h.postedTerm != l.term {
+		h.n.post(ctx, l)
 	}
-	h.told = l.term
+	h.postedTerm = l.term
 }
 
-// standAside leaves the lease to other candidates.
-func (h *leaseHolder) standAside(ctx context.Context) {
-	h.endTerm(ctx, "others come before this one")
-	if h.n.leasing.Load() {
-		h.n.leaveLease(ctx, h.member)
+// release leaves the lease to other candidates.
+func (h *leaseHolder) release(ctx context.Context) {
+	h.endTerm(ctx, "other daemons take precedence")
+	if h.n.inLeaseGroup.Load() {
+		h.n.releaseLease(ctx, h.member)
 	}
 	h.generation = 0
 }
 
-// endTerm tells the owner, if the node held the lease, that it does no more.
+// endTerm posts to the owner that the term is over, if this node held the lease.
 func (h *leaseHolder) endTerm(ctx context.Context, reason string) {
 	if h.term != 0 {
-		h.n.tell(ctx, leaseLost{reason: reason})
+		h.n.post(ctx, leaseLost{reason: reason})
 	}
 	h.term = 0
 }
 
-// renew asks for the lease and reports whether this node holds it, with what the store
-// answered.
+// renew asks the store for the lease and returns whether this node holds it, with the store's
+// answer.
 func (n *Node) renew(ctx context.Context, member string, ttl time.Duration, generation int64) (bool, platform.Lease, error) {
 	n.stats.storeCalls(plannerGroup).Inc()
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
@@ -147,8 +145,8 @@
 	return slices.Contains(lease.Parts, plannerPart), lease, nil
 }
 
-// beginTerm returns a term newer than all before, and its era; 0 if the store gave
-// none, so that it is asked again at the next renewal.
+// beginTerm returns a term higher than all before and its era, or 0 if the store failed. Then the
+// next renewal tries again.
 func (n *Node) beginTerm(ctx context.Context) (term, era int64) {
 	n.stats.storeCalls(termsTopic).Inc()
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
@@ -161,9 +159,9 @@
 	return at.Era<<termEraBits + at.Offset + 1, at.Era
 }
 
-// leaveLease lets another take over at once.
-func (n *Node) leaveLease(ctx context.Context, member string) {
-	n.leasing.Store(false)
+// releaseLease leaves the store's planner group, so that another daemon takes over at once.
+func (n *Node) releaseLease(ctx context.Context, member string) {
+	n.inLeaseGroup.Store(false)
 	n.stats.storeCalls(plannerGroup).Inc()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), renewTimeout)
 	defer cancel()
--- a/cluster/limits.go
+++ b/cluster/limits.go
@@ -12,27 +12,27 @@
 	"github.com/lupinkeel/lupinkeel/ratelimit"
 )
 
-// Limits holds what all daemons heard of the requests a second that instances take. It is
-// safe for use by several goroutines.
+// Limits holds the rate limits, in requests per second, that instances named in answers to any
+// daemon. It is safe for concurrent use.
 type Limits struct {
 	self models.DaemonID
-	// began is when the daemon did.
+	// began is when the daemon started.
 	began   time.Time
 	log     zerolog.Logger
 	changes *metrics.Counter
-	// known tells that any limit is known at all.
-	known atomic.Bool
-	// found is called when this daemon heard something that others are to be told.
-	found func()
+	// nonEmpty is set if any limit is known.
+	nonEmpty atomic.Bool
+	// onChange is called when there is a change to send to other daemons.
+	onChange func()
 
 	mu     sync.Mutex
 	limits ratelimit.Limits
 }
 
-// NewLimits returns what is known before any instance named a limit. The function is called
-// when there is something to tell other daemons.
+// NewLimits returns Limits without any limit. found is called when there is a change to send to
+// other daemons.
 func NewLimits(self models.DaemonID, found func(), set *metrics.Set, log zerolog.Logger) *Limits {
-	l := &Limits{self: self, began: time.Now(), log: log, found: found, changes: set.NewCounter("lupinkeel_instance_limit_changes_total")}
+	l := &Limits{self: self, began: time.Now(), log: log, onChange: found, changes: set.NewCounter("lupinkeel_instance_limit_changes_total")}
 	set.NewGauge("lupinkeel_limited_instances", func() float64 {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -41,23 +41,22 @@
 	return l
 }
 
-// Heard notes what an answer told of its instance's limit.
+// Heard records the limit in an answer that this daemon received.
 func (l *Limits) Heard(s ratelimit.Sighting) {
 	if s.Rate == models.NoLimit && !l.Any() {
 		return
 	}
-	// The steady clock is read for what is added: the time of day may go back.
+	// The elapsed time is monotonic; the wall clock may go back.
 	s.By, s.Number = l.self, l.began.UnixNano()+int64(time.Since(l.began))
-	if l.add(s, "") {
-		l.found()
+	if l.record(s, "") {
+		l.onChange()
 	}
 }
 
-// Any reports whether any limit is known. Where none is, answers and instances need not be
-// looked up.
-func (l *Limits) Any() bool { return l.known.Load() }
+// Any reports whether any limit is known. If not, no answer or instance needs to be looked up.
+func (l *Limits) Any() bool { return l.nonEmpty.Load() }
 
-// Rate is how many requests a second an instance may get from all daemons together.
+// Rate returns the requests per second that an instance may get from all daemons together.
 func (l *Limits) Rate(i models.UpstreamInstance, now time.Time) float64 {
 	if !l.Any() {
 		return models.NoLimit
@@ -67,16 +66,16 @@
 	return l.limits.Rate(i, now)
 }
 
-// add takes in a sighting, tells in the log what it changed, and reports whether there is
-// something to tell others.
-func (l *Limits) add(s ratelimit.Sighting, from ratelimit.Source) bool {
+// record adds a sighting, logs the change and reports whether there is a change to send to other
+// daemons.
+func (l *Limits) record(s ratelimit.Sighting, from ratelimit.Source) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before := l.limits.Named(s.Instance)
-	change, tell := l.limits.Note(s, from)
-	l.known.Store(!l.limits.Empty())
+	change, changed := l.limits.Note(s, from)
+	l.nonEmpty.Store(!l.limits.Empty())
 	if change == ratelimit.Unchanged {
-		return tell
+		return changed
 	}
 	l.changes.Inc()
 	event := l.log.Info().Str("instance", string(s.Instance)).Str("from", string(from)).Dur("age", time.Since(s.Heard))
@@ -88,10 +87,10 @@
 	default:
 		event.Float64("before", before).Msg("limit-ended")
 	}
-	return tell
+	return changed
 }
 
-// Prune forgets limits that ended long ago, and those of instances that are not there.
+// Prune drops limits that ended long ago, and those of removed instances.
 func (l *Limits) Prune(there map[models.InstanceID]models.UpstreamInstance) {
 	if !l.Any() {
 		return
@@ -103,72 +102,72 @@
 		_, known := there[id]
 		return !known
 	}, now)
-	l.known.Store(!l.limits.Empty())
+	l.nonEmpty.Store(!l.limits.Empty())
 }
 
-// LimitNews is what a daemon tells others of an instance's limit.
-type LimitNews struct {
+// LimitUpdate is an observation of an instance's limit as daemons send it to each other.
+type LimitUpdate struct {
 	Instance models.InstanceID `msgpack:"i"`
 	Born     time.Time         `msgpack:"b,omitempty"`
 	Rate     float64           `msgpack:"r"`
-	// Asked and Heard are how long ago the request was sent, and the head of its answer
-	// came.
-	Asked time.Duration `msgpack:"q"`
-	Heard time.Duration `msgpack:"h"`
-	// By is the daemon that heard the answer, Number rises with what it hears.
-	By     models.DaemonID `msgpack:"d"`
-	Number int64           `msgpack:"n"`
+	// RequestAge is the time since the request was sent, AnswerAge the time since the head of its
+	// answer arrived.
+	RequestAge time.Duration `msgpack:"q"`
+	AnswerAge  time.Duration `msgpack:"h"`
+	// Observer is the daemon that received the answer. Seq increases with each of its observations.
+	Observer models.DaemonID `msgpack:"d"`
+	Seq      int64           `msgpack:"n"`
 }
 
-// sighting is what the news tell, received at some time.
-func (n LimitNews) sighting(at time.Time) ratelimit.Sighting {
+// toSighting converts an update received at a time.
+func (n LimitUpdate) toSighting(at time.Time) ratelimit.Sighting {
 	return ratelimit.Sighting{
-		Instance: n.Instance, Born: n.Born, Rate: n.Rate, Asked: at.Add(-n.Asked), Heard: at.Add(-n.Heard), By: n.By, Number: n.Number,
+		Instance: n.Instance, Born: n.Born, Rate: n.Rate, Asked: at.Add(-n.RequestAge), Heard: at.Add(-n.AnswerAge), By: n.Observer, Number: n.Seq,
 	}
 }
 
-// since is what another daemon is to be told that was learned after a change, and the
-// newest change.
-func (l *Limits) since(seen uint64, to models.DaemonID, which tells) ([]LimitNews, uint64) {
+// changesSince returns the sightings in scope that are newer than a change number, and the newest
+// change number.
+func (l *Limits) changesSince(seen uint64, to models.DaemonID, scope findingScope) ([]LimitUpdate, uint64) {
 	if !l.Any() {
 		return nil, seen
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sightings, last := l.limits.Since(seen, func(from ratelimit.Source) bool {
-		return from == "" || (which == tellAll && from != to)
+		return from == "" || (scope == allFindings && from != to)
 	})
 	now := time.Now()
-	out := make([]LimitNews, len(sightings))
+	out := make([]LimitUpdate, len(sightings))
 	for n, s := range sightings {
-		out[n] = LimitNews{
-			Instance: s.Instance, Born: s.Born, Rate: s.Rate, Asked: now.Sub(s.Asked), Heard: now.Sub(s.Heard), By: s.By, Number: s.Number,
+		out[n] = LimitUpdate{
+			Instance: s.Instance, Born: s.Born, Rate: s.Rate, RequestAge: now.Sub(s.Asked), AnswerAge: now.Sub(s.Heard), Observer: s.By, Seq: s.Number,
 		}
 	}
 	return out, last
 }
 
-// takeLimits takes in what another daemon tells, and has those told who rely on this one.
-func (n *Node) takeLimits(news []LimitNews, from models.DaemonID) {
-	now, tell := time.Now(), false
-	for _, told := range news {
-		tell = n.limits.add(told.sighting(now), from) || tell
+// handleLimits records limits from another daemon and forwards the new ones.
+func (n *Node) handleLimits(updates []LimitUpdate, from models.DaemonID) {
+	now, changed := time.Now(), false
+	for _, u := range updates {
+		changed = n.limits.record(u.toSighting(now), from) || changed
 	}
-	if tell {
-		n.tellLimits()
+	if changed {
+		n.notifyLimits()
 	}
 }
 
-// tellLimits has all daemons that this one is linked to told what is new of limits, and whom
-// this one asks for permits.
-func (n *Node) tellLimits() {
-	n.links.wakeAll()
+// notifyLimits makes the links send changed limits, and has the owner tell granters that this node
+// needs permits.
+func (n *Node) notifyLimits() {
+	n.links.notifyAll()
 	select {
 	case n.inbox <- limitsChanged{}:
 	default:
-		// The owner is behind; it tells with the next heartbeats.
+		// The inbox is full; the next heartbeats tell the granters.
 	}
 }
 
-// Limits holds the limits that instances name.
+// Limits returns the rate limits that instances name.
 func (n *Node) Limits() *Limits { return n.limits }
--- a/cluster/link.go
+++ b/cluster/link.go
@@ -15,184 +15,182 @@
 )
 
 const (
-	// heartbeatEvery is how often a daemon tells another of itself that relies on
-	// it, sparseEvery how often it tells one on which it relies.
-	heartbeatEvery = 300 * time.Millisecond
-	sparseEvery    = 1200 * time.Millisecond
-	// writeTimeout bounds the sending of one message to another daemon: news of 766
-	// instances to 58 daemons take a relay with 200 Mbit/s 0.3 s.
+	// heartbeatInterval is the interval of heartbeats to a daemon that depends on them, and
+	// relayHeartbeatInterval the longer one of heartbeats from a daemon to its relay.
+	heartbeatInterval      = 300 * time.Millisecond
+	relayHeartbeatInterval = 1200 * time.Millisecond
+	// writeTimeout bounds sending one message to another daemon. A snapshot of 766 instances for 58
+	// daemons takes a relay 0.3 s at 200 Mbit/s.
 	writeTimeout = 1500 * time.Millisecond
-	// redialPause is the first pause before a connection is made again.
-	redialPause = 300 * time.Millisecond
-	// mostRedial bounds the pause, which doubles while a daemon does not
-	// answer: those that were replaced at another address never will.
-	mostRedial = 1200 * time.Millisecond
+	// minRedialBackoff is the pause before the first attempt to reconnect.
+	minRedialBackoff = 300 * time.Millisecond
+	// maxRedialBackoff bounds the pause, which doubles while a daemon does not answer. Daemons that
+	// were replaced at another address never answer.
+	maxRedialBackoff = 1200 * time.Millisecond
 )
 
-// link is what one connection to another daemon is fed by.
-type link struct {
+// linkConfig describes the link to another daemon.
+type linkConfig struct {
 	id   models.DaemonID
 	addr netip.AddrPort
-	// zone says in the metrics whether the other daemon is in this one's zone.
+	// zone is the zone label of the link's metrics: "own" or "other".
 	zone string
-	end  *linkEnd
+	peer *peerLink
 }
 
-// keepLink tells one other daemon of this one, on one connection after the
-// other.
-func (n *Node) keepLink(ctx context.Context, l link) error {
-	wait := redialPause
+// maintainLink keeps a connection to another daemon open until the context ends.
+func (n *Node) maintainLink(ctx context.Context, l linkConfig) error {
+	wait := minRedialBackoff
 	for ctx.Err() == nil {
 		began := time.Now()
 		err := n.runLink(ctx, l)
 		n.log.Debug().Str("peer", string(l.id)).Err(err).Msg("link-ended")
-		if time.Since(began) > mostRedial {
-			wait = redialPause
+		if time.Since(began) > maxRedialBackoff {
+			wait = minRedialBackoff
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-l.end.back:
-			wait = redialPause
+		case <-l.peer.peerRestarted:
+			wait = minRedialBackoff
 		case <-time.After(wait):
-			wait = min(mostRedial, 2*wait)
+			wait = min(maxRedialBackoff, 2*wait)
 		}
 	}
 	return nil
 }
 
-// runLink tells on one connection until it fails.
-func (n *Node) runLink(ctx context.Context, l link) error {
+// runLink connects to another daemon and sends to it until the connection fails.
+func (n *Node) runLink(ctx context.Context, l linkConfig) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	dialed, err := dialer.DialContext(ctx, "tcp4", l.addr.String())
 	if err != nil {
 		return err
 	}
-	t := &teller{framedConn: n.framed(dialed, l.zone), n: n, link: l}
+	t := &linkWriter{framedConn: n.framed(dialed, l.zone), n: n, link: l}
 	defer t.Close()
 	stop := context.AfterFunc(ctx, func() { t.Close() })
 	defer stop()
-	n.links.unsync(l.end)
-	if err := t.beat(); err != nil {
+	n.links.resetQueue(l.peer)
+	if err := t.sendHeartbeat(); err != nil {
 		return err
 	}
 	return t.run(ctx)
 }
 
-// teller tells another daemon of this one on one connection.
-type teller struct {
+// linkWriter sends this daemon's messages to another daemon on one connection.
+type linkWriter struct {
 	framedConn
 	n    *Node
-	link link
-	// met tells that the first heartbeat was sent, beaten when the last one was.
-	met    bool
-	beaten time.Time
-	// config is the version of the configuration that was handed over last, loads
-	// the last change of this daemon's loads that was told; zero if none was.
-	config int64
-	loads  uint64
-	// crashes, limits and signals are the last changes that were told of what is known of
-	// crashed instances, of instances' limits, and of what they ask for; toldFound tells
-	// that all before them were.
-	crashes   uint64
-	limits    uint64
-	signals   uint64
-	toldFound bool
+	link linkConfig
+	// sentFullHeartbeat is set once the complete heartbeat was sent, lastHeartbeat is when the last
+	// heartbeat was sent.
+	sentFullHeartbeat bool
+	lastHeartbeat     time.Time
+	// sentConfig is the last version of the configuration that was sent, sentLoads the last change
+	// number of this daemon's loads that was sent; 0 if none was.
+	sentConfig int64
+	sentLoads  uint64
+	// sentCrashes, sentLimits and sentSignals are the last change numbers of crashes, rate limits
+	// and signals that were sent. sentAllFindings is set once everything known at the start was
+	// sent.
+	sentCrashes     uint64
+	sentLimits      uint64
+	sentSignals     uint64
+	sentAllFindings bool
 }
 
-func (t *teller) run(ctx context.Context) error {
-	beats := time.NewTicker(heartbeatEvery)
-	defer beats.Stop()
-	end := t.link.end
+func (t *linkWriter) run(ctx context.Context) error {
+	heartbeats := time.NewTicker(heartbeatInterval)
+	defer heartbeats.Stop()
+	peer := t.link.peer
 	var err error
 	for err == nil {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case now := <-beats.C:
-			// Tickers fire a little early or late.
-			if now.Sub(t.beaten) >= t.n.beatEvery(*end.attrs.Load())-heartbeatEvery/2 {
-				err = t.beat()
+		case now := <-heartbeats.C:
+			// Tickers fire slightly early or late.
+			if now.Sub(t.lastHeartbeat) >= t.n.heartbeatIntervalFor(*peer.sharedRole.Load())-heartbeatInterval/2 {
+				err = t.sendHeartbeat()
 			}
-		case <-end.beat:
-			err = t.beat()
-		case <-end.woken:
-			if err = t.tellLoads(); err == nil {
-				err = t.tellFound()
+		case <-peer.heartbeatDue:
+			err = t.sendHeartbeat()
+		case <-peer.updatesReady:
+			if err = t.sendLoads(); err == nil {
+				err = t.sendFindings()
 			}
-		case f := <-end.frames:
-			err = t.sendFrame(f.forEnd(end))
+		case f := <-peer.frames:
+			err = t.sendFrame(f.forPeer(peer))
 		}
 	}
 	return err
 }
 
-// beat sends a heartbeat, the loads, crashes and limits that are new, and the configuration
-// if the other daemon asks for it.
-func (t *teller) beat() error {
-	t.beaten = time.Now()
-	beat := t.n.heartbeat(t.link.id, *t.link.end.attrs.Load())
-	if t.met {
-		beat = beat.short()
+// sendHeartbeat sends a heartbeat, then changed loads, crashes, rate limits and signals, and the
+// configuration if the peer asks for it.
+func (t *linkWriter) sendHeartbeat() error {
+	t.lastHeartbeat = time.Now()
+	heartbeat := t.n.heartbeat(t.link.id, *t.link.peer.sharedRole.Load())
+	if t.sentFullHeartbeat {
+		heartbeat = heartbeat.abbreviated()
 	}
-	if err := t.send(frameHeartbeat, beat); err != nil {
+	if err := t.send(frameHeartbeat, heartbeat); err != nil {
 		return err
 	}
-	t.met = true
-	if err := t.tellLoads(); err != nil {
+	t.sentFullHeartbeat = true
+	if err := t.sendLoads(); err != nil {
 		return err
 	}
-	if err := t.tellFound(); err != nil {
+	if err := t.sendFindings(); err != nil {
 		return err
 	}
-	return t.tellConfig()
+	return t.sendConfig()
 }
 
-// tellLoads tells the loads that have changed since an earlier call; the first
-// one tells all. One that is not to know them any more is told that there are
-// none.
-func (t *teller) tellLoads() error {
-	if !t.n.tellsLoads(*t.link.end.attrs.Load()) {
-		if t.loads == 0 {
+// sendLoads sends the loads that changed since the last call; the first call sends all. A peer that
+// is not to have them any more gets an empty full update.
+func (t *linkWriter) sendLoads() error {
+	if !t.n.sendsLoadsTo(*t.link.peer.sharedRole.Load()) {
+		if t.sentLoads == 0 {
 			return nil
 		}
-		forgotten := News{Change: t.loads + 1, All: true}
-		t.loads = 0
-		return t.send(frameLoads, forgotten)
+		withdrawn := Update{LoadsVersion: t.sentLoads + 1, Full: true}
+		t.sentLoads = 0
+		return t.send(frameLoads, withdrawn)
 	}
-	loads, last := t.n.traffic.LoadsSince(t.loads)
-	if len(loads) == 0 && t.loads > 0 {
+	loads, last := t.n.traffic.LoadsSince(t.sentLoads)
+	if len(loads) == 0 && t.sentLoads > 0 {
 		return nil
 	}
-	news := News{Change: last, All: t.loads == 0, Loads: loads}
-	t.loads = max(1, last)
-	return t.send(frameLoads, news)
+	update := Update{LoadsVersion: last, Full: t.sentLoads == 0, Loads: loads}
+	t.sentLoads = max(1, last)
+	return t.send(frameLoads, update)
 }
 
-// tellConfig hands the configuration over to a daemon that asks for it.
-func (t *teller) tellConfig() error {
+// sendConfig sends the configuration to a peer that asks for it.
+func (t *linkWriter) sendConfig() error {
 	v := t.n.View()
-	if !v.wantedBy[t.link.id] || v.version() <= t.config {
+	if !v.configRequesters[t.link.id] || v.version() <= t.sentConfig {
 		return nil
 	}
 	c := ConfigCopy{Version: v.version(), Age: time.Since(v.Proven), Data: v.config}
-	t.config = c.Version
+	t.sentConfig = c.Version
 	return t.send(frameConfig, c)
 }
 
-// tellsLoads reports whether a daemon is told of this one's loads.
-func (n *Node) tellsLoads(l membership.Link) bool { return l.RelaysFirst || n.View().mesh() }
+// sendsLoadsTo reports whether this daemon sends its own loads to a peer.
+func (n *Node) sendsLoadsTo(l membership.Link) bool { return l.RelaysFirst || n.View().mesh() }
 
-// beatEvery is how often a daemon is told of this one.
-func (n *Node) beatEvery(l membership.Link) time.Duration {
+// heartbeatIntervalFor returns the interval of heartbeats to a peer.
+func (n *Node) heartbeatIntervalFor(l membership.Link) time.Duration {
 	if l.Often || n.planning.Load() {
-		return heartbeatEvery
+		return heartbeatInterval
 	}
-	return sparseEvery
+	return relayHeartbeatInterval
 }
 
-// framedConn is a connection to another daemon that counts what is sent on it
-// by the kind of frame.
+// framedConn is a connection to another daemon that counts the sent bytes by frame kind.
 type framedConn struct {
 	net.Conn
 	sent map[frame.Kind]*metrics.Counter
@@ -206,7 +204,7 @@
 	return c
 }
 
-// send sends a value as one frame.
+// send encodes a value and sends it as one frame.
 func (c framedConn) send(kind frame.Kind, value any) error {
 	f, err := frame.Encode(kind, value)
 	if err != nil {
--- a/cluster/loads.go
+++ b/cluster/loads.go
@@ -8,158 +8,155 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// peerLoads sums what other daemons tell of the loads that they cause. It is
-// safe for use by several goroutines.
+// peerLoads is the sum of the loads that other daemons cause. It is safe for concurrent use.
 type peerLoads struct {
-	mu  sync.Mutex
-	by  map[models.DaemonID]*toldLoads
-	sum map[models.InstanceID]Load
+	mu       sync.Mutex
+	byDaemon map[models.DaemonID]*daemonLoads
+	sum      map[models.InstanceID]Load
 }
 
-// toldLoads is what one daemon told of its loads, or of those of several.
-type toldLoads struct {
+// daemonLoads are the loads that one daemon sent, its own or the total over several daemons.
+type daemonLoads struct {
 	loads map[models.InstanceID]Load
-	// of tells whose loads they are, zone the zone of the daemon that told them.
-	of   loadsOf
-	zone models.Zone
-	// incarnation is the run of the daemon that told, change numbers what it told
-	// last.
+	// scope tells whose loads these are, zone is the zone of the sender.
+	scope loadScope
+	zone  models.Zone
+	// incarnation is the incarnation of the sender, version the number of its last change.
 	incarnation int64
-	change      uint64
-	// heard is when something came last.
-	heard time.Time
+	version     uint64
+	// receivedAt is when loads last arrived.
+	receivedAt time.Time
 }
 
 func newPeerLoads() *peerLoads {
-	return &peerLoads{by: map[models.DaemonID]*toldLoads{}, sum: map[models.InstanceID]Load{}}
+	return &peerLoads{byDaemon: map[models.DaemonID]*daemonLoads{}, sum: map[models.InstanceID]Load{}}
 }
 
-// take takes in what a daemon of a zone tells of loads, unless it told something
-// newer before. Of the loads of all daemons this one's own are left out.
-func (p *peerLoads) take(news News, zone models.Zone, own func() map[models.InstanceID]Load) {
-	if len(news.Loads) == 0 && !news.All {
+// apply applies the loads in an update from a daemon of a zone, unless a newer update was applied.
+// own returns this daemon's loads, which are subtracted from the cluster's total.
+func (p *peerLoads) apply(update Update, zone models.Zone, own func() map[models.InstanceID]Load) {
+	if len(update.Loads) == 0 && !update.Full {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	told := p.by[news.From]
-	if told != nil && (news.Incarnation < told.incarnation || (news.Incarnation == told.incarnation && news.Change < told.change)) {
+	known := p.byDaemon[update.From]
+	if known != nil && (update.Incarnation < known.incarnation || (update.Incarnation == known.incarnation && update.LoadsVersion < known.version)) {
 		return
 	}
-	if told == nil || told.incarnation != news.Incarnation || told.of != news.Of {
-		if !news.All {
-			// Changes of what was not told say nothing.
+	if known == nil || known.incarnation != update.Incarnation || known.scope != update.Scope {
+		if !update.Full {
+			// Changes can't be applied without the full loads that they refer to.
 			return
 		}
-		p.replace(news.From, news.Of, zone)
-		told = &toldLoads{loads: map[models.InstanceID]Load{}, of: news.Of, zone: zone, incarnation: news.Incarnation}
-		p.by[news.From] = told
-	}
-	told.change, told.heard = news.Change, time.Now()
-	if news.All {
-		for id := range told.loads {
-			if _, still := news.Loads[id]; !still {
-				p.set(told, id, Load{})
+		p.replace(update.From, update.Scope, zone)
+		known = &daemonLoads{loads: map[models.InstanceID]Load{}, scope: update.Scope, zone: zone, incarnation: update.Incarnation}
+		p.byDaemon[update.From] = known
+	}
+	known.version, known.receivedAt = update.LoadsVersion, time.Now()
+	if update.Full {
+		for id := range known.loads {
+			if _, still := update.Loads[id]; !still {
+				p.set(known, id, Load{})
 			}
 		}
 	}
 	var mine map[models.InstanceID]Load
-	if news.Of == loadsOfAll {
+	if update.Scope == scopeCluster {
 		mine = own()
 	}
-	for id, load := range news.Loads {
-		p.set(told, id, load.without(mine[id]))
+	for id, load := range update.Loads {
+		p.set(known, id, load.without(mine[id]))
 	}
 }
 
-// replace forgets what a new word of the loads of several daemons takes the place
-// of: another relay of the same zone told it before, or this daemon was told
-// zone by zone. The loads must be locked.
-func (p *peerLoads) replace(from models.DaemonID, of loadsOf, zone models.Zone) {
-	p.forget(from)
-	for id, told := range p.by {
+// replace removes loads that a new sender's loads supersede: its own earlier ones and, for totals,
+// those from another relay of the same zone, or those by zone if the new ones cover the cluster,
+// and the reverse. The caller must hold the lock.
+func (p *peerLoads) replace(from models.DaemonID, scope loadScope, zone models.Zone) {
+	p.removeLocked(from)
+	for id, known := range p.byDaemon {
 		switch {
-		case of == loadsOfOne, told.of == loadsOfOne:
-		case of == loadsOfAll, told.of == loadsOfAll, told.zone == zone:
-			p.forget(id)
+		case scope == scopeDaemon, known.scope == scopeDaemon:
+		case scope == scopeCluster, known.scope == scopeCluster, known.zone == zone:
+			p.removeLocked(id)
 		}
 	}
 }
 
-// without is the load less a part of it that may have changed since.
+// without subtracts a part of the load, which may have changed since the total was taken.
 func (l Load) without(part Load) Load {
 	return Load{Requests: max(0, l.Requests-part.Requests), Unread: max(0, l.Unread-part.Unread)}
 }
 
-// set puts one load in the place of what the daemon told before. The loads
-// must be locked.
-func (p *peerLoads) set(told *toldLoads, id models.InstanceID, load Load) {
-	sum, before := p.sum[id], told.loads[id]
+// set replaces a sender's load on one instance. The caller must hold the lock.
+func (p *peerLoads) set(from *daemonLoads, id models.InstanceID, load Load) {
+	sum, before := p.sum[id], from.loads[id]
 	sum.Requests += load.Requests - before.Requests
 	sum.Unread += load.Unread - before.Unread
-	p.sum[id], told.loads[id] = sum, load
+	p.sum[id], from.loads[id] = sum, load
 	if load == (Load{}) {
-		delete(told.loads, id)
+		delete(from.loads, id)
 	}
 	if sum == (Load{}) {
 		delete(p.sum, id)
 	}
 }
 
-// drop forgets what a daemon that is gone told.
-func (p *peerLoads) drop(id models.DaemonID) {
+// remove removes the loads that a daemon sent.
+func (p *peerLoads) remove(id models.DaemonID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forget(id)
+	p.removeLocked(id)
 }
 
-// forget is drop for loads that are locked.
-func (p *peerLoads) forget(id models.DaemonID) {
-	told := p.by[id]
-	if told == nil {
+// removeLocked is remove for callers that hold the lock.
+func (p *peerLoads) removeLocked(id models.DaemonID) {
+	known := p.byDaemon[id]
+	if known == nil {
 		return
 	}
-	for instance := range told.loads {
-		p.set(told, instance, Load{})
+	for instance := range known.loads {
+		p.set(known, instance, Load{})
 	}
-	delete(p.by, id)
+	delete(p.byDaemon, id)
 }
 
-// dropSums forgets the loads of several daemons, whoever told them: this daemon
-// relies on another relay from now on.
-func (p *peerLoads) dropSums() {
+// removeTotals removes the totals of several daemons from any sender, because this daemon has
+// another primary relay now.
+func (p *peerLoads) removeTotals() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, told := range p.by {
-		if told.of != loadsOfOne {
-			p.forget(id)
+	for id, known := range p.byDaemon {
+		if known.scope != scopeDaemon {
+			p.removeLocked(id)
 		}
 	}
 }
 
-// staleSums is for how long no loads of several daemons may come until what was
-// told before counts for nothing: requests last a second or so.
-const staleSums = time.Second
+// totalsTimeout is the time without new totals after which the last ones are dropped. Requests
+// last a second or so.
+const totalsTimeout = time.Second
 
-// prune forgets sums that are old.
+// prune removes totals older than totalsTimeout.
 func (p *peerLoads) prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, told := range p.by {
-		if told.of != loadsOfOne && now.Sub(told.heard) > staleSums {
-			p.forget(id)
+	for id, known := range p.byDaemon {
+		if known.scope != scopeDaemon && now.Sub(known.receivedAt) > totalsTimeout {
+			p.removeLocked(id)
 		}
 	}
 }
 
-// age is how old the newest word of several daemons' loads is, 0 if there is none.
-func (p *peerLoads) age(now time.Time) time.Duration {
+// totalsAge returns the age of the newest totals, 0 if there are none.
+func (p *peerLoads) totalsAge(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var newest time.Time
-	for _, told := range p.by {
-		if told.of != loadsOfOne && told.heard.After(newest) {
-			newest = told.heard
+	for _, known := range p.byDaemon {
+		if known.scope != scopeDaemon && known.receivedAt.After(newest) {
+			newest = known.receivedAt
 		}
 	}
 	if newest.IsZero() {
@@ -168,68 +165,68 @@
 	return now.Sub(newest)
 }
 
-func (p *peerLoads) at(id models.InstanceID) Load {
+func (p *peerLoads) loadOn(id models.InstanceID) Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sum[id]
 }
 
-// totals adds the loads of one daemon to those that others told: all of them, and
-// those of its zone alone.
+// totals returns the sum of this daemon's loads and those of all daemons, and the sum over the
+// daemons of its zone.
 func (p *peerLoads) totals(own map[models.InstanceID]Load) (all, zone map[models.InstanceID]Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all, zone = sumOf(own, p.sum), sumOf(own, nil)
-	for _, told := range p.by {
-		if told.of == loadsOfOne {
-			addTo(zone, told.loads)
+	all, zone = sumLoads(own, p.sum), sumLoads(own, nil)
+	for _, known := range p.byDaemon {
+		if known.scope == scopeDaemon {
+			addLoads(zone, known.loads)
 		}
 	}
 	return all, zone
 }
 
-func sumOf(a, b map[models.InstanceID]Load) map[models.InstanceID]Load {
+func sumLoads(a, b map[models.InstanceID]Load) map[models.InstanceID]Load {
 	out := make(map[models.InstanceID]Load, len(a)+len(b))
-	addTo(out, a)
-	addTo(out, b)
+	addLoads(out, a)
+	addLoads(out, b)
 	return out
 }
 
-func addTo(sum, loads map[models.InstanceID]Load) {
+func addLoads(sum, loads map[models.InstanceID]Load) {
 	for id, load := range loads {
 		s := sum[id]
 		sum[id] = Load{Requests: s.Requests + load.Requests, Unread: s.Unread + load.Unread}
 	}
 }
 
-// PeersLoad is what other daemons have at an instance, as they told last.
-func (n *Node) PeersLoad(id models.InstanceID) Load { return n.peerLoads.at(id) }
+// PeersLoad returns the load of other daemons on an instance, as last received.
+func (n *Node) PeersLoad(id models.InstanceID) Load { return n.peerLoads.loadOn(id) }
 
 const (
-	// newsDelay is how long changes of loads are gathered before they are
-	// told: short against the time that reading a prompt takes.
-	newsDelay = 4 * time.Millisecond
-	// sparseDelay is the same where a relay gathers them from many.
-	sparseDelay = 15 * time.Millisecond
-	// newsLen is how much news may wait for a slow daemon.
-	newsLen = 16
+	// loadsDelay is how long changed loads are collected before they are sent. It is short against
+	// the time that reading a prompt takes.
+	loadsDelay = 4 * time.Millisecond
+	// relayLoadsDelay is loadsDelay if a relay sums up the loads of many daemons.
+	relayLoadsDelay = 15 * time.Millisecond
+	// linkQueueLen is how many frames can queue for a slow peer.
+	linkQueueLen = 16
 )
 
-// announce tells the other daemons at once when this one's loads change.
-func (n *Node) announce(ctx context.Context) error {
+// notifyLoadChanges makes the links send this daemon's loads when they change.
+func (n *Node) notifyLoadChanges(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-n.traffic.Changed():
 		}
-		delay := newsDelay
+		delay := loadsDelay
 		if !n.View().mesh() {
-			delay = sparseDelay
+			delay = relayLoadsDelay
 		}
-		if err := pause(ctx, delay); err != nil {
+		if err := sleep(ctx, delay); err != nil {
 			return err
 		}
-		n.links.wake()
+		n.links.notifyLoads()
 	}
 }
--- a/cluster/permits.go
+++ b/cluster/permits.go
@@ -18,49 +18,48 @@
 	"github.com/lupinkeel/lupinkeel/ratelimit"
 )
 
-// A daemon that is to send a request to an instance with a limit asks the granter of the
-// instance's zone for a permit, on a connection of its own that lasts while permits are asked
-// for.
+// A daemon that wants to send a request to an instance with a rate limit asks the granter of the
+// instance's zone for a permit. It does so on a separate connection, which is opened on demand.
 
 const (
-	// permitTimeout bounds the wait for a permit: some ways there and back within a region,
-	// little of the time that any request has.
+	// permitTimeout bounds the wait for a permit: several round trips within a region, and little
+	// of the time that any request has.
 	permitTimeout = 150 * time.Millisecond
-	// granterRest is for how long a granter that did not answer is not asked.
-	granterRest = 300 * time.Millisecond
+	// granterBackoff is how long a granter that did not answer gets no requests for permits.
+	granterBackoff = 300 * time.Millisecond
 )
 
 // Errors of AskPermit.
 var (
-	// ErrNoGranter: no daemon is known that grants permits for the zone.
+	// ErrNoGranter: no granter is known for the zone.
 	ErrNoGranter = errors.New("no daemon grants permits for this availability zone")
-	// ErrNoGrant: the granter did not answer.
-	ErrNoGrant = errors.New("the daemon that grants permits does not answer")
+	// ErrGranterUnavailable: the granter did not answer.
+	ErrGranterUnavailable = errors.New("the daemon that grants permits does not answer")
 )
 
-// permitAsk asks for a permit for instances of a zone, permitGrant answers it.
+// permitRequest asks for a permit for instances of a zone; permitReply answers it.
 type (
-	permitAsk struct {
-		Number uint64        `msgpack:"n"`
-		Zone   models.Zone   `msgpack:"z"`
-		Ask    ratelimit.Ask `msgpack:"a"`
+	permitRequest struct {
+		Seq  uint64        `msgpack:"n"`
+		Zone models.Zone   `msgpack:"z"`
+		Ask  ratelimit.Ask `msgpack:"a"`
 	}
-	permitGrant struct {
-		Number uint64          `msgpack:"n"`
-		Grant  ratelimit.Grant `msgpack:"g"`
+	permitReply struct {
+		Seq   uint64          `msgpack:"n"`
+		Grant ratelimit.Grant `msgpack:"g"`
 	}
 )
 
-// permits holds the buckets of the instances that this daemon grants permits for, and the
-// connections to daemons that grant others. It is safe for use by several goroutines.
+// permits holds the token buckets of the instances that this daemon grants permits for, and the
+// connections to other granters. It is safe for concurrent use.
 type permits struct {
-	n                           *Node
-	granted, refused, noAnswers *metrics.Counter
+	n                            *Node
+	granted, refused, unanswered *metrics.Counter
 
 	buckets sync.Mutex
 	granter ratelimit.Granter
 
-	// running ends when no more connections are to be made; nil before run.
+	// running is the context that ends when no more connections are to be opened; nil before run.
 	running atomic.Pointer[context.Context]
 
 	mu    sync.Mutex
@@ -69,18 +68,18 @@
 
 func newPermits(n *Node, set *metrics.Set) *permits {
 	return &permits{
-		n:         n,
-		granted:   set.NewCounter(`lupinkeel_permits_total{outcome="granted"}`),
-		refused:   set.NewCounter(`lupinkeel_permits_total{outcome="refused"}`),
-		noAnswers: set.NewCounter(`lupinkeel_permits_total{outcome="unanswered"}`),
-		conns:     map[models.DaemonID]*granterConn{},
+		n:          n,
+		granted:    set.NewCounter(`lupinkeel_permits_total{outcome="granted"}`),
+		refused:    set.NewCounter(`lupinkeel_permits_total{outcome="refused"}`),
+		unanswered: set.NewCounter(`lupinkeel_permits_total{outcome="unanswered"}`),
+		conns:      map[models.DaemonID]*granterConn{},
 	}
 }
 
-// run has connections be made until the context ends, and closes them then.
+// run allows connections until the context ends, and then closes them.
 func (p *permits) run(ctx context.Context) error {
 	p.running.Store(&ctx)
-	ticks := p.n.clock.Subscribe(sweepEvery)
+	ticks := p.n.clock.Subscribe(sweepInterval)
 	for {
 		select {
 		case <-ctx.Done():
@@ -93,12 +92,12 @@
 	}
 }
 
-// close ends all connections and waits for their readers.
+// close closes all connections and waits for their readers.
 func (p *permits) close() error {
 	p.mu.Lock()
 	var readers []task.Task
 	for _, c := range p.conns {
-		readers = append(readers, c.end()...)
+		readers = append(readers, c.disconnect()...)
 	}
 	p.mu.Unlock()
 	return task.Wait(readers...)
@@ -106,10 +105,10 @@
 
 // AskPermit asks for a permit to send a request to one of several instances of a zone.
 func (n *Node) AskPermit(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
-	grant, err := n.permits.ask(ctx, zone, ask)
+	grant, err := n.permits.request(ctx, zone, ask)
 	switch {
 	case err != nil:
-		n.permits.noAnswers.Inc()
+		n.permits.unanswered.Inc()
 	case grant.Granted:
 		n.permits.granted.Inc()
 	default:
@@ -118,20 +117,20 @@
 	return grant, err
 }
 
-// charge counts what is sent to an instance without a permit against its limit: reports are
-// asked for when something is wrong, and can't wait.
+// charge counts a probe against the instance's limit. Probes need no permit, because they are sent
+// when something is wrong and can't wait.
 func (p *permits) charge(ctx context.Context, i models.UpstreamInstance) {
 	rate := p.n.limits.Rate(i, time.Now())
 	if rate == models.NoLimit {
 		return
 	}
-	_, err := p.ask(ctx, i.Zone, ratelimit.Ask{Charge: true, Wanted: []ratelimit.Wanted{{Instance: i.ID, Rate: rate}}})
+	_, err := p.request(ctx, i.Zone, ratelimit.Ask{Charge: true, Wanted: []ratelimit.Wanted{{Instance: i.ID, Rate: rate}}})
 	if err != nil {
 		p.n.log.Debug().Str("instance", string(i.ID)).Err(err).Msg("report-not-charged")
 	}
 }
 
-func (p *permits) ask(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
+func (p *permits) request(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
 	v := p.n.View()
 	if v.Arranged == nil {
 		return ratelimit.Grant{}, ErrNoGranter
@@ -146,7 +145,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	return p.conn(id, addr).ask(ctx, zone, ask)
+	return p.conn(id, addr).request(ctx, zone, ask)
 }
 
 // grant grants a permit if this daemon's share of the instances' rates allows it.
@@ -167,9 +166,9 @@
 	defer p.buckets.Unlock()
 	grant := p.granter.Ask(ask, rate, now)
 	if share < 1 {
-		// Heartbeats of those who ask this daemon may be on their way.
+		// Heartbeats that give this daemon the remaining share may be in flight.
 		for n := range grant.Waits {
-			grant.Waits[n] = min(grant.Waits[n], heartbeatEvery)
+			grant.Waits[n] = min(grant.Waits[n], heartbeatInterval)
 		}
 	}
 	return grant
@@ -184,78 +183,78 @@
 		return c
 	}
 	if c != nil {
-		// Its reader ends with the connection.
-		c.end()
+		// The reader ends with the connection.
+		c.disconnect()
 	}
 	c = &granterConn{p: p, addr: addr}
 	p.conns[id] = c
 	return c
 }
 
-// granterConn is a connection on which permits are asked for.
+// granterConn is a connection to a granter.
 type granterConn struct {
 	p    *permits
 	addr netip.AddrPort
 
 	mu   sync.Mutex
 	conn *framedConn
-	// read ends with the reader of the connection.
-	read    task.Task
-	number  uint64
-	waiting map[uint64]chan<- ratelimit.Grant
-	// rests is until when the granter is not asked.
-	rests time.Time
+	// reader is the task that reads replies; it ends with the connection.
+	reader  task.Task
+	seq     uint64
+	pending map[uint64]chan<- ratelimit.Grant
+	// backoffUntil is the time until which the granter gets no requests.
+	backoffUntil time.Time
 }
 
-// ask asks and waits for the answer.
-func (c *granterConn) ask(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
+// request sends a request and waits for the reply.
+func (c *granterConn) request(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
 	answer, err := c.send(ctx, zone, ask)
 	if err != nil {
-		return ratelimit.Grant{}, errors.Join(ErrNoGrant, err)
+		return ratelimit.Grant{}, errors.Join(ErrGranterUnavailable, err)
 	}
 	select {
 	case grant, ok := <-answer:
 		if ok {
 			return grant, nil
 		}
-		return ratelimit.Grant{}, ErrNoGrant
+		return ratelimit.Grant{}, ErrGranterUnavailable
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			c.rest()
+			c.backOff()
 		}
-		return ratelimit.Grant{}, errors.Join(ErrNoGrant, ctx.Err())
+		return ratelimit.Grant{}, errors.Join(ErrGranterUnavailable, ctx.Err())
 	}
 }
 
-// send sends an ask on the connection, which is made if there is none. The channel yields
-// the answer, or is closed if none comes.
+// send sends a request, after connecting if there is no connection. The channel receives the reply,
+// or is closed if there is none.
 func (c *granterConn) send(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (<-chan ratelimit.Grant, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().Before(c.rests) {
-		return nil, ErrNoGrant
+	if time.Now().Before(c.backoffUntil) {
+		return nil, ErrGranterUnavailable
 	}
 	if c.conn == nil {
 		if err := c.connect(ctx); err != nil {
-			c.rests = time.Now().Add(granterRest)
+			c.backoffUntil = time.Now().Add(granterBackoff)
 			return nil, err
 		}
 	}
-	c.number++
+	c.seq++
 	answer := make(chan ratelimit.Grant, 1)
-	c.waiting[c.number] = answer
-	if err := c.conn.send(frameAsk, permitAsk{Number: c.number, Zone: zone, Ask: ask}); err != nil {
-		c.drop(c.conn)
+	c.pending[c.seq] = answer
+	if err := c.conn.send(framePermitRequest, permitRequest{Seq: c.seq, Zone: zone, Ask: ask}); err != nil {
+		c.dropConn(c.conn)
 		return nil, err
 	}
 	return answer, nil
 }
 
-// connect makes the connection. It must be locked.
+// connect opens the connection. The caller must hold the lock.
 func (c *granterConn) connect(ctx context.Context) error {
 	running := c.p.running.Load()
 	if running == nil || (*running).Err() != nil {
-		return ErrNoGrant
+		return ErrGranterUnavailable
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
 	dialed, err := dialer.DialContext(ctx, "tcp4", c.addr.String())
@@ -263,80 +262,80 @@
 		return err
 	}
 	conn := c.p.n.framed(dialed, "granter")
-	c.conn, c.waiting = &conn, map[uint64]chan<- ratelimit.Grant{}
-	c.read = task.Start(*running, "grants", func(context.Context) error {
-		err := c.readAll(&conn)
+	c.conn, c.pending = &conn, map[uint64]chan<- ratelimit.Grant{}
+	c.reader = task.Start(*running, "grants", func(context.Context) error {
+		err := c.readReplies(&conn)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.drop(&conn)
+		c.dropConn(&conn)
 		c.p.n.log.Debug().Stringer("granter", c.addr).Err(err).Msg("granter-left")
 		return nil
 	})
 	return nil
 }
 
-// readAll hands answers to those who wait for them.
-func (c *granterConn) readAll(conn *framedConn) error {
+// readReplies passes replies to the requests that wait for them.
+func (c *granterConn) readReplies(conn *framedConn) error {
 	r := bufio.NewReader(conn)
 	for {
 		kind, body, err := frame.Read(r)
 		if err != nil {
 			return err
 		}
-		var told permitGrant
-		if kind != frameGrant {
+		var reply permitReply
+		if kind != framePermitReply {
 			return frame.ErrFormat
 		}
-		if err := frame.Decode(body, &told); err != nil {
+		if err := frame.Decode(body, &reply); err != nil {
 			return err
 		}
 		c.mu.Lock()
-		answer := c.waiting[told.Number]
-		delete(c.waiting, told.Number)
+		waiter := c.pending[reply.Seq]
+		delete(c.pending, reply.Seq)
 		c.mu.Unlock()
-		if answer != nil {
-			answer <- told.Grant
+		if waiter != nil {
+			waiter <- reply.Grant
 		}
 	}
 }
 
-// rest has the granter not be asked for a while.
-func (c *granterConn) rest() {
+// backOff sends the granter no requests for granterBackoff, and closes the connection.
+func (c *granterConn) backOff() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rests = time.Now().Add(granterRest)
-	c.drop(c.conn)
+	c.backoffUntil = time.Now().Add(granterBackoff)
+	c.dropConn(c.conn)
 }
 
-// drop closes a connection, if it is still the one in use. It must be locked.
-func (c *granterConn) drop(conn *framedConn) {
+// dropConn closes a connection if it is the current one. The caller must hold the lock.
+func (c *granterConn) dropConn(conn *framedConn) {
 	if conn == nil || c.conn != conn {
 		return
 	}
-	// It is of no use any more, whether it closes well or not.
+	// The connection is not used any more, even if closing it fails.
 	_ = conn.Close()
-	for _, answer := range c.waiting {
+	for _, answer := range c.pending {
 		close(answer)
 	}
-	c.conn, c.waiting = nil, nil
+	c.conn, c.pending = nil, nil
 }
 
-// end closes the connection and returns its reader, to be waited for.
-func (c *granterConn) end() []task.Task {
+// disconnect closes the connection and returns its reader, to be waited for.
+func (c *granterConn) disconnect() []task.Task {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn == nil {
 		return nil
 	}
-	c.drop(c.conn)
-	return []task.Task{c.read}
+	c.dropConn(c.conn)
+	return []task.Task{c.reader}
 }
 
-// answer grants a permit, or none, to the daemon at the other end of a connection.
-func (p *permits) answer(conn framedConn, body []byte) error {
-	var ask permitAsk
+// handleRequest answers a permit request on its connection.
+func (p *permits) handleRequest(conn framedConn, body []byte) error {
+	var ask permitRequest
 	if err := frame.Decode(body, &ask); err != nil {
 		return err
 	}
-	return conn.send(frameGrant, permitGrant{Number: ask.Number, Grant: p.grant(ask.Zone, ask.Ask)})
+	return conn.send(framePermitReply, permitReply{Seq: ask.Seq, Grant: p.grant(ask.Zone, ask.Ask)})
 }
--- a/cluster/suspicions_test.go
+++ b/cluster/suspicions_test.go
@@ -10,16 +10,15 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestMassSuspicion checks that groups which seem to stand still are passed
-// over, and that all are used if too many of one model seem to. After all daemons
-// had been started anew a fifth of the requests was refused for fourteen seconds;
-// that groups were passed over by turns then is inferred from another case, where it
-// was seen for half a second.
+// TestMassSuspicion checks that suspected groups get no requests, but that all groups are used if
+// too many of a model are suspected. After a restart of all daemons a fifth of the requests was
+// refused for fourteen seconds, presumably because different groups were suspected in turn, as was
+// observed for half a second in another case.
 func TestMassSuspicion(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
 	o.config.routing = &models.Routing{}
-	t.Cleanup(func() { c.Check(o.n.links.wait(), qt.IsNil) })
+	t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
 	const groups = 10
 	key := func(n int) models.GroupKey {
 		return models.GroupKey{Name: models.GroupID(fmt.Sprintf("m.%d", n)), Epoch: int64(n)}
@@ -27,7 +26,7 @@
 	head := func(n int) models.InstanceID { return models.InstanceID(fmt.Sprintf("i-%d", n)) }
 	for n := range groups {
 		group := models.Membership{Key: key(n), State: models.MemberOpen}
-		o.noteEntry(models.UpstreamInstance{ID: head(n), Group: group}, time.Now())
+		o.applyEntry(models.UpstreamInstance{ID: head(n), Group: group}, time.Now())
 	}
 	shown := func() (serving, suspects int) {
 		o.publish()
@@ -35,12 +34,12 @@
 		return len(v.Groups["m"]), len(v.Suspects)
 	}
 	for n := range 4 {
-		o.handleStalled(stalled{group: key(n), head: head(n), from: "d2"})
+		o.handleStalled(stallDetected{group: key(n), head: head(n), from: "d2"})
 		serving, suspects := shown()
 		c.Assert(serving, qt.Equals, groups-n-1)
 		c.Assert(suspects, qt.Equals, n+1)
 	}
-	o.handleStalled(stalled{group: key(4), head: head(4), from: "d2"})
+	o.handleStalled(stallDetected{group: key(4), head: head(4), from: "d2"})
 	serving, suspects := shown()
 	c.Assert(serving, qt.Equals, groups)
 	c.Assert(suspects, qt.Equals, 0)
--- a/commands/completion.go
+++ b/commands/completion.go
@@ -6,19 +6,19 @@
 	"github.com/urfave/cli/v2"
 )
 
-func init() { register(completion{}) }
+func init() { register(completionCommand{}) }
 
-// completion prints a script that completes commands in a shell.
-type completion struct{}
+// completionCommand prints a shell script that completes commands and flags.
+type completionCommand struct{}
 
-func (completion) Aliases() []string { return []string{"completion"} }
-func (completion) Usage() string {
+func (completionCommand) Aliases() []string { return []string{"completion"} }
+func (completionCommand) Usage() string {
 	return "print a script for bash or zsh that completes commands and flags"
 }
-func (completion) ArgsUsage() string { return "bash | zsh" }
-func (completion) Flags() []cli.Flag { return nil }
+func (completionCommand) ArgsUsage() string { return "bash | zsh" }
+func (completionCommand) Flags() []cli.Flag { return nil }
 
-// The scripts ask the program itself, by the flag that urfave/cli adds.
+// The scripts run the program itself with the flag --generate-bash-completion of urfave/cli.
 const (
 	bashCompletion = `_lupinkeel() {
   local words=("${COMP_WORDS[@]:0:$COMP_CWORD}") cur="${COMP_WORDS[COMP_CWORD]}"
@@ -37,7 +37,7 @@
 `
 )
 
-func (completion) Execute(c *cli.Context) error {
+func (completionCommand) Execute(c *cli.Context) error {
 	scripts := map[string]string{"bash": bashCompletion, "zsh": zshCompletion}
 	script, ok := scripts[c.Args().First()]
 	if !ok {
--- a/commands/demo.go
+++ b/commands/demo.go
@@ -21,25 +21,25 @@
 	"github.com/lupinkeel/lupinkeel/standin"
 )
 
-func init() { register(demo{}) }
+func init() { register(demoCommand{}) }
 
-// demo runs a whole small site in this process.
-type demo struct{}
+// demoCommand runs a small site with all its parts in this process.
+type demoCommand struct{}
 
-func (demo) Aliases() []string { return []string{"demo"} }
-func (demo) Usage() string     { return "run a whole small site in this process" }
-func (demo) ArgsUsage() string { return " " }
+func (demoCommand) Aliases() []string { return []string{"demo"} }
+func (demoCommand) Usage() string     { return "run a small site with all its parts in this process" }
+func (demoCommand) ArgsUsage() string { return " " }
 
-func (demo) Flags() []cli.Flag {
+func (demoCommand) Flags() []cli.Flag {
 	return []cli.Flag{
-		&cli.BoolFlag{Name: "once", Usage: "send sample requests, print what was served where, and end"},
-		&cli.BoolFlag{Name: "verbose", Usage: "show the log of the daemons"},
+		&cli.BoolFlag{Name: "once", Usage: "send sample requests, print where each was served, and exit"},
+		&cli.BoolFlag{Name: "verbose", Usage: "print the logs of the daemons"},
 	}
 }
 
-const demoReadyWithin = 15 * time.Second
+const demoReadyTimeout = 15 * time.Second
 
-func (demo) Execute(c *cli.Context) error {
+func (demoCommand) Execute(c *cli.Context) error {
 	level := zerolog.ErrorLevel
 	if c.Bool("verbose") {
 		level = zerolog.InfoLevel
@@ -51,9 +51,9 @@
 	out := c.App.Writer
 	err = configureDemo(c.Context, s)
 	if err == nil && c.Bool("once") {
-		err = sampleRequests(c.Context, out, s)
+		err = sendSamples(c.Context, out, s)
 	} else if err == nil {
-		explainDemo(out, s)
+		printDemoHelp(out, s)
 		<-c.Context.Done()
 	}
 	return errors.Join(err, s.Stop())
@@ -78,8 +78,8 @@
 	}
 }
 
-// demoConfig is a site file such as an operator would apply. The operator's
-// token is the one that commands print below.
+// demoConfig holds commands as in a file that an operator applies. The token of operator demo is
+// the one that printDemoHelp prints.
 var demoConfig = `
 set model brief version v1 members 4 replicas 2
 set model digest version v1 members 4 replicas 1
@@ -90,7 +90,7 @@
 `
 
 func configureDemo(ctx context.Context, s *site.Site) error {
-	ctx, cancel := context.WithTimeout(ctx, demoReadyWithin)
+	ctx, cancel := context.WithTimeout(ctx, demoReadyTimeout)
 	defer cancel()
 	ready := func(v *daemon.View) bool { return v.Current(time.Now()) && len(v.State.Daemons) == len(s.Nodes) }
 	if err := s.WaitFor(ctx, "all daemons on the roster", ready); err != nil {
@@ -116,36 +116,36 @@
 	return open
 }
 
-func explainDemo(out io.Writer, s *site.Site) {
+func printDemoHelp(out io.Writer, s *site.Site) {
 	node := s.Nodes[0].Server
 	fmt.Fprintf(out, `lupinkeel demo: %d daemons, %d engines, 1 plain service, all in this process.
 
-Ask for something:
+Send requests:
   curl -i http://%[3]s/v1/chat/completions -H 'Authorization: Bearer %[4]s' \
     -d '{"model":"brief","messages":[{"role":"user","content":"tremor near Racha"}]}'
   curl -iN http://%[3]s/v1/chat/completions -H 'Authorization: Bearer %[4]s' \
     -d '{"model":"digest","stream":true,"messages":[{"role":"user","content":"quiet period"}]}'
   curl -i http://%[3]s/services/catalogue/pull -H 'Authorization: Bearer %[4]s'
 
-Operate it:
+Run operator commands:
   export LUPINKEEL_ADMIN=%[5]s LUPINKEEL_TOKEN=%[6]s
   lupinkeel ask 'show groups'
   lupinkeel ask 'show instances where domain = "fabric-a"'
   lupinkeel ask 'why stranded'
   lupinkeel ask 'set model digest replicas 0 because "night shift"'
 
-Ctrl-C ends it.
+Press Ctrl-C to stop.
 `, len(s.Nodes), len(s.Engines), node.Addr(), site.CallerToken, node.AdminAddr(), site.OperatorToken)
 }
 
-// sample is one request that the demo sends.
+// sample is a request that the demo sends.
 type sample struct {
 	name   string
 	method string
 	path   string
 	body   string
-	// whole checks the answer's body.
-	whole func(body string) bool
+	// isComplete reports whether the body of the response is complete.
+	isComplete func(body string) bool
 }
 
 const (
@@ -159,46 +159,46 @@
 }
 
 func samples() []sample {
-	last := standin.Token(samplePrompt+"\n", sampleTokens-1)
-	text := standin.Answer(samplePrompt+"\n", sampleTokens)
-	whole := func(body string) bool { return strings.Contains(body, strings.TrimSpace(text)) }
-	streamed := func(body string) bool {
-		return strings.Contains(body, strings.TrimSpace(last)) && strings.HasSuffix(body, "data: [DONE]\n\n")
+	lastToken := standin.Token(samplePrompt+"\n", sampleTokens-1)
+	fullText := standin.Answer(samplePrompt+"\n", sampleTokens)
+	hasFullText := func(body string) bool { return strings.Contains(body, strings.TrimSpace(fullText)) }
+	hasFullStream := func(body string) bool {
+		return strings.Contains(body, strings.TrimSpace(lastToken)) && strings.HasSuffix(body, "data: [DONE]\n\n")
 	}
 	const chat = "/v1/chat/completions"
 	return []sample{
-		{"unary brief", http.MethodPost, chat, chatBody("brief", false), whole},
-		{"streamed brief", http.MethodPost, chat, chatBody("brief", true), streamed},
-		{"unary digest", http.MethodPost, chat, chatBody("digest", false), whole},
-		{"streamed digest", http.MethodPost, chat, chatBody("digest", true), streamed},
+		{"unary brief", http.MethodPost, chat, chatBody("brief", false), hasFullText},
+		{"streamed brief", http.MethodPost, chat, chatBody("brief", true), hasFullStream},
+		{"unary digest", http.MethodPost, chat, chatBody("digest", false), hasFullText},
+		{"streamed digest", http.MethodPost, chat, chatBody("digest", true), hasFullStream},
 		{"plain call", http.MethodGet, "/services/catalogue/pull", "", func(body string) bool { return strings.Contains(body, `"path":"/pull"`) }},
 		{"plain call, not repeatable", http.MethodPost, "/services/catalogue/ping", "station 7", func(body string) bool { return strings.Contains(body, "station 7") }},
 	}
 }
 
-// errNotWhole is returned if a sample request got no whole answer.
-var errNotWhole = errors.New("not all answers were whole")
+// errIncomplete is returned if a sample request did not get a complete response.
+var errIncomplete = errors.New("incomplete responses")
 
-// sampleRequests sends each sample through a daemon of its own.
-func sampleRequests(ctx context.Context, out io.Writer, s *site.Site) error {
+// sendSamples sends the samples to the daemons in turn and prints a table of the results.
+func sendSamples(ctx context.Context, out io.Writer, s *site.Site) error {
 	var rows [][]string
-	bad := 0
+	failed := 0
 	for n, sample := range samples() {
 		node := s.Nodes[n%len(s.Nodes)]
-		row, whole := sendSample(ctx, node.Server.Addr().String(), sample)
-		if !whole {
-			bad++
+		row, complete := sendSample(ctx, node.Server.Addr().String(), sample)
+		if !complete {
+			failed++
 		}
 		rows = append(rows, row)
 	}
 	printTable(out, []string{"request", "status", "whole", "daemon", "group", "instances", "zone", "domain"}, rows)
-	if bad > 0 {
-		return fmt.Errorf("%w: %d of %d", errNotWhole, bad, len(rows))
+	if failed > 0 {
+		return fmt.Errorf("%w: %d of %d", errIncomplete, failed, len(rows))
 	}
 	return nil
 }
 
-func sendSample(ctx context.Context, addr string, s sample) (row []string, whole bool) {
+func sendSample(ctx context.Context, addr string, s sample) (row []string, complete bool) {
 	req, err := http.NewRequestWithContext(ctx, s.method, "http://"+addr+s.path, bytes.NewReader([]byte(s.body)))
 	if err != nil {
 		return []string{s.name, err.Error()}, false
@@ -210,10 +210,10 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	whole = err == nil && resp.StatusCode == http.StatusOK && s.whole(string(body))
+	complete = err == nil && resp.StatusCode == http.StatusOK && s.isComplete(string(body))
 	h := resp.Header
 	return []string{
-		s.name, resp.Status, fmt.Sprint(whole), h.Get(api.HeaderDaemon), h.Get(api.HeaderGroup),
+		s.name, resp.Status, fmt.Sprint(complete), h.Get(api.HeaderDaemon), h.Get(api.HeaderGroup),
 		h.Get(api.HeaderInstances), h.Get(api.HeaderZone), h.Get(api.HeaderDomain),
-	}, whole
+	}, complete
 }
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -9,97 +9,97 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// claimsKey marks the proposals that carry claims.
-const claimsKey = "claims"
+// claimsProposalKey is the key of proposals that carry claims.
+const claimsProposalKey = "claims"
 
-// maxClaims is how many claims one record carries.
-const maxClaims = 512
+// maxClaimsPerRecord is the maximum number of claims in one record.
+const maxClaimsPerRecord = 512
 
 // claimRequest asks the owner to claim a key.
 type claimRequest struct {
 	claim state.Claim
-	reply chan<- claimEnd
+	reply chan<- claimResult
 }
 
-type claimEnd struct {
+type claimResult struct {
 	holder models.RequestID
 	err    error
 }
 
-// claims batches claims: while one record with claims is on its way, those
-// that come wait for the next.
+// claims batches claims: while one record with claims is pending, new claims are queued for the
+// next record.
 type claims struct {
-	waiting  []claimRequest
+	queued   []claimRequest
 	inFlight []claimRequest
 }
 
-// Claim asks that the request, and no other, may run under the key, and
-// returns the request that may. Its error wraps ErrLogAway, when the claim
-// was not made, or ErrOutcomeUnknown.
+// Claim claims the key for the request, so that no other request runs under the key. It returns
+// the request that holds the key. Its error wraps ErrLogUnavailable if the claim was not made, or
+// else ErrOutcomeUnknown.
 func (d *Daemon) Claim(ctx context.Context, key string, request models.RequestID) (models.RequestID, error) {
-	reply := make(chan claimEnd, 1)
+	reply := make(chan claimResult, 1)
 	claim := state.Claim{Key: key, Request: request, At: time.Now().UTC()}
 	select {
 	case d.claims <- claimRequest{claim: claim, reply: reply}:
 	case <-ctx.Done():
-		return "", fmt.Errorf("%w: %w", ErrLogAway, ctx.Err())
+		return "", fmt.Errorf("%w: %w", ErrLogUnavailable, ctx.Err())
 	}
 	select {
-	case end := <-reply:
-		return end.holder, end.err
+	case result := <-reply:
+		return result.holder, result.err
 	case <-ctx.Done():
 		return "", fmt.Errorf("%w: %w", ErrOutcomeUnknown, ctx.Err())
 	}
 }
 
-// Release gives a claim up. The request must be known not to have run and
-// must not be sent any more.
+// Release releases a claim. The request must be known not to have run and must not be sent any
+// more.
 func (d *Daemon) Release(ctx context.Context, key string, request models.RequestID) error {
 	_, err := d.Propose(ctx, state.ReleaseKeys{Claims: []state.Claim{{Key: key, Request: request}}})
 	return err
 }
 
-func (o *owner) claim(c claimRequest) {
+func (o *owner) handleClaim(c claimRequest) {
 	if o.logError != nil {
-		c.reply <- claimEnd{err: fmt.Errorf("%w: %w", ErrLogAway, o.logError)}
+		c.reply <- claimResult{err: fmt.Errorf("%w: %w", ErrLogUnavailable, o.logError)}
 		return
 	}
-	o.claims.waiting = append(o.claims.waiting, c)
+	o.claims.queued = append(o.claims.queued, c)
 	o.flushClaims()
 }
 
-// flushClaims appends the claims that wait, unless others are on their way.
+// flushClaims appends the queued claims unless a record with claims is pending.
 func (o *owner) flushClaims() {
-	if len(o.claims.inFlight) > 0 || len(o.claims.waiting) == 0 {
+	if len(o.claims.inFlight) > 0 || len(o.claims.queued) == 0 {
 		return
 	}
-	n := min(len(o.claims.waiting), maxClaims)
-	o.claims.inFlight, o.claims.waiting = o.claims.waiting[:n:n], o.claims.waiting[n:]
+	n := min(len(o.claims.queued), maxClaimsPerRecord)
+	o.claims.inFlight, o.claims.queued = o.claims.queued[:n:n], o.claims.queued[n:]
 	body := state.ClaimKeys{}
 	for _, c := range o.claims.inFlight {
 		body.Claims = append(body.Claims, c.claim)
 	}
-	o.append(body, nil, claimsKey)
+	o.append(body, nil, claimsProposalKey)
 }
 
-// claimsEnded tells those whose claims were on their way who holds the keys.
-func (o *owner) claimsEnded(end proposalEnd) {
-	decided := o.claims.inFlight
+// claimsResolved reports the holders of the keys to the requests of the resolved record.
+func (o *owner) claimsResolved(result proposalResult) {
+	resolved := o.claims.inFlight
 	o.claims.inFlight = nil
 	var holders []models.RequestID
-	for _, e := range end.outcome.Events {
+	for _, e := range result.outcome.Events {
 		if claimed, ok := e.(state.KeysClaimed); ok {
 			holders = claimed.Holders
 		}
 	}
-	for i, c := range decided {
+	for i, c := range resolved {
 		switch {
-		case end.err != nil:
-			c.reply <- claimEnd{err: end.err}
+		case result.err != nil:
+			c.reply <- claimResult{err: result.err}
 		case i < len(holders):
-			c.reply <- claimEnd{holder: holders[i]}
+			c.reply <- claimResult{holder: holders[i]}
 		default:
-			c.reply <- claimEnd{err: ErrOutcomeUnknown}
+			c.reply <- claimResult{err: ErrOutcomeUnknown}
 		}
 	}
 	o.flushClaims()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,6 +1,5 @@
-// Package gateway takes callers' requests over HTTP and passes each to an
-// upstream instance, raw: method, path, query, body and headers go through
-// as they came, both ways.
+// Package gateway accepts callers' HTTP requests and forwards each to an upstream instance. Method,
+// path, query, body and headers are forwarded unchanged, in both directions.
 package gateway
 
 import (
@@ -20,111 +19,112 @@
 	"github.com/lupinkeel/lupinkeel/ratelimit"
 )
 
-// Settings are what a gateway needs to know from the start.
+// Settings configure a gateway.
 type Settings struct {
 	Zone models.Zone
-	// Listen is where callers come, Ready where the balancer asks, Admin
-	// where metrics are served; Admin may be invalid.
+	// Listen is the address for callers, Ready for readiness checks by the load balancer, Admin for
+	// metrics and the quarantine; Admin may be invalid, and is then not served.
 	Listen netip.AddrPort
 	Ready  netip.AddrPort
 	Admin  netip.AddrPort
-	// KeysBound is how old the proof that the keys are current may be.
+	// KeysBound is the maximum age of the proof that the configuration is current, for a request
+	// that needs a key to be served.
 	KeysBound time.Duration
-	// ConfigBound is how old it may be for a route or key that is not known
-	// to be refused as unknown.
+	// ConfigBound is the maximum age of that proof for an unknown route or key to be refused as
+	// unknown.
 	ConfigBound time.Duration
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// StopGrace is how long a planned stop may take.
+	// StopGrace bounds the time that a planned stop takes.
 	StopGrace time.Duration
-	// Settle is how long after its start a gateway keeps to itself that a
-	// group seems to stand still: it does not know yet what the other daemons
-	// have there.
+	// Settle is the time after the start during which the gateway does not report stalled groups:
+	// it does not know yet which requests other daemons have there.
 	Settle time.Duration
 }
 
-// dialTimeout bounds the making of a connection to an upstream: two
-// round trips between zones, far less than a lost packet's repeat.
+// dialTimeout bounds the time to connect to an upstream: two round trips between zones, far less
+// than the retransmission of a lost packet takes.
 const dialTimeout = 250 * time.Millisecond
 
-// Beliefs are what the gateway is told of the world, as a cluster.Node does.
-type Beliefs interface {
+// Node is the gateway's view of the cluster. A cluster.Node implements it.
+type Node interface {
 	View() *cluster.View
-	// PeersLoad is what other daemons have at an instance.
+	// PeersLoad returns the load that other daemons have at an instance.
 	PeersLoad(id models.InstanceID) cluster.Load
-	// ReportStalled tells that nothing moves at a group's head.
+	// ReportStalled reports to the other daemons that a group is stalled.
 	ReportStalled(group models.GroupKey, head models.InstanceID)
-	// Quarantine holds the requests that crash instances.
+	// Quarantine tracks requests that crash instances.
 	Quarantine() *cluster.Quarantine
-	// Limits holds the limits that instances name.
+	// Limits tracks the rate limits that instances announce.
 	Limits() *cluster.Limits
-	// Breakers holds what instances asked for in their answers.
+	// Breakers tracks the backoffs and leaving notices that instances send in responses.
 	Breakers() *cluster.Breakers
-	// AskPermit asks for a permit to send a request to one of several instances of a
-	// zone that name limits.
+	// AskPermit asks for a permit to send a request to one of several rate-limited instances of a
+	// zone.
 	AskPermit(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error)
 	Clock() *timer.Service
 }
 
-// Gateway serves one daemon's callers.
+// Gateway serves the callers of one daemon.
 type Gateway struct {
-	cfg     Settings
-	log     zerolog.Logger
-	node    Beliefs
-	balance *balance
-	budget  *budget
-	crashes *crashWatch
-	// settled is when what it sees of groups may be relied on.
-	settled  time.Time
-	conns    *h1.Pool
-	stats    *stats
-	set      *metrics.Set
-	stopping atomic.Bool
+	cfg       Settings
+	log       zerolog.Logger
+	node      Node
+	scheduler *scheduler
+	budget    *retryBudget
+	crashes   *crashDetector
+	// stallReportsFrom is when the gateway begins to report stalled groups.
+	stallReportsFrom time.Time
+	conns            *h1.Pool
+	stats            *stats
+	set              *metrics.Set
+	stopping         atomic.Bool
 }
 
 type stats struct {
-	ends    map[outcome]*metrics.Counter
-	repeats *metrics.Counter
-	// quarantined counts the requests that were refused since they crash instances.
-	quarantined *metrics.Counter
-	// limited counts those that were refused since all instances had named limits.
-	limited *metrics.Counter
-	// rested counts those that were refused since all instances had asked for rest.
-	rested *metrics.Counter
-	// turnedAway counts the sends that instances did not run.
-	turnedAway *metrics.Counter
-	resumes    *metrics.Counter
-	opened     *metrics.Counter
-	firstByte  *metrics.Histogram
-	inFlight   atomic.Int64
-	// ownZone and otherZone count the bytes of connections to upstreams.
-	ownZone   meter
-	otherZone meter
+	byOutcome map[outcome]*metrics.Counter
+	retries   *metrics.Counter
+	// quarantineRefusals counts requests refused because they crash instances.
+	quarantineRefusals *metrics.Counter
+	// limitRefusals counts requests refused because all instances have rate limits and no permit
+	// came in time.
+	limitRefusals *metrics.Counter
+	// backoffRefusals counts requests refused because all instances asked for a backoff.
+	backoffRefusals *metrics.Counter
+	// rejections counts sends that instances rejected without executing the request.
+	rejections  *metrics.Counter
+	resumes     *metrics.Counter
+	connsOpened *metrics.Counter
+	firstByte   *metrics.Histogram
+	inFlight    atomic.Int64
+	// ownZone and otherZone count the bytes of connections to upstreams by zone.
+	ownZone   byteMeter
+	otherZone byteMeter
 }
 
 func newStats(set *metrics.Set) *stats {
 	s := &stats{
-		ends: map[outcome]*metrics.Counter{}, repeats: set.NewCounter("lupinkeel_request_repeats_total"),
-		quarantined: set.NewCounter("lupinkeel_quarantine_refusals_total"),
-		limited:     set.NewCounter("lupinkeel_limit_refusals_total"),
-		rested:      set.NewCounter("lupinkeel_rest_refusals_total"),
-		turnedAway:  set.NewCounter("lupinkeel_turned_away_total"),
-		resumes:     set.NewCounter("lupinkeel_stream_resumes_total"), opened: set.NewCounter("lupinkeel_upstream_connections_total"),
+		byOutcome: map[outcome]*metrics.Counter{}, retries: set.NewCounter("lupinkeel_request_repeats_total"),
+		quarantineRefusals: set.NewCounter("lupinkeel_quarantine_refusals_total"),
+		limitRefusals:      set.NewCounter("lupinkeel_limit_refusals_total"),
+		backoffRefusals:    set.NewCounter("lupinkeel_rest_refusals_total"),
+		rejections:         set.NewCounter("lupinkeel_turned_away_total"),
+		resumes:            set.NewCounter("lupinkeel_stream_resumes_total"), connsOpened: set.NewCounter("lupinkeel_upstream_connections_total"),
 		firstByte: set.NewHistogram("lupinkeel_first_byte_seconds"),
-		ownZone:   newMeter(set, "own"), otherZone: newMeter(set, "other"),
+		ownZone:   newByteMeter(set, "own"), otherZone: newByteMeter(set, "other"),
 	}
 	set.NewGauge("lupinkeel_requests_in_flight", func() float64 { return float64(s.inFlight.Load()) })
 	for _, o := range outcomes {
-		s.ends[o] = set.NewCounter(fmt.Sprintf("lupinkeel_requests_total{outcome=%q}", string(o)))
+		s.byOutcome[o] = set.NewCounter(fmt.Sprintf("lupinkeel_requests_total{outcome=%q}", string(o)))
 	}
 	return s
 }
 
-// opened counts a new connection to an upstream, and its bytes by whether they
-// stay in the daemon's availability zone.
-func (g *Gateway) opened(addr netip.AddrPort) h1.Meter {
-	g.stats.opened.Inc()
+// connOpened counts a new connection to an upstream. It returns the meter for its bytes, which
+// depends on whether the upstream is in the daemon's zone.
+func (g *Gateway) connOpened(addr netip.AddrPort) h1.Meter {
+	g.stats.connsOpened.Inc()
 	for _, i := range g.node.View().All {
 		if i.Addr == addr && i.Zone == g.cfg.Zone {
 			return g.stats.ownZone
@@ -133,33 +133,34 @@
 	return g.stats.otherZone
 }
 
-// meter counts the bytes of connections to upstreams.
-type meter struct{ sent, received *metrics.Counter }
+// byteMeter counts the bytes of connections to upstreams.
+type byteMeter struct{ sent, received *metrics.Counter }
 
-func newMeter(set *metrics.Set, zone string) meter {
-	counter := func(way string) *metrics.Counter {
-		return set.NewCounter(fmt.Sprintf("lupinkeel_upstream_bytes_total{zone=%q,way=%q}", zone, way))
+func newByteMeter(set *metrics.Set, zone string) byteMeter {
+	counter := func(direction string) *metrics.Counter {
+		return set.NewCounter(fmt.Sprintf("lupinkeel_upstream_bytes_total{zone=%q,way=%q}", zone, direction))
 	}
-	return meter{counter("sent"), counter("received")}
+	return byteMeter{counter("sent"), counter("received")}
 }
 
 // Sent counts bytes of requests.
-func (m meter) Sent(n int) { m.sent.Add(n) }
+func (m byteMeter) Sent(n int) { m.sent.Add(n) }
 
-// Received counts bytes of answers.
-func (m meter) Received(n int) { m.received.Add(n) }
+// Received counts bytes of responses.
+func (m byteMeter) Received(n int) { m.received.Add(n) }
 
-// Traffic is what a node reads of a gateway that is yet to be made.
-func Traffic() cluster.Traffic { return newBalance() }
+// Traffic returns the load counters that a cluster node reads. They are passed to New afterwards,
+// since the node is created before its gateway.
+func Traffic() cluster.Traffic { return newScheduler() }
 
 // New returns a gateway. The traffic must come from Traffic.
-func New(cfg Settings, node Beliefs, traffic cluster.Traffic, set *metrics.Set, log zerolog.Logger) *Gateway {
+func New(cfg Settings, node Node, traffic cluster.Traffic, set *metrics.Set, log zerolog.Logger) *Gateway {
 	g := &Gateway{
-		cfg: cfg, log: log, node: node, balance: traffic.(*balance), stats: newStats(set), set: set,
-		budget: newBudget(cfg.RetryRatio, cfg.RetrySlack, cfg.RetryWindow), crashes: newCrashWatch(node, set, log),
+		cfg: cfg, log: log, node: node, scheduler: traffic.(*scheduler), stats: newStats(set), set: set,
+		budget: newRetryBudget(cfg.RetryRatio, cfg.RetrySlack, cfg.RetryWindow), crashes: newCrashDetector(node, set, log),
 	}
-	g.balance.zone = cfg.Zone
-	g.settled = time.Now().Add(cfg.Settle)
-	g.conns = h1.NewPool(dialTimeout, g.opened)
+	g.scheduler.zone = cfg.Zone
+	g.stallReportsFrom = time.Now().Add(cfg.Settle)
+	g.conns = h1.NewPool(dialTimeout, g.connOpened)
 	return g
 }
--- /dev/null
+++ b/gateway/retry_budget.go
@@ -0,0 +1,83 @@
+package gateway
+
+import (
+	"sync"
+	"time"
+)
+
+// budgetBuckets is the number of buckets of the budget's window.
+const budgetBuckets = 10
+
+// retryBudget bounds retries over a sliding window to a fraction of the requests plus a fixed
+// number. The fixed number is for all daemons together, so that each uses its share.
+type retryBudget struct {
+	ratio  float64
+	slack  float64
+	window time.Duration
+
+	mu      sync.Mutex
+	buckets [budgetBuckets + 1]budgetBucket
+	current int64
+}
+
+// budgetBucket counts requests, all retries, and the retries of rejected sends.
+type budgetBucket struct{ requests, retries, rejections int }
+
+// usableFraction is the part of the budget that is used, since the daemons' windows and their
+// counts of daemons differ slightly.
+const usableFraction = 0.7
+
+// rejectionFraction is the part of the retries that may follow rejected sends, so that some are
+// left for failures.
+const rejectionFraction = 0.7
+
+func newRetryBudget(ratio, slack float64, window time.Duration) *retryBudget {
+	return &retryBudget{ratio: ratio, slack: slack, window: window}
+}
+
+func (b *retryBudget) advance(now time.Time) *budgetBucket {
+	step := now.UnixNano() / int64(b.window/budgetBuckets)
+	if step-b.current > int64(len(b.buckets)) {
+		b.buckets = [budgetBuckets + 1]budgetBucket{}
+		b.current = step
+	}
+	for b.current < step {
+		b.current++
+		b.buckets[b.current%int64(len(b.buckets))] = budgetBucket{}
+	}
+	return &b.buckets[b.current%int64(len(b.buckets))]
+}
+
+// addRequest counts a request.
+func (b *retryBudget) addRequest(now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.advance(now).requests++
+}
+
+// allowRetry reports whether a request may be sent once more, and counts it. A daemon that does not
+// know yet how many daemons there are has no share of the fixed number.
+func (b *retryBudget) allowRetry(now time.Time, daemons int, rejected bool) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	step := b.advance(now)
+	var sum budgetBucket
+	for _, s := range b.buckets {
+		sum.requests += s.requests
+		sum.retries += s.retries
+		sum.rejections += s.rejections
+	}
+	limit := b.ratio * float64(sum.requests)
+	if daemons > 0 {
+		limit += b.slack / float64(daemons)
+	}
+	limit *= usableFraction
+	if float64(sum.retries+1) > limit || (rejected && float64(sum.rejections+1) > rejectionFraction*limit) {
+		return false
+	}
+	step.retries++
+	if rejected {
+		step.rejections++
+	}
+	return true
+}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -14,74 +14,74 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// spareSends is how often a request may be sent beyond its attempts to
-// instances that turn out not to run it.
-const spareSends = 3
+// extraSends is how many sends a request may make beyond its attempts, to instances that turn out
+// not to execute it.
+const extraSends = 3
 
-var errGap = errors.New("an event is missing")
+var errEventGap = errors.New("an event is missing")
 
-// stream passes the events of a stream on as they come, and goes on at
-// another group when one fails or stands still and the stream may be resumed.
+// stream forwards the events of a stream as they arrive, and continues at another group if one
+// fails or stalls and the stream may be resumed.
 type stream struct {
 	*exchange
 	ctx context.Context
-	// last is the newest event that the caller has, if begun.
-	last  int64
-	begun bool
-	// moved is when the last event went out.
-	moved time.Time
-	// runs counts the runs that were begun and not refused unrun.
-	runs    int
-	current *run
-	hedge   *hedge
-	flush   func() error
-}
-
-// stream sends a request to a group and passes its events on.
-func (e *exchange) stream(ctx context.Context) error {
-	e.g.budget.request(e.began)
-	e.addWork()
+	// lastID is the ID of the last event that the caller has, if hasLast.
+	lastID  int64
+	hasLast bool
+	// lastEvent is when the last event was sent to the caller.
+	lastEvent time.Time
+	// attempts counts the attempts that were started and not rejected.
+	attempts int
+	current  *streamAttempt
+	hedge    *hedge
+	flush    func() error
+}
+
+// serveStream sends a request to a group and forwards its events.
+func (e *exchange) serveStream(ctx context.Context) error {
+	e.g.budget.addRequest(e.started)
+	e.addDemand()
 	s := &stream{exchange: e, ctx: ctx, flush: http.NewResponseController(e.w).Flush}
 	if e.head.Resumed {
-		s.last, s.begun = e.head.After, true
+		s.lastID, s.hasLast = e.head.After, true
 	}
 	defer s.close()
-	to, err := s.pick()
+	to, err := s.awaitGroup()
 	if err != nil {
 		return err
 	}
-	s.begin(to)
-	return s.run()
+	s.startAttempt(to)
+	return s.relay()
 }
 
-// begin begins a run that takes the place of the former one.
-func (s *stream) begin(to placed) {
-	s.runs++
-	s.current = s.newRun(to)
-	s.current.patience = s.patience
-	s.group = to.group.Key
+// startAttempt starts an attempt that replaces the current one.
+func (s *stream) startAttempt(dest target) {
+	s.attempts++
+	s.current = s.newAttempt(dest)
+	s.current.readTimeout = s.readTimeout
+	s.group = dest.group.Key
 }
 
 func (s *stream) close() {
 	if s.hedge != nil {
-		s.hedge.abandon()
+		s.hedge.cancelAndClose()
 	}
 	if s.current != nil {
 		s.current.close()
 	}
 }
 
-// run passes events on until the stream ends.
-func (s *stream) run() error {
+// relay forwards events until the stream ends.
+func (s *stream) relay() error {
 	for {
 		event, err := s.current.next()
 		if err == nil {
-			err = s.check(event)
+			err = s.checkSequence(event)
 		}
 		switch {
 		case err == nil:
 			s.dropHedge()
-			if err := s.pass(event); err != nil {
+			if err := s.forward(event); err != nil {
 				return err
 			}
 		case errors.Is(err, io.EOF):
@@ -89,11 +89,10 @@
 		case s.ctx.Err() != nil:
 			return err
 		default:
-			err = s.goOn(err)
-			if errors.Is(err, errFailure) {
-				// No other group takes the stream: the caller gets what the
-				// instance said.
-				return s.passFailure(s.current.answer)
+			err = s.failOver(err)
+			if errors.Is(err, errFailureResponse) {
+				// No other group takes the stream: the caller gets the failure response.
+				return s.forwardFailure(s.current.response)
 			}
 			if err != nil {
 				return err
@@ -102,112 +101,112 @@
 	}
 }
 
-// goOn has the stream go on elsewhere after its run failed with the error,
-// which is returned if it can't.
-func (s *stream) goOn(cause error) error {
-	if s.answering {
-		// Events that were not flushed because others were to follow.
+// failOver continues the stream at another group after its attempt failed. It returns the cause if
+// that is not possible.
+func (s *stream) failOver(cause error) error {
+	if s.headSent {
+		// Events may not have been flushed because others were to follow.
 		if err := s.flush(); err != nil {
 			return err
 		}
 	}
-	s.noteEnd(cause)
-	if errors.Is(cause, errHeld) {
-		s.untry(s.current.group.Head)
+	s.noteFailure(cause)
+	if errors.Is(cause, errNotAdmitted) {
+		s.unmarkTried(s.current.group.Head)
 	}
-	if s.hedge != nil && s.takeHedge(cause) {
+	if s.hedge != nil && s.adoptHedge(cause) {
 		return nil
 	}
-	// What no instance has run may be sent again, whatever the route.
-	unrun := errors.Is(cause, errNotRun) && s.runs == 0 && s.maySend()
-	if !s.mayRepeat() && !unrun {
+	// A request that no instance has executed may be sent again on any route.
+	notExecuted := errors.Is(cause, errNotExecuted) && s.attempts == 0 && s.maySend()
+	if !s.mayRetry() && !notExecuted {
 		return cause
 	}
-	if err := s.mayBeSent(); err != nil {
+	if err := s.checkQuarantine(); err != nil {
 		return errors.Join(cause, err)
 	}
-	to, err := s.pick()
+	dest, err := s.awaitGroup()
 	if err != nil {
 		return errors.Join(cause, err)
 	}
-	if !errors.Is(cause, errHeld) && !s.spend(isTurnedAway(cause)) {
-		return errors.Join(cause, errBudget)
+	if !errors.Is(cause, errNotAdmitted) && !s.allowRetry(isRejected(cause)) {
+		return errors.Join(cause, errRetryBudget)
 	}
-	s.logMove(to.group, cause)
+	s.logFailover(dest.group, cause)
 	s.current.close()
-	s.begin(to)
+	s.startAttempt(dest)
 	return nil
 }
 
-// takeHedge has the hedge, once it has its first event, take the place of a run
-// that failed with the error. It returns false if the hedge failed too.
-func (s *stream) takeHedge(cause error) bool {
+// adoptHedge waits for the hedge's first event and makes it the current attempt. It returns false
+// if the hedge failed too.
+func (s *stream) adoptHedge(cause error) bool {
 	h := s.hedge
 	s.hedge = nil
 	if err := h.wait(); err != nil {
-		s.noteEnd(err)
+		s.noteFailure(err)
 		h.close()
 		return false
 	}
-	s.switchTo(h.run, cause)
+	s.switchTo(h.streamAttempt, cause)
 	return true
 }
 
-// noteEnd notes that a run ended with an error: one that the instance did not
-// run does not count against the route's attempts.
-func (s *stream) noteEnd(err error) {
-	if errors.Is(err, errNotRun) {
-		s.runs--
+// noteFailure records that an attempt failed. A request that the instance did not execute does not
+// count against the route's attempts.
+func (s *stream) noteFailure(err error) {
+	if errors.Is(err, errNotExecuted) {
+		s.attempts--
 		return
 	}
-	s.ran = true
+	s.maybeExecuted = true
 }
 
-// switchTo has a hedge's run take the place of the former one.
-func (s *stream) switchTo(r *run, cause error) {
-	s.logMove(r.group, cause)
+// switchTo makes a hedge's attempt the current one.
+func (s *stream) switchTo(a *streamAttempt, cause error) {
+	s.logFailover(a.group, cause)
 	s.current.close()
-	s.current, s.group = r, r.group.Key
-	r.patience = s.patience
-	r.answer.Body.SetPatience(s.patience)
+	s.current, s.group = a, a.group.Key
+	a.readTimeout = s.readTimeout
+	a.response.Body.SetPatience(s.readTimeout)
 }
 
-// logMove tells that the stream goes on at another group.
-func (s *stream) logMove(to cluster.Group, cause error) {
+// logFailover logs that the stream continues at another group.
+func (s *stream) logFailover(dest cluster.Group, cause error) {
 	s.g.stats.resumes.Inc()
-	s.g.log.Info().Str("request", string(s.head.ID)).Str("from", string(s.current.group.Key.Name)).Str("to", string(to.Key.Name)).
-		Int64("after", s.last).Bool("begun", s.answering).Dur("pass", s.current.pass()).Dur("patience", s.current.longest()).
+	s.g.log.Info().Str("request", string(s.head.ID)).Str("from", string(s.current.group.Key.Name)).Str("to", string(dest.Key.Name)).
+		Int64("after", s.lastID).Bool("begun", s.headSent).Dur("pass", s.current.passTime()).Dur("patience", s.current.stallTimeout()).
 		Err(cause).Msg("stream-moved")
 }
 
-// engine describes the engine of the stream's service; it may be nil.
+// engine returns the engine profile of the stream's service; it may be nil.
 func (s *stream) engine() *models.EngineProfile {
 	return s.g.node.View().Routing.Services[s.service].Engine
 }
 
-// mayRepeat reports whether the request may be run once more.
-func (s *stream) mayRepeat() bool {
-	return s.route.Repeatable() && s.runs < s.route.Attempts && s.maySend()
+// mayRetry reports whether the request may be executed once more.
+func (s *stream) mayRetry() bool {
+	return s.route.Repeatable() && s.attempts < s.route.Attempts && s.maySend()
 }
 
-// maySend reports whether one more instance may be sent the request.
-func (s *stream) maySend() bool { return len(s.tried) < s.route.Attempts+spareSends }
+// maySend reports whether the request may be sent to one more instance.
+func (s *stream) maySend() bool { return len(s.tried) < s.route.Attempts+extraSends }
 
-// spend takes a repeat from the budget, of a send that was turned away if so.
-func (s *stream) spend(turnedAway bool) bool {
-	return s.g.budget.repeat(time.Now(), s.g.node.View().Daemons, turnedAway)
+// allowRetry takes a retry from the budget.
+func (s *stream) allowRetry(rejected bool) bool {
+	return s.g.budget.allowRetry(time.Now(), s.g.node.View().Daemons, rejected)
 }
 
-// pass passes an event on.
-func (s *stream) pass(event sse.Event) error {
-	if !s.answering {
-		s.writeHead(s.current.answer.Status, s.current.answer.Header)
+// forward sends an event to the caller.
+func (s *stream) forward(event sse.Event) error {
+	if !s.headSent {
+		s.writeHead(s.current.response.Status, s.current.response.Header)
 	}
 	now := time.Now()
-	if !s.moved.IsZero() {
-		s.gap = max(s.gap, now.Sub(s.moved))
+	if !s.lastEvent.IsZero() {
+		s.maxPause = max(s.maxPause, now.Sub(s.lastEvent))
 	}
-	s.moved = now
+	s.lastEvent = now
 	if _, err := s.w.Write(event.Raw); err != nil {
 		return err
 	}
@@ -217,36 +216,36 @@
 	return s.flush()
 }
 
-// passFailure passes on an answer that is no stream.
-func (s *stream) passFailure(answer *h1.Response) error {
-	body, err := readWhole(answer)
+// forwardFailure forwards a failure response.
+func (s *stream) forwardFailure(resp *h1.Response) error {
+	body, err := readResponse(resp)
 	if err != nil {
-		return errors.Join(errMayHaveRun, err)
+		return errors.Join(errMaybeExecuted, err)
 	}
-	if s.answering {
-		return fmt.Errorf("%w: status %d", errMayHaveRun, answer.Status)
+	if s.headSent {
+		return fmt.Errorf("%w: status %d", errMaybeExecuted, resp.Status)
 	}
-	s.writeHead(answer.Status, answer.Header)
+	s.writeHead(resp.Status, resp.Header)
 	_, err = s.w.Write(body)
 	return err
 }
 
-// finishStream ends the answer as whole.
+// finishStream completes the response.
 func (s *stream) finishStream() error {
-	if !s.answering {
-		s.writeHead(s.current.answer.Status, s.current.answer.Header)
+	if !s.headSent {
+		s.writeHead(s.current.response.Status, s.current.response.Header)
 	}
 	return nil
 }
 
-// check refuses an event that does not follow the last one.
-func (s *stream) check(event sse.Event) error {
+// checkSequence returns an error for an event that does not follow the last one.
+func (s *stream) checkSequence(event sse.Event) error {
 	if !event.HasID {
 		return nil
 	}
-	if s.begun && event.ID != s.last+1 {
-		return fmt.Errorf("%w: %w: %d follows %d", errMayHaveRun, errGap, event.ID, s.last)
+	if s.hasLast && event.ID != s.lastID+1 {
+		return fmt.Errorf("%w: %w: got event %d after %d", errMaybeExecuted, errEventGap, event.ID, s.lastID)
 	}
-	s.last, s.begun = event.ID, true
+	s.lastID, s.hasLast = event.ID, true
 	return nil
 }
--- a/lib/sse/reader.go
+++ b/lib/sse/reader.go
@@ -1,5 +1,4 @@
-// Package sse splits a stream of server-sent events into whole events and
-// leaves their bytes as they are.
+// Package sse splits a stream of server-sent events into events without changing their bytes.
 package sse
 
 import (
@@ -10,7 +9,7 @@
 	"strconv"
 )
 
-// MaxEvent is the longest event accepted, in bytes.
+// MaxEvent is the maximum length of an event in bytes.
 const MaxEvent = 1 << 20
 
 // Errors of Next.
@@ -21,68 +20,68 @@
 	ErrTooLong = errors.New("event too long")
 )
 
-// Event is one whole event with the blank line that ends it.
+// Event is one complete event.
 type Event struct {
 	Raw []byte
-	// ID is the number in the event's id field; HasID tells that it has one.
+	// ID is the number in the event's id field; HasID reports whether there is one.
 	ID    int64
 	HasID bool
 }
 
-// Reader splits events off a reader.
+// Reader reads events from an io.Reader.
 type Reader struct {
 	r   io.Reader
 	buf []byte
-	// at is where the unread bytes in buf begin.
-	at int
+	// start is the index in buf at which the unread bytes start.
+	start int
 }
 
-// firstBuffer is the buffer to begin with, in bytes; it grows with the events.
-const firstBuffer = 2 << 10
+// initialBufferLen is the initial length of the buffer in bytes; it grows with the events.
+const initialBufferLen = 2 << 10
 
 // NewReader returns a reader of events.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{r: r, buf: make([]byte, 0, firstBuffer)}
+	return &Reader{r: r, buf: make([]byte, 0, initialBufferLen)}
 }
 
-// Next returns the next event, which is valid until the next call. It returns
-// io.EOF only between two events.
+// Next returns the next event, which is valid until the next call. It returns io.EOF only between
+// two events.
 func (r *Reader) Next() (Event, error) {
 	for {
-		if event, ok := r.split(); ok {
+		if event, ok := r.nextBuffered(); ok {
 			return event, nil
 		}
-		if len(r.buf)-r.at > MaxEvent {
+		if len(r.buf)-r.start > MaxEvent {
 			return Event{}, ErrTooLong
 		}
 		if err := r.fill(); err != nil {
-			if errors.Is(err, io.EOF) && len(r.buf) > r.at {
-				return Event{}, fmt.Errorf("%w: %d bytes left", ErrCut, len(r.buf)-r.at)
+			if errors.Is(err, io.EOF) && len(r.buf) > r.start {
+				return Event{}, fmt.Errorf("%w: %d bytes left", ErrCut, len(r.buf)-r.start)
 			}
 			return Event{}, err
 		}
 	}
 }
 
-// Pending reports whether a whole event has been read already.
-func (r *Reader) Pending() bool { return bytes.Contains(r.buf[r.at:], []byte("\n\n")) }
+// Pending reports whether a complete event is buffered.
+func (r *Reader) Pending() bool { return bytes.Contains(r.buf[r.start:], []byte("\n\n")) }
 
-func (r *Reader) split() (Event, bool) {
-	end := bytes.Index(r.buf[r.at:], []byte("\n\n"))
+func (r *Reader) nextBuffered() (Event, bool) {
+	end := bytes.Index(r.buf[r.start:], []byte("\n\n"))
 	if end < 0 {
 		return Event{}, false
 	}
-	raw := r.buf[r.at : r.at+end+2]
-	r.at += end + 2
-	return parse(raw), true
+	raw := r.buf[r.start : r.start+end+2]
+	r.start += end + 2
+	return parseEvent(raw), true
 }
 
 func (r *Reader) fill() error {
-	if r.at > 0 {
-		r.buf = append(r.buf[:0], r.buf[r.at:]...)
-		r.at = 0
+	if r.start > 0 {
+		r.buf = append(r.buf[:0], r.buf[r.start:]...)
+		r.start = 0
 	}
-	if cap(r.buf)-len(r.buf) < firstBuffer/2 {
+	if cap(r.buf)-len(r.buf) < initialBufferLen/2 {
 		grown := make([]byte, len(r.buf), 2*cap(r.buf))
 		copy(grown, r.buf)
 		r.buf = grown
@@ -95,7 +94,7 @@
 	return err
 }
 
-func parse(raw []byte) Event {
+func parseEvent(raw []byte) Event {
 	event := Event{Raw: raw}
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
 		value, found := bytes.CutPrefix(line, []byte("id:"))
--- a/planner/assign.go
+++ b/planner/assign.go
@@ -7,7 +7,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Target tells how many groups of each model each fabric domain should hold.
+// Target is the desired number of groups of each model in each fabric domain.
 type Target map[models.Domain]map[models.ModelName]int
 
 func (t Target) add(d models.Domain, m models.ModelName, n int) {
@@ -20,7 +20,7 @@
 	t[d][m] += n
 }
 
-// total counts the groups of a model.
+// total returns the number of groups of a model in all domains.
 func (t Target) total(m models.ModelName) int {
 	total := 0
 	for _, counts := range t {
@@ -29,60 +29,58 @@
 	return total
 }
 
-// supply is what one fabric domain has to offer.
+// supply is the capacity of one fabric domain.
 type supply struct {
 	domain models.Domain
 	zone   models.Zone
-	// usable counts the instances that can take work, those in groups
-	// included.
+	// usable is the number of instances that can take work, including group members.
 	usable int
-	// whole counts the groups that have all of their members.
-	whole map[models.ModelName]int
-	// accelerators is what one instance of the domain has.
+	// healthy counts the healthy groups of each model.
+	healthy map[models.ModelName]int
+	// accelerators is the number of accelerators of one instance of the domain.
 	accelerators int
 }
 
-// The weight of breaking up groups that serve, against accelerators that
-// would then not be stranded: a group that is broken up is down for about
-// regroupSeconds, and the gain is taken to last for repackSeconds.
+// Breaking up serving groups is weighed against the stranded accelerators that this
+// frees: a group that is broken up is down for about regroupDowntimeSeconds, and the gain is
+// assumed to last for repackBenefitSeconds.
 const (
-	regroupSeconds = 60
-	repackSeconds  = 600
+	regroupDowntimeSeconds = 60
+	repackBenefitSeconds   = 600
 )
 
-// assign decides how many groups of each model to have in each fabric
-// domain. It keeps the groups that are whole, and breaks some of them up
-// only where that leaves so many fewer accelerators stranded that the
-// operators' weights call for it.
+// assign computes how many groups of each model to have in each fabric domain. It keeps
+// the healthy groups, and breaks some of them up only if, by the operators' weights in
+// policy, the reduction in stranded accelerators outweighs the downtime.
 func assign(supplies []supply, wanted []models.Model, policy models.Policy) Target {
-	keep := assignKeeping(supplies, wanted)
-	free := assignFree(supplies, wanted)
-	gain := usedAccelerators(free, supplies, wanted) - usedAccelerators(keep, supplies, wanted)
-	broken := brokenUp(free, supplies) - brokenUp(keep, supplies)
-	if gain*policy.Stranded*repackSeconds > broken*policy.Downtime*regroupSeconds {
-		return free
+	incremental := assignIncremental(supplies, wanted)
+	scratch := assignFromScratch(supplies, wanted)
+	gain := usedAccelerators(scratch, supplies, wanted) - usedAccelerators(incremental, supplies, wanted)
+	disrupted := disruptedGroups(scratch, supplies) - disruptedGroups(incremental, supplies)
+	if gain*policy.Stranded*repackBenefitSeconds > disrupted*policy.Downtime*regroupDowntimeSeconds {
+		return scratch
 	}
-	return keep
+	return incremental
 }
 
-// assignKeeping keeps as many of the whole groups as are wanted and fills up
-// with what is left.
-func assignKeeping(supplies []supply, wanted []models.Model) Target {
+// assignIncremental keeps as many healthy groups as are wanted and assigns the missing
+// groups to the remaining instances.
+func assignIncremental(supplies []supply, wanted []models.Model) Target {
 	kept := Target{}
 	left := slices.Clone(supplies)
-	rest := slices.Clone(wanted)
-	for i, m := range rest {
+	remaining := slices.Clone(wanted)
+	for i, m := range remaining {
 		for j, s := range left {
-			n := min(s.whole[m.Name], rest[i].Replicas)
+			n := min(s.healthy[m.Name], remaining[i].Replicas)
 			if !m.Place.Allows(s.zone, s.domain) {
 				n = 0
 			}
 			kept.add(s.domain, m.Name, n)
-			rest[i].Replicas -= n
+			remaining[i].Replicas -= n
 			left[j].usable -= n * m.Members
 		}
 	}
-	for d, counts := range assignFree(left, rest) {
+	for d, counts := range assignFromScratch(left, remaining) {
 		for m, n := range counts {
 			kept.add(d, m, n)
 		}
@@ -90,32 +88,31 @@
 	return kept
 }
 
-// Bounds of the exact assignment. Beyond them, and where all groups have the
-// same size, domains are filled one after another.
+// Limits of the exact assignment. Larger inputs are assigned greedily.
 const (
-	maxStates  = 4096
-	maxDomains = 64
+	maxExactStates  = 4096
+	maxExactDomains = 64
 )
 
-// assignFree assigns as if there were no groups yet, but prefers what is
-// there among assignments that use as many instances.
-func assignFree(supplies []supply, wanted []models.Model) Target {
+// assignFromScratch assigns as if there were no groups. The exact assignment prefers, among
+// those that use the same number of instances, the one that keeps the most groups.
+func assignFromScratch(supplies []supply, wanted []models.Model) Target {
 	states := 1
 	for _, m := range wanted {
 		states *= m.Replicas + 1
-		if states > maxStates {
-			return fill(supplies, wanted)
+		if states > maxExactStates {
+			return assignGreedy(supplies, wanted)
 		}
 	}
-	if len(supplies) > maxDomains {
-		return fill(supplies, wanted)
+	if len(supplies) > maxExactDomains {
+		return assignGreedy(supplies, wanted)
 	}
-	return assignExactly(supplies, wanted, states)
+	return assignExact(supplies, wanted, states)
 }
 
-// fill gives the largest groups their instances first. Domains that have an
-// instance left over anyway come first, so that groups have a spare near.
-func fill(supplies []supply, wanted []models.Model) Target {
+// assignGreedy places the models with the largest groups first. Domains in which more
+// instances would be left over come first, so that groups have a spare in their domain.
+func assignGreedy(supplies []supply, wanted []models.Model) Target {
 	target := Target{}
 	left := slices.Clone(supplies)
 	bySize := slices.Clone(wanted)
@@ -143,31 +140,30 @@
 	return target
 }
 
-// The parts of an assignment's score, in order of weight: instances used,
-// groups kept, domains with groups and a spare.
+// Weights in the score of an assignment: per instance used, per group kept, and per domain
+// that has groups and a spare instance. The weights make the terms rank in this order.
 const (
-	scoreUsed  = 10000
-	scoreKept  = 10
-	scoreSpare = 1
+	scorePerInstance   = 10000
+	scorePerKeptGroup  = 10
+	scoreSpareInstance = 1
 )
 
-// assignExactly finds the assignment with the highest score by dynamic
-// programming over the domains; a state is how many groups of each model
-// have been given out.
-func assignExactly(supplies []supply, wanted []models.Model, states int) Target {
+// assignExact finds the assignment with the highest score by dynamic programming over the
+// domains. A state is the number of groups of each model assigned so far.
+func assignExact(supplies []supply, wanted []models.Model, states int) Target {
 	const unreached = -1
 	best := make([]int, states)
 	for i := range best {
 		best[i] = unreached
 	}
 	best[0] = 0
-	// choices[d][state] is what domain d holds on the best way to state.
+	// choices[d][state] is the combination for domain d on the best path to state.
 	choices := make([][][]int, len(supplies))
 	for d, s := range supplies {
 		next := slices.Clone(best)
 		choices[d] = make([][]int, states)
 		for _, combination := range combinations(s, wanted) {
-			score := combinationScore(s, wanted, combination)
+			score := scoreCombination(s, wanted, combination)
 			step := stateIndex(wanted, combination)
 			for state, reached := range best {
 				if reached == unreached || !fits(wanted, state, combination) {
@@ -205,7 +201,8 @@
 	return target
 }
 
-// combinations lists the ways, but for the empty one, to fill one domain.
+// combinations lists the possible numbers of groups of each model in one domain, except
+// for the empty combination.
 func combinations(s supply, wanted []models.Model) [][]int {
 	var out [][]int
 	current := make([]int, len(wanted))
@@ -218,11 +215,11 @@
 			return
 		}
 		m := wanted[model]
-		most := 0
+		maxGroups := 0
 		if m.Place.Allows(s.zone, s.domain) {
-			most = min(m.Replicas, max(0, left)/m.Members)
+			maxGroups = min(m.Replicas, max(0, left)/m.Members)
 		}
-		for n := 0; n <= most; n++ {
+		for n := 0; n <= maxGroups; n++ {
 			current[model] = n
 			extend(model+1, left-n*m.Members)
 		}
@@ -234,21 +231,21 @@
 	return out
 }
 
-func combinationScore(s supply, wanted []models.Model, combination []int) int {
+func scoreCombination(s supply, wanted []models.Model, combination []int) int {
 	used, kept := 0, 0
 	for i, n := range combination {
 		used += n * wanted[i].Members
-		kept += min(n, s.whole[wanted[i].Name])
+		kept += min(n, s.healthy[wanted[i].Name])
 	}
-	score := used*scoreUsed + kept*scoreKept
+	score := used*scorePerInstance + kept*scorePerKeptGroup
 	if used < s.usable {
-		score += scoreSpare
+		score += scoreSpareInstance
 	}
 	return score
 }
 
-// stateIndex numbers the states: the counts are digits, each with its
-// model's replicas as the highest.
+// stateIndex returns the index of a state: a mixed-radix number with one digit per model,
+// from 0 to the model's number of replicas.
 func stateIndex(wanted []models.Model, counts []int) int {
 	index, weight := 0, 1
 	for i, n := range counts {
@@ -278,13 +275,13 @@
 	return used
 }
 
-// brokenUp counts the whole groups that a target has no place for.
-func brokenUp(t Target, supplies []supply) int {
-	broken := 0
+// disruptedGroups counts the healthy groups that the target doesn't keep.
+func disruptedGroups(t Target, supplies []supply) int {
+	disrupted := 0
 	for _, s := range supplies {
-		for m, n := range s.whole {
-			broken += max(0, n-t[s.domain][m])
+		for m, n := range s.healthy {
+			disrupted += max(0, n-t[s.domain][m])
 		}
 	}
-	return broken
+	return disrupted
 }
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -12,52 +12,53 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// Rules are the bounds that the planner works with.
+// Rules holds the limits and timeouts that the planner works with.
 type Rules struct {
-	// ReplaceAfter is how long a group waits for a missing member. Waiting
-	// is short, because a member that comes back while its replacement
-	// still loads is taken back: see swapBack.
+	// ReplaceAfter is how long a member may be unreachable before it is replaced.
+	// It can be short, because a member that returns while its replacement is still
+	// loading weights rejoins the group: see replaceLoadingMembers.
 	ReplaceAfter time.Duration
-	// Bound is the age beyond which evidence counts for nothing.
+	// Bound is the age at which evidence about an instance becomes stale.
 	Bound time.Duration
-	// MaxUnsettled is how many groups may be on their way to serving, in
-	// all, and MaxUnsettledDomain in one fabric domain.
-	MaxUnsettled       int
-	MaxUnsettledDomain int
-	// MaxLoads is how many instances may load weights at once.
+	// MaxStarting is how many groups may be starting (not all members loaded) in
+	// total, and MaxStartingPerDomain in one fabric domain.
+	MaxStarting          int
+	MaxStartingPerDomain int
+	// MaxLoads is how many instances may load weights concurrently.
 	MaxLoads int
 }
 
-// DefaultRules returns the rules for a wait and a bound.
+// DefaultRules returns the default limits with the given ReplaceAfter and Bound.
 func DefaultRules(replaceAfter, bound time.Duration) Rules {
-	return Rules{ReplaceAfter: replaceAfter, Bound: bound, MaxUnsettled: 64, MaxUnsettledDomain: 8, MaxLoads: 128}
+	return Rules{ReplaceAfter: replaceAfter, Bound: bound, MaxStarting: 64, MaxStartingPerDomain: 8, MaxLoads: 128}
 }
 
-// Input is what one round of planning sees.
+// Input is the input of one planning round.
 type Input struct {
 	State *state.State
-	// Instances is the platform's list.
+	// Instances is the platform's instance list.
 	Instances map[models.InstanceID]models.Instance
 	Evidence  map[models.InstanceID]Evidence
 	Now       time.Time
 	Rules     Rules
 }
 
-// Proposal is a record that should be appended.
+// Proposal is a record that the planner wants appended to the log.
 type Proposal struct {
 	Body state.Body
-	// Key is what the order of turn is taken from: the fabric domain.
+	// Key is the rendezvous hashing key that selects the daemon that appends the
+	// record: the fabric domain.
 	Key string
 }
 
-// Plan returns what should change. The same input gives the same proposals,
-// names of new groups included, so that two daemons that plan on the same
-// state do not form two groups.
+// Plan returns the changes to make to the replica groups. It is deterministic, including
+// the IDs of new groups, so that two daemons that plan on the same state don't form two
+// groups.
 func Plan(in Input) []Proposal {
 	p := newRound(in)
 	p.retireUnwanted()
-	p.swapBack()
-	target := assign(p.supplies(), p.wanted(), in.State.Policy)
+	p.replaceLoadingMembers()
+	target := assign(p.supplies(), p.wantedModels(), in.State.Policy)
 	for _, d := range p.domains {
 		p.fillDomain(d, target[d])
 	}
@@ -65,38 +66,38 @@
 	return p.proposals
 }
 
-// health is how a group is doing.
-type health uint8
+// groupHealth is the health of a replica group.
+type groupHealth uint8
 
 const (
-	// healthWhole: every member is there, or has been away for less time
-	// than a group waits.
-	healthWhole health = iota
-	// healthBroken: a member is missing.
-	healthBroken
-	// healthUnwanted: the configuration or a leaving member ends the group.
-	healthUnwanted
+	// groupHealthy: every member is reachable, or has been unreachable for no longer than
+	// Rules.ReplaceAfter.
+	groupHealthy groupHealth = iota
+	// groupDegraded: a member has been unreachable for longer than Rules.ReplaceAfter.
+	groupDegraded
+	// groupUnwanted: the configuration no longer wants the group, or a member is leaving.
+	groupUnwanted
 )
 
-// round is one round of planning.
+// round is the working state of one planning round.
 type round struct {
 	Input
 	domains []models.Domain
 	zones   map[models.Domain]models.Zone
-	// engines lists each domain's engines by id.
+	// engines lists the engines of each domain, sorted by ID.
 	engines map[models.Domain][]models.Instance
 	groups  []models.Group
-	health  map[models.GroupID]health
-	// reasons tells why a group is broken or unwanted.
-	reasons   map[models.GroupID]string
-	unsettled map[models.Domain]int
-	inAll     int
-	// committed counts the groups of a model that are whole, formed in this
-	// round, or broken for so short a time that none is formed elsewhere.
-	committed map[models.ModelName]int
-	// taken are the instances, and ended the groups, that a proposal of
-	// this round uses up.
-	taken     map[models.InstanceID]bool
+	health  map[models.GroupID]groupHealth
+	// reasons holds why each degraded or unwanted group is so.
+	reasons       map[models.GroupID]string
+	starting      map[models.Domain]int
+	startingTotal int
+	// provisioned counts the groups of each model that are healthy, are formed in this
+	// round, or are degraded but still within the relocation grace period.
+	provisioned map[models.ModelName]int
+	// reserved holds the instances that a proposal of this round uses, ended the groups
+	// that a proposal of this round ends.
+	reserved  map[models.InstanceID]bool
 	ended     map[models.GroupID]bool
 	formed    int
 	proposals []Proposal
@@ -105,8 +106,8 @@
 func newRound(in Input) *round {
 	p := &round{
 		Input: in, zones: map[models.Domain]models.Zone{}, engines: map[models.Domain][]models.Instance{},
-		health: map[models.GroupID]health{}, reasons: map[models.GroupID]string{}, unsettled: map[models.Domain]int{},
-		taken: map[models.InstanceID]bool{}, ended: map[models.GroupID]bool{}, committed: map[models.ModelName]int{},
+		health: map[models.GroupID]groupHealth{}, reasons: map[models.GroupID]string{}, starting: map[models.Domain]int{},
+		reserved: map[models.InstanceID]bool{}, ended: map[models.GroupID]bool{}, provisioned: map[models.ModelName]int{},
 	}
 	for _, id := range slices.Sorted(maps.Keys(in.Instances)) {
 		i := in.Instances[id]
@@ -119,13 +120,13 @@
 	p.domains = slices.Sorted(maps.Keys(p.engines))
 	p.groups = slices.SortedFunc(maps.Values(in.State.Groups), func(a, b models.Group) int { return cmp.Compare(a.Fence, b.Fence) })
 	for _, g := range p.groups {
-		p.health[g.ID], p.reasons[g.ID] = p.examine(g)
-		if p.health[g.ID] == healthWhole || p.patient(g) {
-			p.committed[g.Model]++
+		p.health[g.ID], p.reasons[g.ID] = p.checkHealth(g)
+		if p.health[g.ID] == groupHealthy || p.withinRelocationGrace(g) {
+			p.provisioned[g.Model]++
 		}
-		if p.health[g.ID] == healthWhole && !p.settled(g) {
-			p.unsettled[g.Domain]++
-			p.inAll++
+		if p.health[g.ID] == groupHealthy && !p.allLoaded(g) {
+			p.starting[g.Domain]++
+			p.startingTotal++
 		}
 	}
 	return p
@@ -135,43 +136,44 @@
 	p.proposals = append(p.proposals, Proposal{Body: body, Key: string(d)})
 }
 
-// present reports whether the instance answers.
-func (p *round) present(id models.InstanceID) bool {
-	return p.Evidence[id].present(p.Now, p.Rules.Bound)
+// alive reports whether there is fresh evidence that the instance responds.
+func (p *round) alive(id models.InstanceID) bool {
+	return p.Evidence[id].alive(p.Now, p.Rules.Bound)
 }
 
+// leaving reports whether the instance is drained or is shutting down.
 func (p *round) leaving(id models.InstanceID) bool {
 	_, drained := p.State.Drained[id]
 	return drained || p.Instances[id].Leaving || p.Evidence[id].Status.Leaving
 }
 
-// missing reports whether the instance has been away for longer than a group
-// waits.
+// missing reports whether the instance has been unreachable for longer than
+// Rules.ReplaceAfter.
 func (p *round) missing(id models.InstanceID) bool {
-	e, watched := p.Evidence[id]
-	return watched && !p.present(id) && e.Away(p.Now) > p.Rules.ReplaceAfter
+	e, known := p.Evidence[id]
+	return known && !p.alive(id) && e.Away(p.Now) > p.Rules.ReplaceAfter
 }
 
-func (p *round) examine(g models.Group) (health, string) {
-	if why := p.unwanted(g); why != "" {
-		return healthUnwanted, why
+func (p *round) checkHealth(g models.Group) (groupHealth, string) {
+	if reason := p.unwantedReason(g); reason != "" {
+		return groupUnwanted, reason
 	}
 	for _, m := range g.Members {
 		if p.leaving(m.ID) {
-			return healthUnwanted, fmt.Sprintf("member %s is leaving", m.ID)
+			return groupUnwanted, fmt.Sprintf("member %s is leaving", m.ID)
 		}
 	}
 	for _, m := range g.Members {
 		if p.missing(m.ID) {
-			return healthBroken, fmt.Sprintf("member %s is missing", m.ID)
+			return groupDegraded, fmt.Sprintf("member %s is missing", m.ID)
 		}
 	}
-	return healthWhole, ""
+	return groupHealthy, ""
 }
 
-// unwanted tells why the configuration does not want a group; empty if it
-// does.
-func (p *round) unwanted(g models.Group) string {
+// unwantedReason returns why the configuration no longer wants a group, or "" if it
+// still does.
+func (p *round) unwantedReason(g models.Group) string {
 	m, declared := p.State.Models[g.Model]
 	switch {
 	case g.Retiring != 0:
@@ -188,8 +190,8 @@
 	return ""
 }
 
-// settled reports whether every member is loaded for the group.
-func (p *round) settled(g models.Group) bool {
+// allLoaded reports whether every member has joined the group and loaded its weights.
+func (p *round) allLoaded(g models.Group) bool {
 	for _, m := range g.Members {
 		s := p.Evidence[m.ID].Status
 		if s.Fence != g.Fence || s.Phase != types.PhaseLoaded {
@@ -199,28 +201,30 @@
 	return true
 }
 
-// quiet reports whether every member that answers runs nothing.
-func (p *round) quiet(g models.Group) bool {
+// idle reports whether no reachable member has requests in flight.
+func (p *round) idle(g models.Group) bool {
 	for _, m := range g.Members {
-		if p.present(m.ID) && p.Evidence[m.ID].Status.InFlight > 0 {
+		if p.alive(m.ID) && p.Evidence[m.ID].Status.InFlight > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// movePatience is how many times longer than for a spare a group waits before
-// another one is formed in its stead from other instances: that takes a
-// whole load of weights.
-const movePatience = 5
+// relocationGraceFactor times Rules.ReplaceAfter is how long a degraded group is waited
+// for before a group is formed instead of it from entirely different instances. It is longer
+// than the wait before a spare replaces a member, because all members of the new group have
+// to load weights.
+const relocationGraceFactor = 5
 
-// patient reports whether a broken group may still be waited for.
-func (p *round) patient(g models.Group) bool {
-	if p.health[g.ID] != healthBroken {
+// withinRelocationGrace reports whether a group is degraded and all of its members have been
+// unreachable for no longer than the relocation grace period.
+func (p *round) withinRelocationGrace(g models.Group) bool {
+	if p.health[g.ID] != groupDegraded {
 		return false
 	}
 	for _, m := range g.Members {
-		if p.Evidence[m.ID].Away(p.Now) > movePatience*p.Rules.ReplaceAfter {
+		if p.Evidence[m.ID].Away(p.Now) > relocationGraceFactor*p.Rules.ReplaceAfter {
 			return false
 		}
 	}
--- a/router/limit_test.go
+++ b/router/limit_test.go
@@ -21,8 +21,8 @@
 	// Output: 10
 }
 
-// TestAllotmentsAddUp checks the sum over any number of daemons.
-func TestAllotmentsAddUp(t *testing.T) {
+// TestAllotmentsSumToLimit checks that the shares of all daemons add up to the limit.
+func TestAllotmentsSumToLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var serving []models.DaemonID
 		for n := range rapid.IntRange(1, 40).Draw(t, "daemons") {
@@ -51,7 +51,7 @@
 	c.Assert(l.Take(models.Workspace{Name: "free"}, 0), qt.IsNil)
 }
 
-func TestBudget(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	c := qt.New(t)
 	b := &router.Budget{}
 	const first = 10
@@ -70,26 +70,25 @@
 	c.Assert(retries >= 95, qt.IsTrue, qt.Commentf("%d", retries))
 }
 
-// TestRequestEnds walks requests through their steps and looks at what may
-// be said of them.
-func TestRequestEnds(t *testing.T) {
+// TestRequestOutcomes takes requests through sequences of steps and checks their outcomes.
+func TestRequestOutcomes(t *testing.T) {
 	type step func(*router.Request) error
 	send, notRun, failed, answer := (*router.Request).Send, (*router.Request).NotRun, (*router.Request).Failed, (*router.Request).Answer
 	for _, test := range []struct {
 		name       string
 		repeatable bool
 		steps      []step
-		whole      bool
+		complete   bool
 		want       router.End
 	}{
 		{"never sent", true, nil, false, router.EndNotRun},
-		{"whole", true, []step{send, answer}, true, router.EndWhole},
+		{"complete", true, []step{send, answer}, true, router.EndWhole},
 		{"broke off", true, []step{send, answer}, false, router.EndMayHaveRun},
 		{"refused with proof", false, []step{send, notRun}, false, router.EndNotRun},
-		{"refused, then whole", false, []step{send, notRun, send, answer}, true, router.EndWhole},
+		{"refused, then complete", false, []step{send, notRun, send, answer}, true, router.EndWhole},
 		{"failed once, refused once", true, []step{send, failed, send, notRun}, false, router.EndMayHaveRun},
 		{"failed, not repeatable", false, []step{send, failed}, false, router.EndMayHaveRun},
-		{"held by another", false, []step{(*router.Request).HeldElsewhere}, false, router.EndMayHaveRun},
+		{"key held by another request", false, []step{(*router.Request).HeldElsewhere}, false, router.EndMayHaveRun},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -97,13 +96,13 @@
 			for _, s := range test.steps {
 				c.Assert(s(r), qt.IsNil)
 			}
-			c.Assert(r.Finish(test.whole), qt.Equals, test.want)
+			c.Assert(r.Finish(test.complete), qt.Equals, test.want)
 			c.Assert(r.Send(), qt.ErrorIs, router.ErrPhase)
 		})
 	}
 }
 
-func TestNotRepeatableIsSentOnce(t *testing.T) {
+func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
 	c := qt.New(t)
 	r := &router.Request{ID: "r"}
 	c.Assert(r.Send(), qt.IsNil)
--- a/state/apply.go
+++ b/state/apply.go
@@ -8,53 +8,55 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Reasons for which the fold refuses a record. Outcome.Refused wraps one.
+// Reasons for which Apply refuses a record. Outcome.Refused wraps one of them, or
+// ErrUndecodable.
 var (
-	// ErrDuplicate: a record with this id was folded before.
+	// ErrDuplicate: a record with this ID has already been applied.
 	ErrDuplicate = errors.New("already applied")
-	// ErrStale: the author had not seen the present revision.
+	// ErrStale: the record is based on an outdated revision.
 	ErrStale = errors.New("changed in the meantime")
-	// ErrUnknown: the record names something that does not exist.
+	// ErrUnknown: the record refers to an entity that doesn't exist.
 	ErrUnknown = errors.New("not found")
-	// ErrInUse: the record takes or drops something that is still in use.
+	// ErrInUse: the record uses an instance or a group ID that is not available.
 	ErrInUse = errors.New("in use")
-	// ErrInvalid: the record's values are out of range.
+	// ErrInvalid: the record holds an invalid value.
 	ErrInvalid = errors.New("not valid")
 )
 
-// Outcome tells what became of one record. It is the same on every daemon.
+// Outcome is the result of applying one record. It is the same on every daemon.
 type Outcome struct {
 	Offset models.Offset
 	Record models.RecordID
-	// Refused is nil for a record that took effect.
+	// Refused is why the record was refused; nil if it took effect.
 	Refused error
 	Events  []Event
 }
 
-// Event tells what a record changed: one of the types below.
+// Event is a change that a record made: one of the types in this package with an event
+// method.
 type Event interface{ event() }
 
 type (
-	// ConfigChanged tells that a ChangeConfig was accepted.
+	// ConfigChanged is the event of an accepted ChangeConfig.
 	ConfigChanged struct{ Operator models.OperatorName }
-	// GroupFormed tells of a new group.
+	// GroupFormed is the event of a new group.
 	GroupFormed struct {
 		Group  models.Group
 		Reason string
 	}
-	// GroupRetired tells that a group takes no new requests.
+	// GroupRetired is the event of a group that takes no new requests any longer.
 	GroupRetired struct {
 		Group  models.Group
 		Reason string
 	}
-	// GroupEnded tells that a group is gone.
+	// GroupEnded is the event of a removed group.
 	GroupEnded struct {
 		Group  models.Group
 		Reason string
 	}
-	// DaemonJoined tells of a daemon or its new incarnation.
+	// DaemonJoined is the event of a daemon, or its new incarnation, that joined the roster.
 	DaemonJoined struct{ Daemon models.Daemon }
-	// DaemonLeft tells that a daemon is off the roster.
+	// DaemonLeft is the event of a daemon that was removed from the roster.
 	DaemonLeft struct {
 		Daemon models.Daemon
 		Reason string
@@ -68,11 +70,11 @@
 func (DaemonJoined) event()  {}
 func (DaemonLeft) event()    {}
 
-// ErrGap is returned by Apply for an offset that is not the next one.
+// ErrGap is returned by Apply for an offset that doesn't follow the last applied one.
 var ErrGap = errors.New("offset out of order")
 
-// Apply folds the record at the given offset. It returns ErrGap, and
-// changes nothing, unless the offset is the one after the last applied.
+// Apply applies the record at the given offset. It returns ErrGap, and changes nothing,
+// unless the offset follows the last applied one.
 func (s *State) Apply(offset models.Offset, data []byte) (Outcome, error) {
 	if offset != s.Applied+1 {
 		return Outcome{}, fmt.Errorf("%w: got %d after %d", ErrGap, offset, s.Applied)
@@ -83,11 +85,11 @@
 		return Outcome{Offset: offset, Refused: err}, nil
 	}
 	out := Outcome{Offset: offset, Record: rec.ID}
-	if _, doubled := s.seen[rec.ID]; doubled {
+	if _, duplicate := s.seenIDs[rec.ID]; duplicate {
 		out.Refused = ErrDuplicate
 		return out, nil
 	}
-	s.remember(rec.ID)
+	s.rememberID(rec.ID)
 	out.Events, out.Refused = s.applyBody(offset, rec)
 	return out, nil
 }
@@ -95,21 +97,21 @@
 func (s *State) applyBody(offset models.Offset, rec Record) ([]Event, error) {
 	switch body := rec.Body.(type) {
 	case ChangeConfig:
-		return s.applyChange(offset, rec, body)
+		return s.applyChangeConfig(offset, rec, body)
 	case FormGroup:
-		return s.applyForm(offset, body)
+		return s.applyFormGroup(offset, body)
 	case RetireGroup:
-		return s.applyRetire(offset, body)
+		return s.applyRetireGroup(offset, body)
 	case EndGroup:
-		return s.applyEnd(body)
+		return s.applyEndGroup(body)
 	case JoinDaemon:
-		return s.applyJoin(offset, body)
+		return s.applyJoinDaemon(offset, body)
 	case LeaveDaemon:
-		return s.applyLeave(body)
+		return s.applyLeaveDaemon(body)
 	case ClaimKeys:
-		return s.applyClaims(body), nil
+		return s.applyClaimKeys(body), nil
 	case ReleaseKeys:
-		s.applyReleases(body)
+		s.applyReleaseKeys(body)
 		return nil, nil
 	case CheckpointPart:
 		return nil, nil
@@ -118,7 +120,7 @@
 	}
 }
 
-func (s *State) applyForm(offset models.Offset, form FormGroup) ([]Event, error) {
+func (s *State) applyFormGroup(offset models.Offset, form FormGroup) ([]Event, error) {
 	g := form.Group
 	model, ok := s.Models[g.Model]
 	if !ok {
@@ -135,12 +137,12 @@
 		return nil, fmt.Errorf("%w: group %s exists", ErrInUse, g.ID)
 	}
 	for _, ref := range form.Replaces {
-		if _, err := s.group(ref); err != nil {
+		if _, err := s.resolveGroup(ref); err != nil {
 			return nil, err
 		}
 	}
 	for _, m := range g.Members {
-		if err := s.checkFree(m.ID, form.Replaces); err != nil {
+		if err := s.checkAvailable(m.ID, form.Replaces); err != nil {
 			return nil, err
 		}
 	}
@@ -177,7 +179,7 @@
 	return nil
 }
 
-func (s *State) checkFree(id models.InstanceID, replaced []GroupRef) error {
+func (s *State) checkAvailable(id models.InstanceID, replaced []GroupRef) error {
 	if _, drained := s.Drained[id]; drained {
 		return fmt.Errorf("%w: instance %s is drained", ErrInUse, id)
 	}
@@ -188,9 +190,9 @@
 	return fmt.Errorf("%w: instance %s belongs to group %s", ErrInUse, id, owner)
 }
 
-// group returns the group that a reference names, if it still is the one
-// that the author saw.
-func (s *State) group(ref GroupRef) (models.Group, error) {
+// resolveGroup returns the group that ref refers to. It returns ErrStale if the group has
+// been formed anew since the author saw it.
+func (s *State) resolveGroup(ref GroupRef) (models.Group, error) {
 	g, ok := s.Groups[ref.ID]
 	if !ok {
 		return models.Group{}, fmt.Errorf("%w: group %s", ErrUnknown, ref.ID)
@@ -201,8 +203,8 @@
 	return g, nil
 }
 
-func (s *State) applyRetire(offset models.Offset, retire RetireGroup) ([]Event, error) {
-	g, err := s.group(retire.Group)
+func (s *State) applyRetireGroup(offset models.Offset, retire RetireGroup) ([]Event, error) {
+	g, err := s.resolveGroup(retire.Group)
 	if err != nil {
 		return nil, err
 	}
@@ -214,8 +216,8 @@
 	return []Event{GroupRetired{Group: g, Reason: retire.Reason}}, nil
 }
 
-func (s *State) applyEnd(end EndGroup) ([]Event, error) {
-	g, err := s.group(end.Group)
+func (s *State) applyEndGroup(end EndGroup) ([]Event, error) {
+	g, err := s.resolveGroup(end.Group)
 	if err != nil {
 		return nil, err
 	}
@@ -223,21 +225,21 @@
 	return []Event{GroupEnded{Group: g, Reason: end.Reason}}, nil
 }
 
-func (s *State) applyJoin(offset models.Offset, join JoinDaemon) ([]Event, error) {
+func (s *State) applyJoinDaemon(offset models.Offset, join JoinDaemon) ([]Event, error) {
 	d := join.Daemon
 	if err := models.CheckName(d.ID); err != nil {
 		return nil, fmt.Errorf("%w: daemon: %w", ErrInvalid, err)
 	}
-	if present := s.Daemons[d.ID]; present.Incarnation != join.Was {
+	if current := s.Daemons[d.ID]; current.Incarnation != join.Was {
 		return nil, fmt.Errorf("%w: daemon %s is at incarnation %d, the author saw %d",
-			ErrStale, d.ID, present.Incarnation, join.Was)
+			ErrStale, d.ID, current.Incarnation, join.Was)
 	}
 	d.Joined = offset
 	s.Daemons[d.ID] = d
 	return []Event{DaemonJoined{Daemon: d}}, nil
 }
 
-func (s *State) applyLeave(leave LeaveDaemon) ([]Event, error) {
+func (s *State) applyLeaveDaemon(leave LeaveDaemon) ([]Event, error) {
 	d, ok := s.Daemons[leave.ID]
 	if !ok {
 		return nil, fmt.Errorf("%w: daemon %s", ErrUnknown, leave.ID)
--- a/state/checkpoint.go
+++ b/state/checkpoint.go
@@ -7,35 +7,35 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// CheckpointPartLen is how many bytes of a state one part carries at most.
-// It keeps a part well below MaxRecordLen.
-const CheckpointPartLen = 256 << 10
+// MaxCheckpointPartLen is the maximum number of bytes in a checkpoint part. It keeps the
+// encoded record well below MaxRecordLen.
+const MaxCheckpointPartLen = 256 << 10
 
-// SplitCheckpoint makes the records that carry a marshalled state. newID
-// gives each a fresh id.
+// SplitCheckpoint splits a marshalled state into CheckpointPart records. newID returns a new
+// ID for each record.
 func SplitCheckpoint(at models.Offset, data []byte, author models.DaemonID, now time.Time, newID func() models.RecordID) []Record {
-	parts := max(1, (len(data)+CheckpointPartLen-1)/CheckpointPartLen)
+	parts := max(1, (len(data)+MaxCheckpointPartLen-1)/MaxCheckpointPartLen)
 	out := make([]Record, 0, parts)
 	for part := range parts {
-		piece := data[part*CheckpointPartLen : min(len(data), (part+1)*CheckpointPartLen)]
+		chunk := data[part*MaxCheckpointPartLen : min(len(data), (part+1)*MaxCheckpointPartLen)]
 		out = append(out, Record{
 			ID: newID(), Author: author, At: now,
-			Body: CheckpointPart{At: at, Part: part, Parts: parts, Data: piece},
+			Body: CheckpointPart{At: at, Part: part, Parts: parts, Data: chunk},
 		})
 	}
 	return out
 }
 
-// checkpointKey tells the checkpoints of racing writers apart.
+// checkpointKey distinguishes the checkpoints of concurrent writers.
 type checkpointKey struct {
 	author models.DaemonID
 	at     models.Offset
 	parts  int
 }
 
-// JoinCheckpoint returns the newest state of which all parts are among the
-// encoded records, and the offset it was taken at; 0 if there is none.
-// Records that are not parts are passed over.
+// JoinCheckpoint returns the newest marshalled state of which all parts are among the encoded
+// records, and its offset; 0 if there is none. It skips records that are not checkpoint
+// parts.
 func JoinCheckpoint(records [][]byte) (models.Offset, []byte) {
 	parts := map[checkpointKey]map[int][]byte{}
 	for _, data := range records {
@@ -54,20 +54,19 @@
 		parts[key][p.Part] = p.Data
 	}
 	var newest checkpointKey
-	for key, got := range parts {
-		if len(got) == key.parts && key.at > newest.at {
+	for key, received := range parts {
+		if len(received) == key.parts && key.at > newest.at {
 			newest = key
 		}
 	}
-	var whole []byte
+	var joined []byte
 	for part := range newest.parts {
-		whole = append(whole, parts[newest][part]...)
+		joined = append(joined, parts[newest][part]...)
 	}
-	return newest.at, whole
+	return newest.at, joined
 }
 
-// Restore reads a marshalled state and checks that it was taken at the
-// offset.
+// Restore decodes a marshalled state and checks that its offset is at.
 func Restore(at models.Offset, data []byte) (*State, error) {
 	s, err := Unmarshal(data)
 	if err != nil {
--- a/worker/engine/client.go
+++ b/worker/engine/client.go
@@ -18,22 +18,22 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// Errors that calls to an engine return.
+// Errors of calls to an engine.
 var (
 	// ErrFenced: the engine has seen a newer fence.
 	ErrFenced = errors.New("the instance has seen a newer fence")
-	// ErrUnhealthy: the engine answered something else than expected.
-	ErrUnhealthy = errors.New("unexpected answer from the instance")
-	// ErrStranger: another instance answers at the address.
-	ErrStranger = errors.New("another instance answers at this address")
+	// ErrUnexpectedResponse: the engine responded with an unexpected status or body.
+	ErrUnexpectedResponse = errors.New("unexpected response from the instance")
+	// ErrWrongInstance: another instance answers at the address.
+	ErrWrongInstance = errors.New("another instance answers at this address")
 )
 
-const maxStatus = 64 << 10
+const maxStatusLen = 64 << 10
 
-// Client watches engines and gives them orders.
+// Client probes engines and sends them orders.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client that shares its connections among all calls.
+// NewClient returns a client whose calls share connections.
 func NewClient(dialer dial.Dialer) *Client {
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
@@ -43,8 +43,7 @@
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// Status asks the instance for its status and returns ErrStranger if the
-// answer comes from another one.
+// Status returns the status of the instance, or ErrWrongInstance if another instance answers.
 func (c *Client) Status(ctx context.Context, id models.InstanceID, addr netip.AddrPort) (types.EngineStatus, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/status", addr), nil)
 	if err != nil {
@@ -56,20 +55,19 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return types.EngineStatus{}, trace.Wrap(fmt.Errorf("%w: status: %s", ErrUnhealthy, resp.Status))
+		return types.EngineStatus{}, trace.Wrap(fmt.Errorf("%w: status: %s", ErrUnexpectedResponse, resp.Status))
 	}
 	var status types.EngineStatus
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(&status); err != nil {
-		return types.EngineStatus{}, trace.Wrap(errors.Join(ErrUnhealthy, err))
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusLen)).Decode(&status); err != nil {
+		return types.EngineStatus{}, trace.Wrap(errors.Join(ErrUnexpectedResponse, err))
 	}
 	if status.Instance != id {
-		return types.EngineStatus{}, trace.Wrap(fmt.Errorf("%w: %s instead of %s", ErrStranger, status.Instance, id))
+		return types.EngineStatus{}, trace.Wrap(fmt.Errorf("%w: %s instead of %s", ErrWrongInstance, status.Instance, id))
 	}
 	return status, nil
 }
 
-// Send gives the order. It returns ErrFenced if the instance refused it as
-// too old.
+// Send sends the order. It returns ErrFenced if the instance rejected the order as too old.
 func (c *Client) Send(ctx context.Context, addr netip.AddrPort, order types.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -79,8 +77,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	// An order that may have been sent must not be sent again behind our
-	// back on another connection.
+	// Without GetBody the transport can't resend an order that may have been sent.
 	req.GetBody = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -93,6 +90,6 @@
 	case http.StatusConflict:
 		return trace.Wrap(ErrFenced)
 	default:
-		return trace.Wrap(fmt.Errorf("%w: order: %s", ErrUnhealthy, resp.Status))
+		return trace.Wrap(fmt.Errorf("%w: order: %s", ErrUnexpectedResponse, resp.Status))
 	}
 }
--- a/worker/peer/server.go
+++ b/worker/peer/server.go
@@ -15,25 +15,25 @@
 	"github.com/lupinkeel/lupinkeel/lib/frame"
 )
 
-// Source answers heartbeats. It is called from many goroutines.
-type Source interface {
-	Answer(Heartbeat) Answer
+// Handler handles heartbeats. It is called concurrently.
+type Handler interface {
+	HandleHeartbeat(Heartbeat) Response
 }
 
-// idleTimeout closes a connection on which no heartbeat comes.
+// idleTimeout is how long a connection without heartbeats stays open.
 const idleTimeout = 10 * time.Second
 
 // Server answers the heartbeats of other daemons.
 type Server struct {
-	Source Source
-	Log    zerolog.Logger
-	// Bytes, if set, counts what is sent and received.
-	Bytes dial.Count
+	Handler Handler
+	Log     zerolog.Logger
+	// CountBytes, if set, counts the bytes sent and received.
+	CountBytes dial.CountFunc
 
 	listener net.Listener
 }
 
-// Listen binds the address and returns the one bound.
+// Listen binds the address and returns the bound address.
 func (s *Server) Listen(addr netip.AddrPort) (netip.AddrPort, error) {
 	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
@@ -44,7 +44,7 @@
 	return netip.AddrPortFrom(bound.Addr().Unmap(), bound.Port()), nil
 }
 
-// Run answers until the context ends.
+// Run answers heartbeats until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { s.listener.Close() })
 	defer stop()
@@ -64,9 +64,9 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	counted := dial.Counted(conn, s.Bytes)
+	counted := dial.WithCount(conn, s.CountBytes)
 	for {
-		if err := s.answerOne(counted); err != nil {
+		if err := s.serveHeartbeat(counted); err != nil {
 			if !errors.Is(err, io.EOF) && ctx.Err() == nil {
 				s.Log.Debug().Err(err).Stringer("remote", conn.RemoteAddr()).Msg("peer-connection-ended")
 			}
@@ -75,7 +75,7 @@
 	}
 }
 
-func (s *Server) answerOne(conn net.Conn) error {
+func (s *Server) serveHeartbeat(conn net.Conn) error {
 	if err := conn.SetDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return err
 	}
@@ -86,10 +86,10 @@
 	if kind != kindHeartbeat {
 		return fmt.Errorf("%w: kind %d instead of a heartbeat", frame.ErrFormat, kind)
 	}
-	var beat Heartbeat
-	if err := frame.Decode(body, &beat); err != nil {
+	var heartbeat Heartbeat
+	if err := frame.Decode(body, &heartbeat); err != nil {
 		return err
 	}
-	_, err = frame.Write(conn, kindStatus, s.Source.Answer(beat))
+	_, err = frame.Write(conn, kindResponse, s.Handler.HandleHeartbeat(heartbeat))
 	return err
 }
--- a/worker/platform/follower.go
+++ b/worker/platform/follower.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// readWait is how long a read at the end of the stream waits for more.
-	readWait = time.Second
-	// retryRead is the pause after a failed read.
-	retryRead = 200 * time.Millisecond
+	// maxReadWait is how long a read at the end of the stream waits for new entries.
+	maxReadWait = time.Second
+	// readRetryDelay is the pause after a failed read.
+	readRetryDelay = 200 * time.Millisecond
 )
 
-// Follower reads one stream to its end and then waits for more.
+// Follower reads one stream to its end and then waits for new entries.
 type Follower struct {
 	Client *Client
 	Stream string
-	// Next is the first offset wanted.
+	// Next is the offset to read next.
 	Next models.Offset
-	// Seek moves Next while the follower runs.
+	// Seek carries offsets that replace Next while the follower runs.
 	Seek <-chan models.Offset
 	Out  chan<- types.Message
 
-	// atEnd tells that the last read came to the end of the stream.
+	// atEnd is set if the last read reached the end of the stream.
 	atEnd bool
 }
 
-// Run follows the stream until the context ends. When the offset that it
-// wants has expired it says so and waits to be told where to go on.
+// Run follows the stream until the context ends. If the next offset has expired, it sends
+// LogExpired and waits for a new offset on Seek.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		f.takeSeek()
-		began := time.Now()
-		answer, err := f.Client.Read(ctx, f.Stream, f.Next, f.wait())
+		f.pollSeek()
+		startedAt := time.Now()
+		answer, err := f.Client.Read(ctx, f.Stream, f.Next, f.nextWait())
 		if ctx.Err() != nil {
 			break
 		}
@@ -44,32 +44,31 @@
 		switch {
 		case errors.Is(err, ErrExpired):
 			types.Send(ctx, f.Out, types.LogExpired{First: answer.First})
-			f.waitSeek(ctx, readWait)
+			f.awaitSeek(ctx, maxReadWait)
 		case err != nil:
-			types.Send(ctx, f.Out, types.LogAway{Err: err})
-			pause(ctx, retryRead)
+			types.Send(ctx, f.Out, types.LogUnavailable{Err: err})
+			sleep(ctx, readRetryDelay)
 		default:
 			f.Next += models.Offset(len(answer.Entries))
 			f.atEnd = f.Next >= answer.Next
-			types.Send(ctx, f.Out, types.LogRead{Began: began, Entries: answer.Entries, Next: answer.Next})
+			types.Send(ctx, f.Out, types.LogRead{StartedAt: startedAt, Entries: answer.Entries, Next: answer.Next})
 		}
 	}
 	return ctx.Err()
 }
 
-// wait is how long the next read may take. Until the end was reached a read
-// comes back at once: a daemon that starts again, or goes on from a checkpoint
-// at the end of the stream, serves nothing until it knows that it has read
-// everything, 1 s sooner by this.
-func (f *Follower) wait() time.Duration {
+// nextWait returns how long the next read may wait for entries. Before the end was reached a read
+// returns immediately: a daemon that restarts, or continues from a checkpoint at the end of the
+// stream, serves nothing until it knows that it has read everything. Not waiting saves it 1 s.
+func (f *Follower) nextWait() time.Duration {
 	if f.atEnd {
-		return readWait
+		return maxReadWait
 	}
 	return 0
 }
 
-// takeSeek moves to the offset that the follower was told, if it was.
-func (f *Follower) takeSeek() {
+// pollSeek moves to the offset on Seek, if there is one.
+func (f *Follower) pollSeek() {
 	select {
 	case next := <-f.Seek:
 		f.moveTo(next)
@@ -77,10 +76,9 @@
 	}
 }
 
-// waitSeek moves to the offset that the follower is told within the given
-// time.
-func (f *Follower) waitSeek(ctx context.Context, wait time.Duration) {
-	t := time.NewTimer(wait)
+// awaitSeek waits for an offset on Seek, at most for the timeout, and moves there.
+func (f *Follower) awaitSeek(ctx context.Context, timeout time.Duration) {
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case next := <-f.Seek:
@@ -95,7 +93,7 @@
 	f.atEnd = false
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/worker/platform/list.go
+++ b/worker/platform/list.go
@@ -7,7 +7,7 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// PollInstances reads the list at each tick until the context ends.
+// PollInstances reads the list of instances at each tick until the context ends.
 func (c *Client) PollInstances(ctx context.Context, ticks <-chan timer.Tick, out chan<- types.Message) error {
 	for {
 		instances, err := c.Instances(ctx)
@@ -15,7 +15,7 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case err != nil:
-			types.Send(ctx, out, types.ListAway{Err: err})
+			types.Send(ctx, out, types.ListUnavailable{Err: err})
 		default:
 			types.Send(ctx, out, types.ListRead{Instances: instances})
 		}
--- a/worker/service/service.go
+++ b/worker/service/service.go
@@ -1,5 +1,4 @@
-// Package service speaks to plain services: calls that the system routes
-// and does not understand.
+// Package service probes plain services, whose calls the system routes without interpreting them.
 package service
 
 import (
@@ -15,21 +14,20 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// Watch tries at each tick whether the services' instances in targets accept
-// connections, until the context ends. Plain services have no status call in
-// common.
+// Watch checks at each tick whether the target instances accept connections, until the context
+// ends. Plain services have no common status call.
 func Watch(
 	ctx context.Context, dialer dial.Dialer, ticks <-chan timer.Tick,
 	targets <-chan map[models.InstanceID]netip.AddrPort, out chan<- types.Message,
 ) error {
 	p := probe.Prober[models.InstanceID, netip.AddrPort, struct{}]{
-		Ticks: ticks, Targets: targets, Ask: connect(dialer),
+		Ticks: ticks, Targets: targets, Probe: connect(dialer),
 		Deliver: func(ctx context.Context, r probe.Result[models.InstanceID, netip.AddrPort, struct{}]) {
 			if r.Err != nil {
-				types.Send(ctx, out, types.InstanceSilent{Instance: r.Key, Asked: r.Asked, Err: r.Err})
+				types.Send(ctx, out, types.InstanceSilent{Instance: r.Key, SentAt: r.SentAt, Err: r.Err})
 				return
 			}
-			types.Send(ctx, out, types.ServiceSeen{Instance: r.Key, Asked: r.Asked})
+			types.Send(ctx, out, types.ServiceSeen{Instance: r.Key, SentAt: r.SentAt})
 		},
 	}
 	return p.Run(ctx)
