--- a/api/callers.go
+++ b/api/callers.go
@@ -43,16 +43,16 @@
 		s.reject(w, err)
 		return nil, nil, nil
 	}
-	if err := s.limits.Take(e.workspace, s.workspaceShare(e.workspace)); err != nil {
+	if err := s.limits.Acquire(e.workspace, s.workspaceShare(e.workspace)); err != nil {
 		s.inFlight.end()
 		s.reject(w, err)
 		return nil, nil, nil
 	}
-	s.budget.Earn()
+	s.budget.Deposit()
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	return e, ctx, func() {
 		cancel()
-		s.limits.Give(e.workspace.Name)
+		s.limits.Release(e.workspace.Name)
 		s.inFlight.end()
 	}
 }
@@ -63,12 +63,12 @@
 	if w.Concurrent == 0 {
 		return 0
 	}
-	return router.Allotment(w.Concurrent, s.cfg.ID, s.daemon.View().Serving(time.Now()), string(w.Name))
+	return router.LimitShare(w.Concurrent, s.cfg.ID, s.daemon.View().Serving(time.Now()), string(w.Name))
 }
 
 func (s *Server) reject(w http.ResponseWriter, err error) {
 	s.stats.refused.Inc()
-	writeError(w, err, router.EndNotRun)
+	writeError(w, err, router.OutcomeNotRun)
 }
 
 func (s *Server) newExchange(w http.ResponseWriter, r *http.Request, id models.RequestID, repeatable bool) (*exchange, time.Duration, error) {
@@ -94,7 +94,7 @@
 	}
 	return &exchange{
 		s: s, w: w, r: r, workspace: workspace, body: body, priority: opts.priority, started: time.Now(),
-		req: &router.Request{ID: id, Repeatable: opts.repeatable}, keyHash: opts.keyHash(workspace.Name),
+		req: &router.Request{ID: id, Idempotent: opts.repeatable}, keyHash: opts.keyHash(workspace.Name),
 		entry: models.TrailEntry{Request: id, Workspace: workspace.Name, Daemon: s.cfg.ID, Started: time.Now().UTC()},
 	}, opts.timeout, nil
 }
@@ -104,7 +104,7 @@
 	view := s.daemon.View()
 	workspace, err := authenticateWorkspace(view.State, r)
 	if err != nil {
-		writeError(w, err, router.EndNone)
+		writeError(w, err, router.OutcomeNone)
 		return
 	}
 	type model struct {
--- a/api/chat.go
+++ b/api/chat.go
@@ -63,22 +63,22 @@
 		s.reject(w, err)
 		return
 	}
-	e.entry.Wanted = string(chat.Model)
+	e.entry.ModelOrService = string(chat.Model)
 	capacity := s.daemon.View().Table.CapacityFor(e.workspace, chat.Model, e.started)
-	if err := s.admission.Enter(chat.Model, e.workspace, capacity, e.priority); err != nil {
+	if err := s.admission.Acquire(chat.Model, e.workspace, capacity, e.priority); err != nil {
 		s.reject(w, err)
 		return
 	}
-	defer s.admission.Leave(chat.Model, e.workspace.Name)
+	defer s.admission.Release(chat.Model, e.workspace.Name)
 	prompt := router.Prompt{Prefix: prefixHash(chat)}
-	prompt.Seen = s.prefixes.Seen(prompt.Prefix)
+	prompt.SeenBefore = s.prefixes.Seen(prompt.Prefix)
 	e.chooseTarget = func(now time.Time, avoid []netip.AddrPort) (router.Target, error) {
 		return s.daemon.View().Table.ChooseGroup(e.workspace, chat.Model, prompt, now, s.inFlight.triesAt, avoid)
 	}
 	e.newCall = func(t router.Target) upstream.Call {
 		return upstream.Call{
 			Addr: t.Addr, Method: http.MethodPost, Path: chatPath, Header: forwardedHeaders(r.Header), Body: e.body,
-			Request: e.req.ID, Group: t.Group.ID, Fence: t.Group.Fence, Priority: e.priority, NewConn: !e.req.Repeatable,
+			Request: e.req.ID, Group: t.Group.ID, Fence: t.Group.Fence, Priority: e.priority, NewConn: !e.req.Idempotent,
 		}
 	}
 	e.forward = e.forwardBuffered
@@ -87,7 +87,7 @@
 	}
 	var lastTarget netip.AddrPort
 	defer func() {
-		if e.req.End() == router.EndMayHaveRun && lastTarget.IsValid() {
+		if e.req.Outcome() == router.OutcomeMayHaveRun && lastTarget.IsValid() {
 			s.cancelRun(lastTarget, e.req.ID)
 		}
 	}()
@@ -196,7 +196,7 @@
 // aborted.
 func (e *exchange) writeErrorEvent(cause error) {
 	err := fmt.Errorf("%w: %w", ErrUpstreamFailed, cause)
-	data, marshalErr := json.Marshal(errorBody{Error: newErrorDetail(err, router.EndMayHaveRun)})
+	data, marshalErr := json.Marshal(errorBody{Error: newErrorDetail(err, router.OutcomeMayHaveRun)})
 	if marshalErr != nil {
 		return
 	}
--- a/api/errors.go
+++ b/api/errors.go
@@ -94,25 +94,25 @@
 }
 
 type errorDetail struct {
-	Message string     `json:"message"`
-	Type    string     `json:"type"`
-	Code    string     `json:"code"`
-	End     router.End `json:"end,omitempty"`
+	Message string         `json:"message"`
+	Type    string         `json:"type"`
+	Code    string         `json:"code"`
+	End     router.Outcome `json:"end,omitempty"`
 }
 
-func newErrorDetail(err error, end router.End) errorDetail {
+func newErrorDetail(err error, end router.Outcome) errorDetail {
 	p := classify(err)
 	return errorDetail{Message: err.Error(), Type: p.errType, Code: p.code, End: end}
 }
 
 // writeError sends an error response. end tells whether the request may have run; it is empty for
 // calls that run nothing.
-func writeError(w http.ResponseWriter, err error, end router.End) {
+func writeError(w http.ResponseWriter, err error, end router.Outcome) {
 	p := classify(err)
 	if p.retryAfter > 0 {
 		w.Header().Set("Retry-After", fmt.Sprint(int(math.Ceil(p.retryAfter.Seconds()))))
 	}
-	if end != router.EndNone {
+	if end != router.OutcomeNone {
 		w.Header().Set(HeaderEnd, string(end))
 	}
 	writeJSON(w, p.status, errorBody{Error: newErrorDetail(err, end)})
--- a/api/exchange.go
+++ b/api/exchange.go
@@ -52,10 +52,10 @@
 	if err == nil {
 		err = e.tryAll(ctx)
 	}
-	responseStarted := e.req.Phase() == router.PhaseAnswering
+	responseStarted := e.req.Phase() == router.PhaseResponding
 	end := e.req.Finish(err == nil)
 	e.s.stats.byEnd[end].Inc()
-	if e.keyClaimed && end == router.EndNotRun {
+	if e.keyClaimed && end == router.OutcomeNotRun {
 		e.s.release(e.keyHash, e.req.ID)
 	}
 	e.recordEnd(end, err)
@@ -64,7 +64,7 @@
 		log = e.s.log.Warn().Err(err)
 	}
 	log.Str("request", string(e.req.ID)).Str("workspace", string(e.workspace.Name)).Str("end", string(end)).
-		Int("tries", e.req.Tries()).Dur("took", time.Since(e.started)).Msg("request-ended")
+		Int("tries", e.req.Attempts()).Dur("took", time.Since(e.started)).Msg("request-ended")
 	switch {
 	case err == nil:
 	case responseStarted:
@@ -77,8 +77,8 @@
 }
 
 // recordEnd records the end of the request on the trail.
-func (e *exchange) recordEnd(end router.End, err error) {
-	e.entry.End, e.entry.Tries, e.entry.Took = string(end), e.req.Tries(), time.Since(e.started)
+func (e *exchange) recordEnd(end router.Outcome, err error) {
+	e.entry.Outcome, e.entry.Attempts, e.entry.Elapsed = string(end), e.req.Attempts(), time.Since(e.started)
 	if err != nil {
 		e.entry.Reason = err.Error()
 	}
@@ -95,15 +95,15 @@
 // tryAll makes attempts while retries are allowed, and returns the last error.
 func (e *exchange) tryAll(ctx context.Context) error {
 	var lastErr error
-	for e.req.MayRetry() && e.req.Tries() < maxTries && ctx.Err() == nil {
+	for e.req.MayRetry() && e.req.Attempts() < maxTries && ctx.Err() == nil {
 		target, err := e.pickTarget(time.Now())
 		if err != nil {
 			return errors.Join(err, lastErr)
 		}
-		if e.req.Tries() > 0 && !e.s.budget.Spend() {
+		if e.req.Attempts() > 0 && !e.s.budget.Withdraw() {
 			return fmt.Errorf("%w: too many requests are tried again already: %w", ErrUpstreamFailed, lastErr)
 		}
-		if e.req.Tries() > 0 {
+		if e.req.Attempts() > 0 {
 			e.s.stats.retries.Inc()
 		}
 		if lastErr = e.try(ctx, target); lastErr == nil {
@@ -136,7 +136,7 @@
 	case err == nil:
 		e.s.suspects.Clear(target.Addr)
 	case errors.Is(err, upstream.ErrNotServing) && ctx.Err() == nil:
-		e.s.suspects.Note(target.Addr, time.Now())
+		e.s.suspects.Add(target.Addr, time.Now())
 		e.s.log.Info().Str("request", string(e.req.ID)).Stringer("upstream", target.Addr).Err(err).Msg("upstream-suspected")
 	}
 }
@@ -167,7 +167,7 @@
 // writeHeader sends the response header, with where the request ran, and marks the response as
 // started.
 func (e *exchange) writeHeader(target router.Target, resp *upstream.Answer) error {
-	if err := e.req.Answer(); err != nil {
+	if err := e.req.Respond(); err != nil {
 		return err
 	}
 	h := e.w.Header()
--- a/api/operators.go
+++ b/api/operators.go
@@ -21,7 +21,7 @@
 
 // AskAnswer is the result of an operator's commands.
 type AskAnswer struct {
-	query.Answer
+	query.Result
 	// Change is set for commands that change the configuration.
 	Change *ChangeResult `json:"change,omitempty"`
 	// Error is set if the commands could not be carried out.
@@ -133,7 +133,7 @@
 	if p.status == http.StatusInternalServerError {
 		p.status = http.StatusBadRequest
 	}
-	detail := newErrorDetail(err, router.EndNone)
+	detail := newErrorDetail(err, router.OutcomeNone)
 	writeJSON(w, p.status, AskAnswer{Error: &detail})
 }
 
@@ -188,14 +188,14 @@
 	case commands[0].Why != nil && commands[0].Why.What == "request":
 		return cr.whyRequest(ctx, commands[0].Why.Name)
 	default:
-		answer, err := query.Ask(cr.facts(), commands[0])
-		return AskAnswer{Answer: answer}, err
+		answer, err := query.Evaluate(cr.facts(), commands[0])
+		return AskAnswer{Result: answer}, err
 	}
 }
 
-func (cr commandRunner) facts() query.Facts {
+func (cr commandRunner) facts() query.View {
 	now := time.Now()
-	f := query.Facts{
+	f := query.View{
 		Now: now, Self: cr.s.cfg.ID, State: cr.view.State, Instances: cr.view.Instances,
 		Evidence: cr.view.Evidence, Gates: cr.view.Table.Gates,
 		Rules: planner.DefaultRules(cr.s.cfg.ReplaceAfter, cr.s.cfg.GateBound),
@@ -228,7 +228,7 @@
 	if err != nil {
 		return AskAnswer{}, err
 	}
-	return AskAnswer{Answer: query.WhereRequest(entry)}, nil
+	return AskAnswer{Result: query.WhereRequest(entry)}, nil
 }
 
 // whyRequest answers in one sentence why a request ended as it did.
@@ -237,7 +237,7 @@
 	if err != nil {
 		return AskAnswer{}, err
 	}
-	return AskAnswer{Answer: query.WhyRequest(entry)}, nil
+	return AskAnswer{Result: query.WhyRequest(entry)}, nil
 }
 
 func (cr commandRunner) compile(changes []*query.Change) (state.ChangeConfig, error) {
@@ -278,7 +278,7 @@
 	}
 	answer := query.Preview(cr.facts(), next)
 	answer.Text = query.Diff(cr.view.State, next)
-	return AskAnswer{Answer: answer, Change: &ChangeResult{Result: ChangePlanned, Of: len(cr.view.State.Daemons)}}, nil
+	return AskAnswer{Result: answer, Change: &ChangeResult{Result: ChangePlanned, Of: len(cr.view.State.Daemons)}}, nil
 }
 
 // unchanged returns the answer to changes that have no effect.
@@ -286,7 +286,7 @@
 	offset := cr.view.State.ConfigOffset
 	inForce, total := cr.view.InForce(cr.s.cfg.ID, offset)
 	return AskAnswer{
-		Answer: query.Answer{Text: "Nothing to change."},
+		Result: query.Result{Text: "Nothing to change."},
 		Change: &ChangeResult{Result: ChangeAccepted, Offset: offset, InForce: inForce, Of: total},
 	}
 }
@@ -308,7 +308,7 @@
 		return AskAnswer{Change: &ChangeResult{Result: ChangeRefused, Reason: err.Error(), RetryAfterMS: logRetryAfter.Milliseconds()}}, nil
 	case err != nil:
 		return AskAnswer{Change: &ChangeResult{Result: ChangeUnknown, Reason: err.Error() + "; show audit tells whether it took effect"}}, nil
-	case outcome.Refused != nil:
+	case outcome.Rejection != nil:
 		return AskAnswer{Change: &ChangeResult{Result: ChangeRefused, Offset: outcome.Offset, Reason: cr.refusalReason(ctx, outcome)}}, nil
 	}
 	return AskAnswer{Change: cr.waitInForce(ctx, outcome.Offset)}, nil
@@ -344,13 +344,13 @@
 // refusalReason returns why a change was refused; for a conflict it names the change that came
 // first.
 func (cr commandRunner) refusalReason(ctx context.Context, outcome state.Outcome) string {
-	reason := outcome.Refused.Error()
+	reason := outcome.Rejection.Error()
 	var conflict *state.Conflict
-	if !errors.As(outcome.Refused, &conflict) {
+	if !errors.As(outcome.Rejection, &conflict) {
 		return reason
 	}
-	for _, e := range slices.Backward(cr.stateAt(ctx, conflict.Present).Audit) {
-		if e.Offset == conflict.Present {
+	for _, e := range slices.Backward(cr.stateAt(ctx, conflict.Current).Audit) {
+		if e.Offset == conflict.Current {
 			return fmt.Sprintf("%s; revision %d was made by %s through %s: %s", reason, e.Offset, e.Operator, e.Daemon, e.Change)
 		}
 	}
--- a/api/server.go
+++ b/api/server.go
@@ -37,10 +37,10 @@
 	daemon    *daemon.Daemon
 	upstream  *upstream.Client
 	inFlight  *inFlightCounter
-	limits    *router.Limits
+	limits    *router.ConcurrencyLimits
 	admission *router.Admission
-	prefixes  *router.Prefixes
-	budget    router.Budget
+	prefixes  *router.RecentPrefixes
+	budget    router.RetryBudget
 	suspects  router.Suspects
 	stopping  atomic.Bool
 	stats     *stats
@@ -51,7 +51,7 @@
 
 // stats holds the metrics of requests.
 type stats struct {
-	byEnd      map[router.End]*metrics.Counter
+	byEnd      map[router.Outcome]*metrics.Counter
 	refused    *metrics.Counter
 	retries    *metrics.Counter
 	firstToken *metrics.Histogram
@@ -60,12 +60,12 @@
 func newStats(set *metrics.Set, inFlight func() int) *stats {
 	set.NewGauge("lupinkeel_requests_in_flight", func() float64 { return float64(inFlight()) })
 	s := &stats{
-		byEnd:      map[router.End]*metrics.Counter{},
+		byEnd:      map[router.Outcome]*metrics.Counter{},
 		refused:    set.NewCounter("lupinkeel_requests_refused_total"),
 		retries:    set.NewCounter("lupinkeel_request_retries_total"),
 		firstToken: set.NewHistogram("lupinkeel_first_token_seconds"),
 	}
-	for _, end := range []router.End{router.EndWhole, router.EndNotRun, router.EndMayHaveRun} {
+	for _, end := range []router.Outcome{router.OutcomeComplete, router.OutcomeNotRun, router.OutcomeMayHaveRun} {
 		s.byEnd[end] = set.NewCounter(fmt.Sprintf("lupinkeel_requests_total{end=%q}", end))
 	}
 	return s
@@ -75,7 +75,7 @@
 func New(cfg config.Serve, log zerolog.Logger, d *daemon.Daemon) (*Server, error) {
 	s := &Server{
 		cfg: cfg, log: log.With().Str("daemon", string(cfg.ID)).Logger(), daemon: d,
-		upstream: upstream.NewClient(dial.Dialer{Source: cfg.Source}), inFlight: newInFlightCounter(), limits: router.NewLimits(), admission: router.NewAdmission(), prefixes: router.NewPrefixes(),
+		upstream: upstream.NewClient(dial.Dialer{Source: cfg.Source}), inFlight: newInFlightCounter(), limits: router.NewConcurrencyLimits(), admission: router.NewAdmission(), prefixes: router.NewRecentPrefixes(),
 	}
 	s.stats = newStats(d.Metrics(), s.inFlight.count)
 	var err error
@@ -169,9 +169,9 @@
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case s.stopping.Load():
-		writeError(w, ErrStopping, router.EndNone)
+		writeError(w, ErrStopping, router.OutcomeNone)
 	case !s.daemon.View().Current(time.Now()):
-		writeError(w, ErrNotCurrent, router.EndNone)
+		writeError(w, ErrNotCurrent, router.OutcomeNone)
 	default:
 		w.WriteHeader(http.StatusNoContent)
 	}
--- a/api/service.go
+++ b/api/service.go
@@ -20,7 +20,7 @@
 	}
 	defer finish()
 	name := models.ServiceName(r.PathValue("service"))
-	e.entry.Wanted = string(name)
+	e.entry.ModelOrService = string(name)
 	e.chooseTarget = func(now time.Time, avoid []netip.AddrPort) (router.Target, error) {
 		return s.daemon.View().Table.ChooseService(e.workspace, name, now, s.inFlight.triesAt, avoid)
 	}
@@ -31,7 +31,7 @@
 		}
 		return upstream.Call{
 			Addr: t.Addr, Method: r.Method, Path: path, Header: forwardedHeaders(r.Header), Body: e.body,
-			Request: e.req.ID, NewConn: !e.req.Repeatable,
+			Request: e.req.ID, NewConn: !e.req.Idempotent,
 		}
 	}
 	e.forward = e.forwardBuffered
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -20,7 +20,7 @@
 	o.ctx = b.Context()
 	o.config.routing = &models.Routing{Services: map[models.ServiceName]models.UpstreamService{"s": {Engine: &models.EngineProfile{}}}}
 	for i := range 295 {
-		o.peers.roster.Enter(membership.Daemon{ID: models.DaemonID(fmt.Sprintf("d-%d", i)), Zone: models.Zone(fmt.Sprintf("z%d", i%5)), Power: 0.2})
+		o.peers.roster.Add(membership.Daemon{ID: models.DaemonID(fmt.Sprintf("d-%d", i)), Zone: models.Zone(fmt.Sprintf("z%d", i%5)), CPUCores: 0.2})
 	}
 	now := time.Now()
 	for i := range instances {
@@ -29,7 +29,7 @@
 		if rank == 0 {
 			m.State = models.MemberOpen
 		}
-		o.applyEntry(models.UpstreamInstance{ID: models.InstanceID(fmt.Sprintf("i-%08d", i)), Group: m, Loaded: "m", Service: "s"}, now)
+		o.applyEntry(models.UpstreamInstance{ID: models.InstanceID(fmt.Sprintf("i-%08d", i)), Group: m, LoadedModel: "m", Service: "s"}, now)
 	}
 	return o
 }
--- a/cluster/breakers.go
+++ b/cluster/breakers.go
@@ -39,7 +39,7 @@
 	set.NewGauge("lupinkeel_resting_instances", func() float64 {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return float64(b.breakers.Resting(time.Now()))
+		return float64(b.breakers.CountBackingOff(time.Now()))
 	})
 	return b
 }
@@ -52,8 +52,8 @@
 }
 
 // HeardHead records the signals in the head of an answer that this daemon received.
-func (b *Breakers) HeardHead(id models.InstanceID, born time.Time, head models.AnswerHead) {
-	b.Heard(breaker.Signal{Instance: id, Born: born, Heard: time.Now(), Rest: head.Rest, Leaving: head.Leaving})
+func (b *Breakers) HeardHead(id models.InstanceID, born time.Time, head models.ResponseHead) {
+	b.Heard(breaker.Signal{Instance: id, StartedAt: born, ReceivedAt: time.Now(), Backoff: head.Backoff, Leaving: head.Leaving})
 }
 
 // Note records a signal that the daemon from received, this one if from is empty. It logs the
@@ -64,23 +64,23 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	change := b.breakers.Note(s, from)
+	change := b.breakers.Apply(s, from)
 	b.nonEmpty.Store(!b.breakers.Empty())
 	event := func() *zerolog.Event {
-		return b.log.Info().Str("instance", string(s.Instance)).Str("from", string(from)).Dur("age", time.Since(s.Heard))
+		return b.log.Info().Str("instance", string(s.Instance)).Str("from", string(from)).Dur("age", time.Since(s.ReceivedAt))
 	}
 	switch {
-	case change.Began:
+	case change.Started:
 		b.rests.Inc()
-		event().Dur("for", s.Rest).Msg("rest-begun")
-	case change.Lengthened:
-		event().Dur("for", s.Rest).Msg("rest-lengthened")
+		event().Dur("for", s.Backoff).Msg("rest-begun")
+	case change.Extended:
+		event().Dur("for", s.Backoff).Msg("rest-lengthened")
 	}
 	if change.Leaving {
 		b.leaves.Inc()
 		event().Msg("leaving-heard")
 	}
-	return change.Tell
+	return change.Broadcast
 }
 
 // Any reports whether any signal is recorded. If not, no instance needs to be looked up.
@@ -118,7 +118,7 @@
 }
 
 // Settle records the result of an admitted request.
-func (b *Breakers) Settle(p breaker.Admission, end breaker.End) {
+func (b *Breakers) Settle(p breaker.Admission, end breaker.Outcome) {
 	if p == (breaker.Admission{}) {
 		return
 	}
@@ -208,7 +208,7 @@
 	signals, last := b.breakers.Since(seen, include, now)
 	out := make([]SignalUpdate, len(signals))
 	for n, s := range signals {
-		out[n] = SignalUpdate{Instance: s.Instance, Born: s.Born, Age: now.Sub(s.Heard), Rest: s.Rest, Leaving: s.Leaving}
+		out[n] = SignalUpdate{Instance: s.Instance, Born: s.StartedAt, Age: now.Sub(s.ReceivedAt), Rest: s.Backoff, Leaving: s.Leaving}
 	}
 	return out, last
 }
@@ -218,7 +218,7 @@
 	now, changed := time.Now(), false
 	for _, u := range updates {
 		changed = n.breakers.Note(breaker.Signal{
-			Instance: u.Instance, Born: u.Born, Heard: now.Add(-u.Age), Rest: u.Rest, Leaving: u.Leaving,
+			Instance: u.Instance, StartedAt: u.Born, ReceivedAt: now.Add(-u.Age), Backoff: u.Rest, Leaving: u.Leaving,
 		}, from) || changed
 	}
 	if changed {
@@ -244,8 +244,8 @@
 func (o *owner) applyLeavingSignals(now time.Time) {
 	for _, signal := range o.n.breakers.leavingInstances() {
 		k, known := o.fleet.instances[signal.Instance]
-		if known && k.LifeOf(signal.Born) == models.SameLife && !k.Draining {
-			o.markLeaving(k, true, now.Sub(signal.Heard))
+		if known && k.CompareIncarnation(signal.StartedAt) == models.SameIncarnation && !k.Draining {
+			o.markLeaving(k, true, now.Sub(signal.ReceivedAt))
 			o.fleetStale = true
 		}
 	}
--- a/cluster/breakers_test.go
+++ b/cluster/breakers_test.go
@@ -25,8 +25,8 @@
 			peers := startPeers(t, test.daemons, test.zones)
 			backingOff, leaving := models.UpstreamInstance{ID: "i1"}, models.UpstreamInstance{ID: "i2"}
 			observer := peers[test.daemons-1]
-			observer.breakers.Heard(breaker.Signal{Instance: backingOff.ID, Heard: time.Now(), Rest: time.Minute})
-			observer.breakers.Heard(breaker.Signal{Instance: leaving.ID, Heard: time.Now(), Leaving: true})
+			observer.breakers.Heard(breaker.Signal{Instance: backingOff.ID, ReceivedAt: time.Now(), Backoff: time.Minute})
+			observer.breakers.Heard(breaker.Signal{Instance: leaving.ID, ReceivedAt: time.Now(), Leaving: true})
 			knows := func(p *testPeer) bool {
 				return errors.Is(p.breakers.Blocks(leaving), breaker.ErrLeaving) && p.breakers.IsBusy(backingOff)
 			}
@@ -49,14 +49,14 @@
 	for _, id := range []models.InstanceID{"i1", "i2"} {
 		key := models.GroupKey{Name: models.GroupID("m." + id), Epoch: 1}
 		o.fleet.instances[id] = &knownInstance{UpstreamInstance: models.UpstreamInstance{
-			ID: id, Service: "s", Loaded: "m", Group: models.Membership{Key: key, State: models.MemberOpen},
+			ID: id, Service: "s", LoadedModel: "m", Group: models.Membership{Key: key, State: models.MemberOpen},
 		}}
 	}
-	engine := &models.EngineProfile{Slots: 8, Models: []models.ModelProfile{{Name: "m", Size: 1}}}
+	engine := &models.EngineProfile{Slots: 8, Models: []models.ModelProfile{{Name: "m", GroupSize: 1}}}
 	_, withheld := o.busy(engine, time.Now())
 	c.Assert(withheld["m"], qt.Equals, 0.0)
 	o.fleet.busy = nil
-	o.n.breakers.Heard(breaker.Signal{Instance: "i1", Heard: time.Now(), Rest: time.Minute})
+	o.n.breakers.Heard(breaker.Signal{Instance: "i1", ReceivedAt: time.Now(), Backoff: time.Minute})
 	_, withheld = o.busy(engine, time.Now())
 	c.Assert(withheld["m"], qt.Equals, 8.0)
 	c.Assert(o.fleet.serving(time.Now())["m"], qt.HasLen, 2)
@@ -74,7 +74,7 @@
 		return int(o.n.stats.reports.Get() - before)
 	}
 	c.Assert(probesSent(), qt.Equals, 1)
-	o.n.breakers.Heard(breaker.Signal{Instance: i.ID, Heard: time.Now(), Rest: 30 * time.Millisecond})
+	o.n.breakers.Heard(breaker.Signal{Instance: i.ID, ReceivedAt: time.Now(), Backoff: 30 * time.Millisecond})
 	c.Assert(probesSent(), qt.Equals, 1)
 	c.Assert(probesSent(), qt.Equals, 0)
 	time.Sleep(30 * time.Millisecond)
--- a/cluster/candidacy.go
+++ b/cluster/candidacy.go
@@ -72,7 +72,7 @@
 // roster entries of hundreds of daemons one by one. While they arrive, each daemon regards another
 // one as first-ranked: without this wait three of them became planner in succession.
 func (o *owner) discoverySilence(now time.Time) time.Duration {
-	if o.peers.topology.Mesh {
+	if o.peers.topology.IsMesh {
 		return o.plannerSilence(now)
 	}
 	return min(o.plannerSilence(now), now.Sub(o.peers.lastJoinAt))
@@ -110,16 +110,16 @@
 // processor power. Unless the topology is a mesh, only relays are eligible: they are linked to each
 // other, and updates reach everyone through them.
 func (o *owner) rank() (ahead, stronger int, eligible bool) {
-	self := membership.Daemon{ID: o.n.cfg.ID, Zone: o.n.cfg.Zone, Power: o.n.cfg.Power}
-	for _, d := range o.peers.topology.Planners {
+	self := membership.Daemon{ID: o.n.cfg.ID, Zone: o.n.cfg.Zone, CPUCores: o.n.cfg.Power}
+	for _, d := range o.peers.topology.PlannerCandidates {
 		if d.ID == self.ID {
 			eligible = true
 			continue
 		}
-		if d.Before(self) {
+		if d.RanksBefore(self) {
 			ahead++
 		}
-		if d.Power > self.Power {
+		if d.CPUCores > self.CPUCores {
 			stronger++
 		}
 	}
--- a/cluster/candidacy_test.go
+++ b/cluster/candidacy_test.go
@@ -32,9 +32,9 @@
 		for i, p := range powers {
 			id := models.DaemonID(fmt.Sprintf("d-%d", i))
 			o.peers.seen[id] = peerStatus{heartbeat: Heartbeat{From: id, Power: p}, receivedAt: time.Now()}
-			o.peers.roster.Hear(o.peers.seen[id].heartbeat.membershipBeat(), time.Now())
+			o.peers.roster.RecordHeartbeat(o.peers.seen[id].heartbeat.membershipBeat(), time.Now())
 		}
-		o.peers.topology = o.peers.roster.Arrange(time.Now())
+		o.peers.topology = o.peers.roster.Topology(time.Now())
 		o.peers.term = term
 	}
 	setPlannerSeen := func(ago time.Duration) { o.peers.plannerSeenAt = time.Now().Add(-ago) }
@@ -107,9 +107,9 @@
 		o.peers = newPeersState(o.n.cfg)
 		for i := range 3 * meshLimit {
 			zone := models.Zone("abc"[i%3 : i%3+1])
-			o.peers.roster.Enter(membership.Daemon{ID: models.DaemonID(fmt.Sprintf("d-%d", i)), Zone: zone, Power: 0.4})
+			o.peers.roster.Add(membership.Daemon{ID: models.DaemonID(fmt.Sprintf("d-%d", i)), Zone: zone, CPUCores: 0.4})
 		}
-		o.peers.topology = o.peers.roster.Arrange(time.Now())
+		o.peers.topology = o.peers.roster.Topology(time.Now())
 		c.Check(o.isEligible(), qt.Equals, test.eligible)
 		o.n.started = time.Now().Add(-time.Minute).UnixNano()
 		o.peers.plannerSeenAt = time.Now().Add(-time.Minute)
--- a/cluster/config.go
+++ b/cluster/config.go
@@ -54,7 +54,7 @@
 	}
 	o.config = configState{routing: routing, data: data, confirmedAt: requestedAt}
 	o.fleet.services, o.fleetStale = routing.Services, true
-	if o.peers.topology.Relay {
+	if o.peers.topology.IsRelay {
 		// Daemons that use this one as their relay ask for the configuration once a heartbeat tells
 		// its version.
 		o.publish()
@@ -91,7 +91,7 @@
 	}
 	// A daemon that uses a relay has no read of its own to wait for.
 	patience := configFetchDelay
-	if !o.peers.topology.Mesh && !o.peers.topology.Relay {
+	if !o.peers.topology.IsMesh && !o.peers.topology.IsRelay {
 		patience = 0
 	}
 	if now.Sub(o.peers.configBehindSince) >= patience && !slices.Contains(newer, o.peers.configSource) {
--- a/cluster/config_watch.go
+++ b/cluster/config_watch.go
@@ -39,7 +39,7 @@
 // usesRelay reports whether the node gets data from a relay instead of reading the store.
 func (n *Node) usesRelay() bool {
 	v := n.View()
-	return !v.mesh() && !v.Arranged.Relay
+	return !v.mesh() && !v.Arranged.IsRelay
 }
 
 // followConfig reads the configuration from the store.
--- a/cluster/demand.go
+++ b/cluster/demand.go
@@ -23,7 +23,7 @@
 	work := o.work()
 	total := 0.0
 	for _, m := range engine.Models {
-		total += work[m.Name] * float64(m.Size)
+		total += work[m.Name] * float64(m.GroupSize)
 	}
 	if total > 0 {
 		o.fleet.hasTraffic = true
@@ -32,7 +32,7 @@
 	for _, m := range engine.Models {
 		want[m.Name] = m.Share
 		if total > minWork {
-			want[m.Name] = work[m.Name] * float64(m.Size) / total
+			want[m.Name] = work[m.Name] * float64(m.GroupSize) / total
 		}
 	}
 	if o.fleet.demand == nil || total <= minWork {
@@ -97,7 +97,7 @@
 const supplyLogInterval = 2 * time.Second
 
 // logSupply logs the groups and the demand of each model, and the planner's queues.
-func (o *owner) logSupply(engine *models.EngineProfile, w fleet.World) {
+func (o *owner) logSupply(engine *models.EngineProfile, w fleet.Snapshot) {
 	if w.Now.Sub(o.fleet.supplyLoggedAt) < supplyLogInterval {
 		return
 	}
@@ -105,10 +105,10 @@
 	groups := o.fleet.serving(w.Now)
 	work := o.work()
 	for _, m := range engine.Models {
-		busy := int(w.Busy[m.Name])
-		o.n.log.Info().Str("model", string(m.Name)).Int("groups", len(groups[m.Name])).Int("size", m.Size).Int("in-flight", busy).
+		busy := int(w.InFlight[m.Name])
+		o.n.log.Info().Str("model", string(m.Name)).Int("groups", len(groups[m.Name])).Int("size", m.GroupSize).Int("in-flight", busy).
 			Float64("demand", w.Demand[m.Name]).Float64("work", work[m.Name]).Int("instances", len(w.Instances)).
-			Int("lost", len(w.Lost)).Msg("supply")
+			Int("lost", len(w.Unreachable)).Msg("supply")
 	}
 	c := o.fleet.planner.Counts()
 	o.n.log.Info().Int("forming", c.Forming).Int("ending", c.Ending).Int("staging", c.Staging).Int("loading", c.Loading).
--- a/cluster/demand_test.go
+++ b/cluster/demand_test.go
@@ -12,7 +12,7 @@
 func TestUsableSlots(t *testing.T) {
 	c := qt.New(t)
 	engine := &models.EngineProfile{Slots: 10}
-	c.Assert(usableSlots(engine, models.NoLimit, 3), qt.Equals, 10)
+	c.Assert(usableSlots(engine, models.NoRateLimit, 3), qt.Equals, 10)
 	c.Assert(usableSlots(engine, 20, 3), qt.Equals, 10)
 	c.Assert(usableSlots(engine, 1.5, 0), qt.Equals, 2)
 	c.Assert(usableSlots(engine, 1.5, 6), qt.Equals, 6)
--- a/cluster/entries.go
+++ b/cluster/entries.go
@@ -153,7 +153,7 @@
 // and all that followed it are applied already, from another daemon, and a late read would restore
 // an instance that has been removed.
 func (o *owner) handleEntryRecord(r platform.KeyedRecord, requestedAt time.Time) {
-	if r.At.Compare(o.fleet.entries.end) < 0 {
+	if r.Position.Compare(o.fleet.entries.end) < 0 {
 		return
 	}
 	id := models.InstanceID(r.Key)
@@ -171,7 +171,7 @@
 	}
 	delete(o.fleet.unreadable, id)
 	o.applyEntry(i, requestedAt)
-	o.fleet.markListed(id, models.Position{Era: r.At.Era, Offset: r.At.Offset + 1}, time.Time{})
+	o.fleet.markListed(id, models.Position{Era: r.Position.Era, Offset: r.Position.Offset + 1}, time.Time{})
 }
 
 // removeUnlisted removes the instances that a snapshot of the store lacks, and broadcasts their
@@ -190,7 +190,7 @@
 func (f *fleetState) goneUpdate(id models.InstanceID, at time.Time) InstanceUpdate {
 	lastState := models.UpstreamInstance{ID: id}
 	if e, ended := f.ended[id]; ended {
-		lastState.Born, lastState.Heartbeat = e.born, e.heartbeat
+		lastState.StartedAt, lastState.HeartbeatSeq = e.born, e.heartbeat
 	}
 	return InstanceUpdate{Instance: lastState, Age: time.Since(at), Gone: true}
 }
@@ -220,7 +220,7 @@
 		k = &knownInstance{}
 		o.fleet.instances[i.ID], o.fleet.listStale = k, true
 	}
-	if !o.observeIncarnation(k, i.Born, requestedAt) {
+	if !o.observeIncarnation(k, i.StartedAt, requestedAt) {
 		o.probeIfPlanner(k, now)
 		return
 	}
@@ -234,9 +234,9 @@
 	o.fleet.listStale = o.fleet.listStale || i.Draining != k.Draining
 	stale := known && o.hasOutdatedGroup(k, i, requestedAt)
 	if stale {
-		i.Group, i.Loaded, i.Staged = k.Group, k.Loaded, k.Staged
+		i.Group, i.LoadedModel, i.StagedModels = k.Group, k.LoadedModel, k.StagedModels
 	}
-	if o.fleet.planner == nil && i.Heartbeat >= k.Heartbeat+writesToRecover {
+	if o.fleet.planner == nil && i.HeartbeatSeq >= k.HeartbeatSeq+writesToRecover {
 		// The update that ended the loss was missed.
 		k.lostSince = time.Time{}
 	}
@@ -264,9 +264,9 @@
 // merge replaces the state of the instance in this incarnation, except that it keeps the last
 // loaded model: the entry of an instance without a group names none.
 func (k *knownInstance) merge(i models.UpstreamInstance) {
-	i.Loaded = cmp.Or(i.Loaded, k.Loaded)
-	if i.Born.IsZero() {
-		i.Born = k.Born
+	i.LoadedModel = cmp.Or(i.LoadedModel, k.LoadedModel)
+	if i.StartedAt.IsZero() {
+		i.StartedAt = k.StartedAt
 	}
 	k.UpstreamInstance = i
 }
@@ -274,7 +274,7 @@
 // mergeLost is merge for a lost instance. It keeps the write count as of the loss, which later
 // writes are compared with to detect that the instance is alive.
 func (k *knownInstance) mergeLost(i models.UpstreamInstance) {
-	i.Heartbeat = k.Heartbeat
+	i.HeartbeatSeq = k.HeartbeatSeq
 	k.merge(i)
 }
 
@@ -307,7 +307,7 @@
 // broadcastState returns the part of the state whose changes are broadcast.
 func (k *knownInstance) broadcastState() models.UpstreamInstance {
 	shown := k.UpstreamInstance
-	shown.Heartbeat = 0
+	shown.HeartbeatSeq = 0
 	return shown
 }
 
--- a/cluster/entries_progress_test.go
+++ b/cluster/entries_progress_test.go
@@ -196,7 +196,7 @@
 // another one.
 func (s *progressScript) signalLeaving(verb string, o *owner, of string) {
 	if verb == "signal" {
-		o.n.breakers.Heard(breaker.Signal{Instance: models.InstanceID(of), Heard: time.Now(), Leaving: true})
+		o.n.breakers.Heard(breaker.Signal{Instance: models.InstanceID(of), ReceivedAt: time.Now(), Leaving: true})
 		o.drainInbox()
 		return
 	}
@@ -278,7 +278,7 @@
 }
 
 func (s *progressScript) append(id string, value []byte) {
-	s.log = append(s.log, platform.KeyedRecord{Key: id, Value: value, At: s.position(len(s.log))})
+	s.log = append(s.log, platform.KeyedRecord{Key: id, Value: value, Position: s.position(len(s.log))})
 	s.writtenAt = append(s.writtenAt, time.Now())
 }
 
@@ -296,7 +296,7 @@
 	}
 	newest := map[string]platform.KeyedRecord{}
 	for at, r := range s.log {
-		r.At = s.position(at)
+		r.Position = s.position(at)
 		newest[r.Key] = r
 	}
 	maps.DeleteFunc(newest, func(_ string, r platform.KeyedRecord) bool { return r.Value == nil })
--- a/cluster/entries_test.go
+++ b/cluster/entries_test.go
@@ -18,9 +18,9 @@
 	o := newTestOwner(t)
 	now := time.Now()
 	instance := func(loaded models.ModelName) models.UpstreamInstance {
-		return models.UpstreamInstance{ID: "i-1", Loaded: loaded}
+		return models.UpstreamInstance{ID: "i-1", LoadedModel: loaded}
 	}
-	loaded := func() models.ModelName { return o.fleet.instances["i-1"].Loaded }
+	loaded := func() models.ModelName { return o.fleet.instances["i-1"].LoadedModel }
 
 	o.applyEntry(instance("m0"), now)
 	o.applyEntry(instance(""), now)
@@ -40,7 +40,7 @@
 	o := newTestOwner(t)
 	now := time.Now()
 	instance := func(writes int64) models.UpstreamInstance {
-		return models.UpstreamInstance{ID: "i-1", Heartbeat: writes}
+		return models.UpstreamInstance{ID: "i-1", HeartbeatSeq: writes}
 	}
 	lost := func() bool { return !o.fleet.instances["i-1"].lostSince.IsZero() }
 	reportLost := func(seq, writes int64) {
--- a/cluster/incarnations.go
+++ b/cluster/incarnations.go
@@ -22,12 +22,12 @@
 // observeIncarnation begins a new incarnation of the instance if an entry or update, as of a time,
 // shows one. It returns false if they show an earlier incarnation and are to be ignored.
 func (o *owner) observeIncarnation(k *knownInstance, born, at time.Time) bool {
-	switch k.LifeOf(born) {
-	case models.EarlierLife:
+	switch k.CompareIncarnation(born) {
+	case models.EarlierIncarnation:
 		return false
-	case models.LaterLife:
+	case models.LaterIncarnation:
 		o.beginIncarnation(k, born, at)
-	case models.SameLife:
+	case models.SameIncarnation:
 		o.learnBorn(k, born, at)
 	}
 	return true
@@ -35,7 +35,7 @@
 
 // observeReportedIncarnation is observeIncarnation for the instance's own answer to a probe.
 func (o *owner) observeReportedIncarnation(k *knownInstance, born, requestedAt time.Time) bool {
-	if k.LifeOf(born) == models.EarlierLife && requestedAt.After(k.bornKnownAt) {
+	if k.CompareIncarnation(born) == models.EarlierIncarnation && requestedAt.After(k.bornKnownAt) {
 		o.beginIncarnation(k, born, requestedAt)
 		return true
 	}
@@ -44,8 +44,8 @@
 
 // learnBorn sets Born if it was not known.
 func (o *owner) learnBorn(k *knownInstance, born, at time.Time) {
-	if k.Born.IsZero() && !born.IsZero() {
-		k.Born, k.bornKnownAt = born, at
+	if k.StartedAt.IsZero() && !born.IsZero() {
+		k.StartedAt, k.bornKnownAt = born, at
 	}
 }
 
@@ -61,7 +61,7 @@
 		o.fleet.restarted[k.Group.Key] = append(o.fleet.restarted[k.Group.Key], k.ID)
 	}
 	i := k.UpstreamInstance
-	i.Born, i.Group, i.Loaded, i.Heartbeat, i.Draining = born, models.Membership{}, "", 0, false
+	i.StartedAt, i.Group, i.LoadedModel, i.HeartbeatSeq, i.Draining = born, models.Membership{}, "", 0, false
 	*k = knownInstance{UpstreamInstance: i, bornKnownAt: at, unlisted: k.unlisted, lastBroadcast: k.lastBroadcast}
 	o.fleetStale, o.fleet.listStale = true, true
 }
@@ -104,17 +104,17 @@
 // restored from a backup listed it again.
 func (f *fleetState) hasEnded(i models.UpstreamInstance) bool {
 	e, ended := f.ended[i.ID]
-	if !ended || e.heartbeat == 0 || i.Heartbeat > e.heartbeat {
+	if !ended || e.heartbeat == 0 || i.HeartbeatSeq > e.heartbeat {
 		return false
 	}
-	was := models.UpstreamInstance{Born: e.born}
-	return was.LifeOf(i.Born) != models.LaterLife
+	was := models.UpstreamInstance{StartedAt: e.born}
+	return was.CompareIncarnation(i.StartedAt) != models.LaterIncarnation
 }
 
 // markEnded records the write count of a removed instance.
 func (f *fleetState) markEnded(i models.UpstreamInstance, now time.Time) {
 	e := f.ended[i.ID]
-	f.ended[i.ID] = endedInstance{born: i.Born, heartbeat: max(e.heartbeat, i.Heartbeat), at: now}
+	f.ended[i.ID] = endedInstance{born: i.StartedAt, heartbeat: max(e.heartbeat, i.HeartbeatSeq), at: now}
 }
 
 // pruneEnded drops instances that were removed more than endedRetention ago.
--- a/cluster/incarnations_test.go
+++ b/cluster/incarnations_test.go
@@ -74,7 +74,7 @@
 		case "born":
 			var second int64
 			_, err = fmt.Sscan(value, &second)
-			f.instance.Born = time.Unix(second, 0)
+			f.instance.StartedAt = time.Unix(second, 0)
 		case "group":
 			f.instance.Group.Key = models.GroupKey{Name: models.GroupID(value)}
 		case "service":
@@ -134,14 +134,14 @@
 	case "report":
 		s.o.handleProbeResult(probeFinished{instance: f.instance, sentAt: now.Add(f.asked)})
 	case "timeout":
-		s.o.handleProbeResult(probeFinished{instance: f.instance, sentAt: now.Add(f.asked), err: platform.ErrInstance})
+		s.o.handleProbeResult(probeFinished{instance: f.instance, sentAt: now.Add(f.asked), err: platform.ErrInvalidInstance})
 	case "ended":
-		order := types.GroupOrder{Kind: types.GroupJoin, Instance: id, Born: f.instance.Born}
+		order := types.GroupOrder{Kind: types.GroupJoin, Instance: id, Born: f.instance.StartedAt}
 		s.o.handleOrderResult(orderFinished{order: order, outcome: f.outcome, finishedAt: now})
 	case "expect":
 		got := s.o.fleet.instances[id]
 		s.c.Assert(got, qt.IsNotNil, comment)
-		s.c.Assert(got.Born.Equal(f.instance.Born), qt.IsTrue, qt.Commentf("%s: born %s", s.line, got.Born))
+		s.c.Assert(got.StartedAt.Equal(f.instance.StartedAt), qt.IsTrue, qt.Commentf("%s: born %s", s.line, got.StartedAt))
 		s.c.Assert(got.Group.Key, qt.Equals, f.instance.Group.Key, comment)
 	case "due":
 		k := s.o.fleet.instances[id]
--- a/cluster/limits.go
+++ b/cluster/limits.go
@@ -36,18 +36,18 @@
 	set.NewGauge("lupinkeel_limited_instances", func() float64 {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return float64(l.limits.InForce())
+		return float64(l.limits.CountActive())
 	})
 	return l
 }
 
 // Heard records the limit in an answer that this daemon received.
-func (l *Limits) Heard(s ratelimit.Sighting) {
-	if s.Rate == models.NoLimit && !l.Any() {
+func (l *Limits) Heard(s ratelimit.Observation) {
+	if s.Rate == models.NoRateLimit && !l.Any() {
 		return
 	}
 	// The elapsed time is monotonic; the wall clock may go back.
-	s.By, s.Number = l.self, l.began.UnixNano()+int64(time.Since(l.began))
+	s.Receiver, s.Seq = l.self, l.began.UnixNano()+int64(time.Since(l.began))
 	if l.record(s, "") {
 		l.onChange()
 	}
@@ -59,7 +59,7 @@
 // Rate returns the requests per second that an instance may get from all daemons together.
 func (l *Limits) Rate(i models.UpstreamInstance, now time.Time) float64 {
 	if !l.Any() {
-		return models.NoLimit
+		return models.NoRateLimit
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,22 +68,22 @@
 
 // record adds a sighting, logs the change and reports whether there is a change to send to other
 // daemons.
-func (l *Limits) record(s ratelimit.Sighting, from ratelimit.Source) bool {
+func (l *Limits) record(s ratelimit.Observation, from ratelimit.Source) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	before := l.limits.Named(s.Instance)
-	change, changed := l.limits.Note(s, from)
+	before := l.limits.Announced(s.Instance)
+	change, changed := l.limits.Add(s, from)
 	l.nonEmpty.Store(!l.limits.Empty())
 	if change == ratelimit.Unchanged {
 		return changed
 	}
 	l.changes.Inc()
-	event := l.log.Info().Str("instance", string(s.Instance)).Str("from", string(from)).Dur("age", time.Since(s.Heard))
+	event := l.log.Info().Str("instance", string(s.Instance)).Str("from", string(from)).Dur("age", time.Since(s.ReceivedAt))
 	switch change {
 	case ratelimit.Begun:
 		event.Float64("rate", s.Rate).Msg("limit-begun")
 	case ratelimit.Changed:
-		event.Float64("rate", l.limits.Named(s.Instance)).Float64("before", before).Msg("limit-changed")
+		event.Float64("rate", l.limits.Announced(s.Instance)).Float64("before", before).Msg("limit-changed")
 	default:
 		event.Float64("before", before).Msg("limit-ended")
 	}
@@ -120,9 +120,9 @@
 }
 
 // toSighting converts an update received at a time.
-func (n LimitUpdate) toSighting(at time.Time) ratelimit.Sighting {
-	return ratelimit.Sighting{
-		Instance: n.Instance, Born: n.Born, Rate: n.Rate, Asked: at.Add(-n.RequestAge), Heard: at.Add(-n.AnswerAge), By: n.Observer, Number: n.Seq,
+func (n LimitUpdate) toSighting(at time.Time) ratelimit.Observation {
+	return ratelimit.Observation{
+		Instance: n.Instance, StartedAt: n.Born, Rate: n.Rate, SentAt: at.Add(-n.RequestAge), ReceivedAt: at.Add(-n.AnswerAge), Receiver: n.Observer, Seq: n.Seq,
 	}
 }
 
@@ -141,7 +141,7 @@
 	out := make([]LimitUpdate, len(sightings))
 	for n, s := range sightings {
 		out[n] = LimitUpdate{
-			Instance: s.Instance, Born: s.Born, Rate: s.Rate, RequestAge: now.Sub(s.Asked), AnswerAge: now.Sub(s.Heard), Observer: s.By, Seq: s.Number,
+			Instance: s.Instance, Born: s.StartedAt, Rate: s.Rate, RequestAge: now.Sub(s.SentAt), AnswerAge: now.Sub(s.ReceivedAt), Observer: s.Receiver, Seq: s.Seq,
 		}
 	}
 	return out, last
--- a/cluster/limits_test.go
+++ b/cluster/limits_test.go
@@ -23,14 +23,14 @@
 			c := qt.New(t)
 			peers := startPeers(t, test.daemons, test.zones)
 			observe := func(p *testPeer, rate float64) {
-				p.limits.Heard(ratelimit.Sighting{Instance: "i1", Rate: rate, Asked: time.Now().Add(-time.Millisecond), Heard: time.Now()})
+				p.limits.Heard(ratelimit.Observation{Instance: "i1", Rate: rate, SentAt: time.Now().Add(-time.Millisecond), ReceivedAt: time.Now()})
 				time.Sleep(5 * time.Millisecond)
 			}
 			hasLimit := func(rate float64) func(*testPeer) bool {
 				return func(p *testPeer) bool {
 					p.limits.mu.Lock()
 					defer p.limits.mu.Unlock()
-					return p.limits.limits.Named("i1") == rate
+					return p.limits.limits.Announced("i1") == rate
 				}
 			}
 			observe(peers[test.daemons-1], 2)
@@ -40,8 +40,8 @@
 			waitAll(c, peers, propagationTimeout, "aware of a lower one", hasLimit(1.5))
 			late := startNth(t, test.daemons, test.zones, peers)
 			waitAll(c, []*testPeer{late}, discoveryTimeout, "aware of it after its start", hasLimit(1.5))
-			observe(peers[1], models.NoLimit)
-			waitAll(c, append(peers, late), propagationTimeout, "aware of its end", hasLimit(models.NoLimit))
+			observe(peers[1], models.NoRateLimit)
+			waitAll(c, append(peers, late), propagationTimeout, "aware of its end", hasLimit(models.NoRateLimit))
 		})
 	}
 }
--- a/cluster/link.go
+++ b/cluster/link.go
@@ -180,11 +180,11 @@
 }
 
 // sendsLoadsTo reports whether this daemon sends its own loads to a peer.
-func (n *Node) sendsLoadsTo(l membership.Link) bool { return l.RelaysFirst || n.View().mesh() }
+func (n *Node) sendsLoadsTo(l membership.Link) bool { return l.UsesLoads || n.View().mesh() }
 
 // heartbeatIntervalFor returns the interval of heartbeats to a peer.
 func (n *Node) heartbeatIntervalFor(l membership.Link) time.Duration {
-	if l.Often || n.planning.Load() {
+	if l.Frequent || n.planning.Load() {
 		return heartbeatInterval
 	}
 	return relayHeartbeatInterval
--- a/cluster/links.go
+++ b/cluster/links.go
@@ -84,10 +84,10 @@
 }
 
 // reconcile opens and closes links so that there is one to each target and no other.
-func (l *links) reconcile(ctx context.Context, a *membership.Arrangement, targets map[models.DaemonID]target) {
+func (l *links) reconcile(ctx context.Context, a *membership.Topology, targets map[models.DaemonID]target) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.relay, l.primary, l.mesh = a.Relay, a.First == l.n.cfg.ID, a.Mesh
+	l.relay, l.primary, l.mesh = a.IsRelay, a.LoadRelay == l.n.cfg.ID, a.IsMesh
 	for id, peer := range l.peers {
 		if _, wanted := targets[id]; !wanted {
 			peer.stop()
@@ -129,7 +129,7 @@
 	if before.role != t.role || peer.sharedRole.Load() == nil {
 		role := t.role
 		peer.sharedRole.Store(&role)
-		peer.synced = peer.synced && before.role.Totals == t.role.Totals
+		peer.synced = peer.synced && before.role.SendsTotals == t.role.SendsTotals
 		// The peer has to know its new role for this daemon at once.
 		notify(peer.heartbeatDue)
 	}
@@ -160,7 +160,7 @@
 		return
 	}
 	for _, peer := range l.peers {
-		if !update.Forward || peer.role.RelaysFirst {
+		if !update.Forward || peer.role.UsesLoads {
 			peer.enqueue(f)
 		}
 	}
@@ -181,7 +181,7 @@
 		return
 	}
 	for id, peer := range l.peers {
-		if id != from && (peer.role.Member || (toOtherZones && peer.role.Across)) {
+		if id != from && (peer.role.Forwards || (toOtherZones && peer.role.CrossZone)) {
 			peer.enqueue(f)
 		}
 	}
@@ -218,7 +218,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, peer := range l.peers {
-		if l.mesh || peer.role.RelaysFirst {
+		if l.mesh || peer.role.UsesLoads {
 			notify(peer.updatesReady)
 		}
 	}
@@ -251,9 +251,9 @@
 	defer l.mu.Unlock()
 	for _, peer := range l.peers {
 		switch {
-		case peer.role.Totals:
+		case peer.role.SendsTotals:
 			members = append(members, peer)
-		case l.primary && peer.role.Across:
+		case l.primary && peer.role.CrossZone:
 			relays = append(relays, peer)
 		}
 	}
--- a/cluster/missed_updates.go
+++ b/cluster/missed_updates.go
@@ -35,11 +35,11 @@
 		return ""
 	}
 	a := o.peers.topology
-	if !o.isRelayStale(a.First, now) {
-		return a.First
+	if !o.isRelayStale(a.LoadRelay, now) {
+		return a.LoadRelay
 	}
 	for id, link := range a.Links {
-		if link.Relies && !o.isRelayStale(id, now) {
+		if link.UsesRelay && !o.isRelayStale(id, now) {
 			return id
 		}
 	}
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -80,7 +80,7 @@
 	clock      *timer.Service
 	traffic    Traffic
 	store      *platform.Store
-	instances  *platform.Instances
+	instances  *platform.InstanceClient
 	conns      *h1.Pool
 	inbox      chan message
 	view       atomic.Pointer[View]
@@ -161,7 +161,7 @@
 	})
 	n.stats.set.NewGauge("lupinkeel_daemons", func() float64 { return float64(n.View().Daemons) })
 	n.stats.set.NewGauge("lupinkeel_relay", func() float64 {
-		if a := n.View().Arranged; a != nil && a.Relay {
+		if a := n.View().Arranged; a != nil && a.IsRelay {
 			return 1
 		}
 		return 0
@@ -195,7 +195,7 @@
 	}
 	n.conns = h1.NewPool(dialTimeout, nil)
 	n.store = platform.NewStore(cfg.Store, n.conns)
-	n.instances = platform.NewInstances(n.conns, n.recordAnswerHead)
+	n.instances = platform.NewInstanceClient(n.conns, n.recordAnswerHead)
 	n.links = newLinks(n)
 	n.quarantine = NewQuarantine(n.links.notifyAll, set, log)
 	n.limits = NewLimits(cfg.ID, n.notifyLimits, set, log)
@@ -290,7 +290,7 @@
 		sentAt := time.Now()
 		limited, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
-		outcome, err := n.instances.Order(limited, addr, o)
+		outcome, err := n.instances.SendOrder(limited, addr, o)
 		took := time.Since(sentAt)
 		n.stats.orderTime.Update(took.Seconds())
 		n.post(ctx, orderFinished{order: o, outcome: outcome, err: err, finishedAt: time.Now(), took: took})
@@ -300,8 +300,8 @@
 
 // recordAnswerHead records the backoff and leaving signals in an instance's answer to an order or a
 // probe.
-func (n *Node) recordAnswerHead(id models.InstanceID, head models.AnswerHead) {
-	n.breakers.HeardHead(id, n.View().All[id].Born, head)
+func (n *Node) recordAnswerHead(id models.InstanceID, head models.ResponseHead) {
+	n.breakers.HeardHead(id, n.View().All[id].StartedAt, head)
 }
 
 // sendProbe asks an instance for a report in the background. It returns false if the instance's
@@ -315,7 +315,7 @@
 		sentAt := time.Now()
 		limited, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		report, err := n.instances.Report(limited, i)
+		report, err := n.instances.FetchReport(limited, i)
 		took := time.Since(sentAt)
 		n.stats.reportTime.Update(took.Seconds())
 		n.post(ctx, probeFinished{instance: report, err: err, sentAt: sentAt, took: took})
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -15,7 +15,7 @@
 	// the roster has changed since. addrs are the addresses of the daemons.
 	roster        *membership.Roster
 	addrs         map[models.DaemonID]peerAddr
-	topology      *membership.Arrangement
+	topology      *membership.Topology
 	topologyAt    time.Time
 	topologyStale bool
 	// term is the newest term that any daemon knows of, updateTerm and updateSeq are the term and
@@ -55,10 +55,10 @@
 }
 
 func newPeersState(cfg Settings) peersState {
-	self := membership.Daemon{ID: cfg.ID, Zone: cfg.Zone, Power: cfg.Power}
+	self := membership.Daemon{ID: cfg.ID, Zone: cfg.Zone, CPUCores: cfg.Power}
 	roster := membership.NewRoster(self, membership.DefaultPolicy())
 	return peersState{
-		seen: map[models.DaemonID]peerStatus{}, addrs: map[models.DaemonID]peerAddr{}, roster: roster, topology: roster.Arrange(time.Now()),
+		seen: map[models.DaemonID]peerStatus{}, addrs: map[models.DaemonID]peerAddr{}, roster: roster, topology: roster.Topology(time.Now()),
 	}
 }
 
@@ -79,7 +79,7 @@
 			o.n.log.Error().Err(err).Str("peer", string(b.From)).Msg("heartbeat-unreadable")
 		}
 	}
-	o.peers.topologyStale = o.peers.roster.Hear(b.membershipBeat(), m.receivedAt) || o.peers.topologyStale
+	o.peers.topologyStale = o.peers.roster.RecordHeartbeat(b.membershipBeat(), m.receivedAt) || o.peers.topologyStale
 	o.peers.seen[b.From] = peerStatus{heartbeat: b, receivedAt: m.receivedAt}
 	if b.IsPlanner && b.Term >= o.peers.term && m.receivedAt.After(o.peers.plannerSeenAt) {
 		o.peers.plannerSeenAt = m.receivedAt
@@ -113,7 +113,7 @@
 
 // removeTimedOutPeers removes the daemons whose heartbeats have timed out.
 func (o *owner) removeTimedOutPeers(now time.Time) {
-	for _, id := range o.peers.roster.Notice(now) {
+	for _, id := range o.peers.roster.MarkSilent(now) {
 		o.n.log.Warn().Str("peer", string(id)).Dur("silent", now.Sub(o.peers.seen[id].receivedAt)).Msg("peer-silent")
 		delete(o.peers.seen, id)
 		o.n.peerLoads.remove(id)
@@ -129,18 +129,18 @@
 		From: n.cfg.ID, Incarnation: n.started, Addr: n.cfg.Peer.String(), Zone: n.cfg.Zone, Term: v.Term,
 		IsPlanner: n.planning.Load(),
 		Power:     n.cfg.Power, AcceptsCompressed: true, ConfigSource: v.configSource, Work: map[models.ModelName]float32{}, Stalled: v.stalled,
-		UsesRelay: l.Relies, UsesPrimaryRelay: l.RelaysFirst, Size: v.Daemons,
+		UsesRelay: l.UsesRelay, UsesPrimaryRelay: l.UsesLoads, Size: v.Daemons,
 		MissedUpdates: n.missedUpdates.pending() && n.requestsSnapshotFrom(to, l), EntriesAge: n.entriesAge(), Era: n.era.Load(),
 	}
 	if every := n.heartbeatIntervalFor(l); every != heartbeatInterval {
 		b.Interval = every
 	}
-	if l.Across {
+	if l.CrossZone {
 		b.ZoneWork = v.zoneWork
 	}
 	if n.limits.Any() {
 		b.Grants = v.votes[to]
-		if l.Member {
+		if l.Forwards {
 			b.Granters = v.Arranged.Granters
 		}
 	}
@@ -157,5 +157,5 @@
 // start, the primary relay.
 func (n *Node) requestsSnapshotFrom(to models.DaemonID, l membership.Link) bool {
 	relay := *n.snapshotRelay.Load()
-	return to == relay || (relay == anyRelay && l.RelaysFirst)
+	return to == relay || (relay == anyRelay && l.UsesLoads)
 }
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -12,7 +12,7 @@
 )
 
 // meshLimit is the largest number of daemons that form a mesh.
-var meshLimit = membership.DefaultPolicy().Few
+var meshLimit = membership.DefaultPolicy().MaxMeshSize
 
 // TestHeartbeatIntervals checks that daemons with a longer heartbeat interval do not time out in
 // between. The interval is part of the heartbeat because with one daemon more than meshLimit the
@@ -33,7 +33,7 @@
 }
 
 // missedHeartbeatLimit is the number of missed heartbeats after which a daemon is removed.
-var missedHeartbeatLimit = time.Duration(membership.DefaultPolicy().Beats)
+var missedHeartbeatLimit = time.Duration(membership.DefaultPolicy().MaxMissedHeartbeats)
 
 // TestForward checks where a relay forwards updates: those from other zones to its own zone, those
 // of daemons of its zone that are no relays to all, and none back to the sender.
@@ -50,7 +50,7 @@
 	}
 	o.updateTopology(time.Now())
 	o.publish()
-	c.Assert(o.peers.topology.Relay, qt.IsTrue)
+	c.Assert(o.peers.topology.IsRelay, qt.IsTrue)
 	sentByZone := func() (zones map[models.Zone]int) {
 		zones = map[models.Zone]int{}
 		for id, end := range o.n.links.peers {
--- a/cluster/permits.go
+++ b/cluster/permits.go
@@ -40,9 +40,9 @@
 // permitRequest asks for a permit for instances of a zone; permitReply answers it.
 type (
 	permitRequest struct {
-		Seq  uint64        `msgpack:"n"`
-		Zone models.Zone   `msgpack:"z"`
-		Ask  ratelimit.Ask `msgpack:"a"`
+		Seq  uint64                  `msgpack:"n"`
+		Zone models.Zone             `msgpack:"z"`
+		Ask  ratelimit.PermitRequest `msgpack:"a"`
 	}
 	permitReply struct {
 		Seq   uint64          `msgpack:"n"`
@@ -104,7 +104,7 @@
 }
 
 // AskPermit asks for a permit to send a request to one of several instances of a zone.
-func (n *Node) AskPermit(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
+func (n *Node) AskPermit(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	grant, err := n.permits.request(ctx, zone, ask)
 	switch {
 	case err != nil:
@@ -121,16 +121,16 @@
 // when something is wrong and can't wait.
 func (p *permits) charge(ctx context.Context, i models.UpstreamInstance) {
 	rate := p.n.limits.Rate(i, time.Now())
-	if rate == models.NoLimit {
+	if rate == models.NoRateLimit {
 		return
 	}
-	_, err := p.request(ctx, i.Zone, ratelimit.Ask{Charge: true, Wanted: []ratelimit.Wanted{{Instance: i.ID, Rate: rate}}})
+	_, err := p.request(ctx, i.Zone, ratelimit.PermitRequest{Charge: true, Candidates: []ratelimit.Candidate{{Instance: i.ID, Rate: rate}}})
 	if err != nil {
 		p.n.log.Debug().Str("instance", string(i.ID)).Err(err).Msg("report-not-charged")
 	}
 }
 
-func (p *permits) request(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
+func (p *permits) request(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	v := p.n.View()
 	if v.Arranged == nil {
 		return ratelimit.Grant{}, ErrNoGranter
@@ -149,13 +149,13 @@
 }
 
 // grant grants a permit if this daemon's share of the instances' rates allows it.
-func (p *permits) grant(zone models.Zone, ask ratelimit.Ask) ratelimit.Grant {
+func (p *permits) grant(zone models.Zone, ask ratelimit.PermitRequest) ratelimit.Grant {
 	v, now := p.n.View(), time.Now()
 	share := 0.0
 	if v.Arranged != nil {
 		share = v.Arranged.ShareOf(v.shares, zone)
 	}
-	rate := func(w ratelimit.Wanted) float64 {
+	rate := func(w ratelimit.Candidate) float64 {
 		i, known := v.All[w.Instance]
 		if !known {
 			i.ID = w.Instance
@@ -164,7 +164,7 @@
 	}
 	p.buckets.Lock()
 	defer p.buckets.Unlock()
-	grant := p.granter.Ask(ask, rate, now)
+	grant := p.granter.Decide(ask, rate, now)
 	if share < 1 {
 		// Heartbeats that give this daemon the remaining share may be in flight.
 		for n := range grant.Waits {
@@ -207,7 +207,7 @@
 }
 
 // request sends a request and waits for the reply.
-func (c *granterConn) request(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
+func (c *granterConn) request(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	answer, err := c.send(ctx, zone, ask)
 	if err != nil {
 		return ratelimit.Grant{}, errors.Join(ErrGranterUnavailable, err)
@@ -228,7 +228,7 @@
 
 // send sends a request, after connecting if there is no connection. The channel receives the reply,
 // or is closed if there is none.
-func (c *granterConn) send(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (<-chan ratelimit.Grant, error) {
+func (c *granterConn) send(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (<-chan ratelimit.Grant, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if time.Now().Before(c.backoffUntil) {
--- a/cluster/permits_test.go
+++ b/cluster/permits_test.go
@@ -36,7 +36,7 @@
 // requestUntilDone requests permits until the context ends. Like a gateway, it waits as long as a
 // reply says.
 func (a *permitClients) requestUntilDone(ctx context.Context, p *testPeer, pause time.Duration) error {
-	ask := ratelimit.Ask{Wanted: []ratelimit.Wanted{{Instance: "i1", Rate: a.rate}}}
+	ask := ratelimit.PermitRequest{Candidates: []ratelimit.Candidate{{Instance: "i1", Rate: a.rate}}}
 	for ctx.Err() == nil {
 		grant, err := p.AskPermit(ctx, a.zone, ask)
 		wait := pause
@@ -100,7 +100,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			peers := startPeers(t, test.daemons, test.zones)
-			peers[0].limits.Heard(ratelimit.Sighting{Instance: "i1", Rate: test.rate, Asked: time.Now(), Heard: time.Now()})
+			peers[0].limits.Heard(ratelimit.Observation{Instance: "i1", Rate: test.rate, SentAt: time.Now(), ReceivedAt: time.Now()})
 			granter := func() models.DaemonID { return peers[0].View().Arranged.Granter("z1") }
 			waitAll(c, peers, discoveryTimeout, "agreed on the granter", func(p *testPeer) bool {
 				return p.View().granters != nil && p.View().Arranged.Granter("z1") == granter()
--- a/cluster/planning.go
+++ b/cluster/planning.go
@@ -181,28 +181,28 @@
 }
 
 // world returns the planner's input for one service.
-func (o *owner) world(name models.ServiceName, engine *models.EngineProfile, now time.Time) fleet.World {
+func (o *owner) world(name models.ServiceName, engine *models.EngineProfile, now time.Time) fleet.Snapshot {
 	busy, withheld := o.busy(engine, now)
-	w := fleet.World{
-		Now: now, Profile: engine, Demand: o.demand(engine), Busy: busy, Withheld: withheld,
-		Instances: map[models.InstanceID]models.UpstreamInstance{}, Lost: map[models.InstanceID]bool{},
-		Unproven: map[models.InstanceID]bool{}, Unlisted: map[models.InstanceID]bool{},
+	w := fleet.Snapshot{
+		Now: now, Profile: engine, Demand: o.demand(engine), InFlight: busy, LimitedSlots: withheld,
+		Instances: map[models.InstanceID]models.UpstreamInstance{}, Unreachable: map[models.InstanceID]bool{},
+		Unverified: map[models.InstanceID]bool{}, Unlisted: map[models.InstanceID]bool{},
 	}
 	// demand has updated hasTraffic.
-	w.Traffic = o.fleet.hasTraffic
+	w.HasTraffic = o.fleet.hasTraffic
 	for id, i := range o.fleet.instances {
 		if i.Service != name {
 			continue
 		}
 		w.Instances[id] = i.UpstreamInstance
 		if !i.lostSince.IsZero() {
-			w.Lost[id] = true
+			w.Unreachable[id] = true
 		}
 		if i.unlisted {
 			w.Unlisted[id] = true
 		}
 		if o.fleet.unconfirmed(i) {
-			w.Unproven[id] = true
+			w.Unverified[id] = true
 		}
 	}
 	return w
@@ -230,10 +230,10 @@
 	o.fleet.callLimit.Note(m.took)
 	o.sendOrders()
 	if p := o.fleet.planner; p != nil && fleet.TermOf(m.order.Fence) == o.fleet.heldTerm {
-		p.Note(m.order, m.outcome, m.finishedAt)
+		p.RecordOutcome(m.order, m.outcome, m.finishedAt)
 	}
 	k := o.fleet.instances[m.order.Instance]
-	if k == nil || k.LifeOf(m.order.Born) != models.SameLife {
+	if k == nil || k.CompareIncarnation(m.order.Born) != models.SameIncarnation {
 		// The order was for an earlier incarnation.
 		return
 	}
--- a/cluster/planning_test.go
+++ b/cluster/planning_test.go
@@ -76,12 +76,12 @@
 		o := newTestOwner(t)
 		t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
 		o.n.cfg.Power = 1
-		o.peers.roster = membership.NewRoster(membership.Daemon{ID: "d1", Zone: "z", Power: 1}, membership.DefaultPolicy())
+		o.peers.roster = membership.NewRoster(membership.Daemon{ID: "d1", Zone: "z", CPUCores: 1}, membership.DefaultPolicy())
 		started := time.Unix(0, o.n.started)
 		for n := range test.daemons {
 			c.Assert(o.addPeer(models.DaemonID(fmt.Sprint("e", n)), rosterEntry{Zone: "z", Addr: "127.0.0.1:1", Incarnation: 1, Power: 0.1}), qt.IsNil)
 		}
-		o.peers.topology = o.peers.roster.Arrange(started)
+		o.peers.topology = o.peers.roster.Topology(started)
 		o.peers.lastJoinAt = started.Add(peerDiscoveryDelay)
 		now := started.Add(peerDiscoveryDelay + time.Millisecond)
 		c.Check(o.isCandidate(now), qt.Equals, test.candidate, qt.Commentf("%d daemons", test.daemons))
--- a/cluster/probes.go
+++ b/cluster/probes.go
@@ -122,10 +122,10 @@
 		return 0, false
 	case order.Kind == types.GroupOpen:
 		return service.Engine.FormTime + orderProbeMargin, true
-	case order.Kind == types.GroupJoin && i.Loaded == model.Name:
-		return fleet.Rejoin + orderProbeMargin, true
-	case order.Kind == types.GroupJoin && slices.Contains(i.Staged, model.Name):
-		return model.Warm + orderProbeMargin, true
+	case order.Kind == types.GroupJoin && i.LoadedModel == model.Name:
+		return fleet.RejoinTime + orderProbeMargin, true
+	case order.Kind == types.GroupJoin && slices.Contains(i.StagedModels, model.Name):
+		return model.WarmLoadTime + orderProbeMargin, true
 	}
 	return 0, false
 }
@@ -136,7 +136,7 @@
 	if o.fleet.planner == nil {
 		return false
 	}
-	switch o.fleet.planner.Expects(k.ID) {
+	switch o.fleet.planner.OrderInProgress(k.ID) {
 	case types.GroupJoin:
 		return k.Group.State == models.MemberJoining && joinedWarm(k.UpstreamInstance)
 	case types.GroupOpen:
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -27,14 +27,14 @@
 	mu   sync.Mutex
 	list quarantine.List
 	// refused are the requests that must not be sent, as last logged.
-	refused map[quarantine.Digest]quarantine.Standing
+	refused map[quarantine.Digest]quarantine.Status
 }
 
 // NewQuarantine returns an empty quarantine. found is called when there is a change to send to
 // other daemons.
 func NewQuarantine(found func(), set *metrics.Set, log zerolog.Logger) *Quarantine {
 	q := &Quarantine{
-		log: log, onChange: found, writeQueue: make(chan quarantine.Digest, writeQueueLen), refused: map[quarantine.Digest]quarantine.Standing{},
+		log: log, onChange: found, writeQueue: make(chan quarantine.Digest, writeQueueLen), refused: map[quarantine.Digest]quarantine.Status{},
 	}
 	set.NewGauge("lupinkeel_quarantined_requests", func() float64 {
 		q.mu.Lock()
@@ -74,10 +74,10 @@
 }
 
 // Standing returns how far a request is suspected of crashing instances.
-func (q *Quarantine) Standing(d quarantine.Digest) quarantine.Standing {
+func (q *Quarantine) Standing(d quarantine.Digest) quarantine.Status {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.list.Standing(d)
+	return q.list.Status(d)
 }
 
 // HasCrashed reports whether this incarnation of an instance is known to have crashed.
@@ -88,7 +88,7 @@
 }
 
 // Refused returns the requests that must not be sent.
-func (q *Quarantine) Refused() map[quarantine.Digest]quarantine.Standing {
+func (q *Quarantine) Refused() map[quarantine.Digest]quarantine.Status {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return maps.Clone(q.refused)
@@ -98,7 +98,7 @@
 func (q *Quarantine) Place(d quarantine.Digest, places int) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.list.Place(d, places)
+	return q.list.IsolationIndex(d, places)
 }
 
 // Holds reports whether any crash is known. If not, requests need no digest.
@@ -150,7 +150,7 @@
 
 // crashUpdateOf converts a crash for sending.
 func crashUpdateOf(c quarantine.Crash, now time.Time) CrashUpdate {
-	out := CrashUpdate{Instance: c.Instance, Born: c.Born, Age: now.Sub(c.At)}
+	out := CrashUpdate{Instance: c.Instance, Born: c.StartedAt, Age: now.Sub(c.At)}
 	for d, cleared := range c.Requests {
 		if cleared {
 			out.Cleared = append(out.Cleared, d)
@@ -163,7 +163,7 @@
 
 // toCrash converts an update received at a time.
 func (c CrashUpdate) toCrash(at time.Time) quarantine.Crash {
-	out := quarantine.Crash{Instance: c.Instance, Born: c.Born, At: at.Add(-c.Age), Requests: map[quarantine.Digest]bool{}}
+	out := quarantine.Crash{Instance: c.Instance, StartedAt: c.Born, At: at.Add(-c.Age), Requests: map[quarantine.Digest]bool{}}
 	for _, d := range c.Requests {
 		out.Requests[d] = false
 	}
@@ -214,7 +214,7 @@
 func (t *linkWriter) sendFindings() error {
 	v := t.n.View()
 	scope := ownFindings
-	if !t.sentAllFindings || (!v.mesh() && v.Arranged.Relay) {
+	if !t.sentAllFindings || (!v.mesh() && v.Arranged.IsRelay) {
 		scope = allFindings
 	}
 	crashes, lastCrash := t.n.quarantine.changesSince(t.sentCrashes, t.link.id, scope)
--- a/cluster/quarantine_store.go
+++ b/cluster/quarantine_store.go
@@ -36,7 +36,7 @@
 // enqueueOwnWrite queues the rewrite of a request's record if this daemon found any of its crashes.
 // All daemons that did write it, since each of them may fail. The caller must hold the lock.
 func (q *Quarantine) enqueueOwnWrite(d quarantine.Digest) {
-	if q.list.Own(d) {
+	if q.list.RecordedHere(d) {
 		q.enqueueWrite(d)
 	}
 }
@@ -58,8 +58,8 @@
 		return nil, nil
 	}
 	var out []storedCrash
-	for _, c := range q.list.Against(d) {
-		out = append(out, storedCrash{Instance: c.Instance, Born: c.Born, At: c.At})
+	for _, c := range q.list.CrashesOf(d) {
+		out = append(out, storedCrash{Instance: c.Instance, Born: c.StartedAt, At: c.At})
 	}
 	return pack.Marshal(out)
 }
@@ -80,7 +80,7 @@
 	for _, c := range crashes {
 		// The clocks of two daemons differ; a time in the future is set to now.
 		at := now.Add(-max(0, now.Sub(c.At)))
-		q.record(quarantine.Crash{Instance: c.Instance, Born: c.Born, At: at, Requests: map[quarantine.Digest]bool{d: false}}, storeSource)
+		q.record(quarantine.Crash{Instance: c.Instance, StartedAt: c.Born, At: at, Requests: map[quarantine.Digest]bool{d: false}}, storeSource)
 	}
 	if q.Standing(d).Crashes == 0 {
 		// All its crashes have expired: an empty record is written.
--- a/cluster/quarantine_test.go
+++ b/cluster/quarantine_test.go
@@ -153,7 +153,7 @@
 	now := time.Now()
 	guilty, other := quarantine.Request{Target: "/crashes"}.Digest(), quarantine.Request{Target: "/other"}.Digest()
 	crash := quarantine.Crash{
-		Instance: "i-1e5e60a8b1", Born: time.UnixMilli(1_780_000_000_000), At: now.Add(-time.Second),
+		Instance: "i-1e5e60a8b1", StartedAt: time.UnixMilli(1_780_000_000_000), At: now.Add(-time.Second),
 		Requests: map[quarantine.Digest]bool{guilty: false, other: true},
 	}
 	body, err := pack.Marshal(Update{Crashes: []CrashUpdate{crashUpdateOf(crash, now)}})
@@ -163,7 +163,7 @@
 	var update Update
 	c.Assert(pack.Unmarshal(body, &update), qt.IsNil)
 	got := update.Crashes[0].toCrash(now)
-	c.Assert(got.Born.Equal(crash.Born), qt.IsTrue)
-	got.Born = crash.Born
+	c.Assert(got.StartedAt.Equal(crash.StartedAt), qt.IsTrue)
+	got.StartedAt = crash.StartedAt
 	c.Assert(got, qt.DeepEquals, crash)
 }
--- a/cluster/reports.go
+++ b/cluster/reports.go
@@ -22,11 +22,11 @@
 	switch {
 	case !known || m.sentAt.Before(k.stateAt):
 		// A newer state is known: answers on different connections may arrive out of order.
-	case m.err != nil && m.sentAt.Before(k.bornKnownAt) && k.LifeOf(m.instance.Born) != models.SameLife:
+	case m.err != nil && m.sentAt.Before(k.bornKnownAt) && k.CompareIncarnation(m.instance.StartedAt) != models.SameIncarnation:
 		// The probe was for an earlier incarnation.
 	case m.err != nil:
 		o.handleProbeFailure(k, m)
-	case !o.observeReportedIncarnation(k, m.instance.Born, m.sentAt):
+	case !o.observeReportedIncarnation(k, m.instance.StartedAt, m.sentAt):
 	default:
 		o.applyReport(k, m)
 	}
@@ -70,7 +70,7 @@
 	}
 	k.lostSince, k.stateAt, k.probeFailedAt = time.Time{}, m.sentAt, time.Time{}
 	reported := k.UpstreamInstance
-	reported.Group, reported.Loaded, reported.Staged = m.instance.Group, m.instance.Loaded, m.instance.Staged
+	reported.Group, reported.LoadedModel, reported.StagedModels = m.instance.Group, m.instance.LoadedModel, m.instance.StagedModels
 	k.merge(reported)
 	delete(o.fleet.suspects, k.ID)
 	if o.isOrderUnfinished(k) {
--- a/cluster/reports_test.go
+++ b/cluster/reports_test.go
@@ -27,7 +27,7 @@
 	o.handleProbeResult(probeFinished{instance: member, sentAt: now.Add(2 * time.Second)})
 	o.handleProbeResult(probeFinished{instance: alone, sentAt: now.Add(time.Second)})
 	c.Assert(group(), qt.Equals, models.MemberReady)
-	o.handleProbeResult(probeFinished{instance: alone, err: platform.ErrInstance, sentAt: now.Add(time.Second)})
+	o.handleProbeResult(probeFinished{instance: alone, err: platform.ErrInvalidInstance, sentAt: now.Add(time.Second)})
 	c.Assert(o.fleet.instances["i-1"].lostSince.IsZero(), qt.IsTrue)
 
 	o.handleLease(leaseHeld{term: 1, until: now.Add(time.Minute)})
@@ -48,7 +48,7 @@
 	o.applyEntry(models.UpstreamInstance{ID: "i-1", Group: models.Membership{Key: key, State: models.MemberOpen}}, now)
 	i := o.fleet.instances["i-1"]
 	failProbe := func(sentAt time.Time) {
-		o.handleProbeResult(probeFinished{instance: i.UpstreamInstance, err: platform.ErrInstance, sentAt: sentAt})
+		o.handleProbeResult(probeFinished{instance: i.UpstreamInstance, err: platform.ErrInvalidInstance, sentAt: sentAt})
 	}
 	failProbe(now)
 	c.Assert(i.lostSince.IsZero(), qt.IsTrue)
--- a/cluster/topology.go
+++ b/cluster/topology.go
@@ -69,17 +69,17 @@
 		o.peers.lastJoinAt = time.Now()
 	}
 	o.peers.addrs[id] = peerAddr{addr: addr, zone: entry.Zone, incarnation: entry.Incarnation, acceptsCompressed: entry.AcceptsCompressed}
-	o.peers.roster.Enter(membership.Daemon{ID: id, Zone: entry.Zone, Power: entry.Power})
+	o.peers.roster.Add(membership.Daemon{ID: id, Zone: entry.Zone, CPUCores: entry.Power})
 	o.peers.topologyStale = true
 	return nil
 }
 
 // membershipBeat returns the part of a heartbeat from which the topology is computed.
-func (b Heartbeat) membershipBeat() membership.Beat {
-	return membership.Beat{
-		Daemon: membership.Daemon{ID: b.From, Zone: b.Zone, Power: b.Power}, Every: cmp.Or(b.Interval, heartbeatInterval),
-		Relies: b.UsesRelay, RelaysFirst: b.UsesPrimaryRelay, Size: b.Size,
-		Grants: b.Grants, Granters: b.Granters,
+func (b Heartbeat) membershipBeat() membership.Heartbeat {
+	return membership.Heartbeat{
+		Daemon: membership.Daemon{ID: b.From, Zone: b.Zone, CPUCores: b.Power}, Interval: cmp.Or(b.Interval, heartbeatInterval),
+		UsesRelay: b.UsesRelay, UsesLoads: b.UsesPrimaryRelay, Size: b.Size,
+		Votes: b.Grants, Granters: b.Granters,
 	}
 }
 
@@ -89,11 +89,11 @@
 	if !p.topologyStale && now.Sub(p.topologyAt) < topologyInterval {
 		return
 	}
-	a := p.roster.Arrange(now)
-	if a.First != p.topology.First || a.Relay != p.topology.Relay || a.Mesh != p.topology.Mesh {
-		o.n.log.Info().Str("first", string(a.First)).Bool("relay", a.Relay).Bool("mesh", a.Mesh).Int("daemons", a.Size).Msg("arranged")
+	a := p.roster.Topology(now)
+	if a.LoadRelay != p.topology.LoadRelay || a.IsRelay != p.topology.IsRelay || a.IsMesh != p.topology.IsMesh {
+		o.n.log.Info().Str("first", string(a.LoadRelay)).Bool("relay", a.IsRelay).Bool("mesh", a.IsMesh).Int("daemons", a.Size).Msg("arranged")
 	}
-	if a.First != p.topology.First {
+	if a.LoadRelay != p.topology.LoadRelay {
 		o.n.peerLoads.removeTotals()
 	}
 	p.topology, p.topologyAt, p.topologyStale, o.viewStale = a, now, false, true
--- a/cluster/unlisted_test.go
+++ b/cluster/unlisted_test.go
@@ -43,7 +43,7 @@
 
 	removeEntry("second")
 	for range 2 {
-		o.handleProbeResult(probeFinished{instance: models.UpstreamInstance{ID: "second"}, err: platform.ErrInstance, sentAt: time.Now()})
+		o.handleProbeResult(probeFinished{instance: models.UpstreamInstance{ID: "second"}, err: platform.ErrInvalidInstance, sentAt: time.Now()})
 	}
 	o.checkUnlisted(now)
 	c.Assert(known("second"), qt.IsFalse, qt.Commentf("it does not answer"))
--- a/cluster/updates.go
+++ b/cluster/updates.go
@@ -117,7 +117,7 @@
 			k.lostSince = now
 		}
 		o.fleet.instances[id], o.fleet.listStale = k, true
-	case !o.observeIncarnation(k, u.Instance.Born, at):
+	case !o.observeIncarnation(k, u.Instance.StartedAt, at):
 	case at.Before(k.stateAt):
 		// A newer state of the instance's group is known. Leaving is taken from its entry, which
 		// may still be newer.
@@ -144,7 +144,7 @@
 	case m.entries != nil && k.knownThrough.Compare(m.entries.End) <= 0, m.entries == nil && m.receivedAt.Add(-u.Age).After(k.entrySeenAt):
 		o.handleEntryGone(id)
 	}
-	if _, stillKnown := o.fleet.instances[id]; !stillKnown && u.Instance.Heartbeat > 0 {
+	if _, stillKnown := o.fleet.instances[id]; !stillKnown && u.Instance.HeartbeatSeq > 0 {
 		o.fleet.markEnded(u.Instance, now)
 	}
 }
--- a/cluster/updates_test.go
+++ b/cluster/updates_test.go
@@ -105,7 +105,7 @@
 	c.Assert(missed(), qt.IsFalse)
 	receive(8, false, instance("i-2", true, 0))
 	c.Assert(missed(), qt.IsTrue)
-	c.Assert(o.n.heartbeat(o.peers.topology.First, membership.Link{RelaysFirst: true}).MissedUpdates, qt.IsTrue)
+	c.Assert(o.n.heartbeat(o.peers.topology.LoadRelay, membership.Link{UsesLoads: true}).MissedUpdates, qt.IsTrue)
 	receive(6, true, instance("i-2", false, time.Second))
 	c.Assert(missed(), qt.IsTrue, qt.Commentf("the relay lacks the seventh update too"))
 	receive(7, true, instance("i-2", false, time.Second))
@@ -213,10 +213,10 @@
 	t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
 	addPeers(o, meshLimit+1, 7)
 	c.Assert(o.n.usesRelay(), qt.IsTrue)
-	first := o.peers.topology.First
+	first := o.peers.topology.LoadRelay
 	var second models.DaemonID
 	for id, link := range o.peers.topology.Links {
-		if link.Relies && id != first {
+		if link.UsesRelay && id != first {
 			second = id
 		}
 	}
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -29,7 +29,7 @@
 	// is valid for fields that do not change in an instance's life, such as address and service.
 	All map[models.InstanceID]models.UpstreamInstance
 	// Arranged is the topology: the daemons to which this node sends, and what.
-	Arranged *membership.Arrangement
+	Arranged *membership.Topology
 
 	// config is the encoded routing as the store holds it.
 	config []byte
@@ -65,7 +65,7 @@
 }
 
 // mesh reports whether each daemon sends to every other one directly, without relays.
-func (v *View) mesh() bool { return v.Arranged == nil || v.Arranged.Mesh }
+func (v *View) mesh() bool { return v.Arranged == nil || v.Arranged.IsMesh }
 
 // Sharers returns the number of daemons that choose groups by the same load totals, including this
 // one.
@@ -73,7 +73,7 @@
 	if v.mesh() {
 		return 1
 	}
-	return v.Arranged.Zone
+	return v.Arranged.ZoneSize
 }
 
 // LoadsAge returns the typical age of other daemons' loads.
--- a/cluster/work.go
+++ b/cluster/work.go
@@ -12,11 +12,11 @@
 // from the first of its relays that sends it.
 func (o *owner) work() map[models.ModelName]float64 {
 	sum := o.zoneWork()
-	if o.peers.topology.Mesh {
+	if o.peers.topology.IsMesh {
 		return sum
 	}
 	counted := map[models.Zone]bool{}
-	for _, d := range o.peers.topology.Planners {
+	for _, d := range o.peers.topology.PlannerCandidates {
 		p, seen := o.peers.seen[d.ID]
 		if d.Zone == o.n.cfg.Zone || !seen || counted[d.Zone] || len(p.heartbeat.ZoneWork) == 0 {
 			continue
@@ -35,7 +35,7 @@
 		sum = map[models.ModelName]float64{}
 	}
 	for _, p := range o.peers.seen {
-		if o.peers.topology.Mesh || p.heartbeat.Zone == o.n.cfg.Zone {
+		if o.peers.topology.IsMesh || p.heartbeat.Zone == o.n.cfg.Zone {
 			addWork(sum, p.heartbeat.Work)
 		}
 	}
@@ -50,7 +50,7 @@
 
 // zoneWorkUpdate returns the zone's demand to be sent to other zones, if this daemon is a relay.
 func (o *owner) zoneWorkUpdate() map[models.ModelName]float32 {
-	if o.peers.topology.Mesh || !o.peers.topology.Relay {
+	if o.peers.topology.IsMesh || !o.peers.topology.IsRelay {
 		return nil
 	}
 	out := map[models.ModelName]float32{}
--- a/daemon/log.go
+++ b/daemon/log.go
@@ -81,9 +81,9 @@
 func (o *owner) logOutcome(outcome state.Outcome, source string) {
 	o.d.stats.applied.Inc()
 	log := o.d.log.Info().Uint64("offset", uint64(outcome.Offset)).Str("source", source)
-	if outcome.Refused != nil {
+	if outcome.Rejection != nil {
 		o.d.stats.refused.Inc()
-		log.Str("record", string(outcome.Record)).Str("reason", outcome.Refused.Error()).Msg("record-refused")
+		log.Str("record", string(outcome.Record)).Str("reason", outcome.Rejection.Error()).Msg("record-refused")
 		return
 	}
 	for _, e := range outcome.Events {
--- a/daemon/owner.go
+++ b/daemon/owner.go
@@ -198,7 +198,7 @@
 	o.d.stats.pauses.Inc()
 	o.d.log.Warn().Dur("for", tick.Paused).Msg("process-paused")
 	for id, e := range o.evidence {
-		e.Watched = tick.At
+		e.ProbedSince = tick.At
 		o.evidence[id] = e
 	}
 	clear(o.wantedSince)
@@ -240,7 +240,7 @@
 	now := time.Now()
 	for id := range engines {
 		if _, known := o.evidence[id]; !known {
-			o.evidence[id] = planner.Evidence{Watched: now}
+			o.evidence[id] = planner.Evidence{ProbedSince: now}
 		}
 	}
 	maps.DeleteFunc(o.evidence, func(id models.InstanceID, _ planner.Evidence) bool {
@@ -273,10 +273,10 @@
 
 func (o *owner) handleInstanceSeen(msg types.InstanceSeen) {
 	e, watched := o.evidence[msg.Instance]
-	if !watched || msg.SentAt.Before(e.Seen) {
+	if !watched || msg.SentAt.Before(e.LastSeen) {
 		return
 	}
-	e.Direct, e.SilentSince = msg.SentAt, time.Time{}
+	e.LastReply, e.UnansweredSince = msg.SentAt, time.Time{}
 	o.recordStatus(msg.Instance, e, msg.SentAt, msg.Status)
 }
 
@@ -286,13 +286,13 @@
 		(e.Status.InFlight > 0) != (status.InFlight > 0) {
 		o.needsPublish, o.needsPlan = true, true
 	}
-	if !e.Seen.IsZero() && e.Away(at) > o.d.cfg.ReplaceAfter {
-		e.Absences++
+	if !e.LastSeen.IsZero() && e.UnreachableFor(at) > o.d.cfg.ReplaceAfter {
+		e.Flaps++
 		e.Returned = at
-	} else if e.Absences > 0 && at.Sub(e.Returned) > absenceResetAfter {
-		e.Absences = 0
+	} else if e.Flaps > 0 && at.Sub(e.Returned) > absenceResetAfter {
+		e.Flaps = 0
 	}
-	e.Seen, e.Status = at, status
+	e.LastSeen, e.Status = at, status
 	o.evidence[id] = e
 }
 
@@ -305,7 +305,7 @@
 func (o *owner) handleObservations(msg types.PeerObservations) {
 	for _, v := range msg.Observations {
 		e, watched := o.evidence[v.Status.Instance]
-		if at := msg.SentAt.Add(-v.Age); watched && at.After(e.Seen) {
+		if at := msg.SentAt.Add(-v.Age); watched && at.After(e.LastSeen) {
 			o.recordStatus(v.Status.Instance, e, at, v.Status)
 		}
 	}
@@ -316,8 +316,8 @@
 	if !watched {
 		return
 	}
-	if e.SilentSince.IsZero() {
-		e.SilentSince = msg.SentAt
+	if e.UnansweredSince.IsZero() {
+		e.UnansweredSince = msg.SentAt
 		o.d.log.Warn().Str("instance", string(msg.Instance)).Err(msg.Err).Msg("instance-silent")
 		o.needsPublish, o.needsPlan = true, true
 	}
@@ -355,7 +355,7 @@
 func (o *owner) silentInstances() []models.InstanceID {
 	var out []models.InstanceID
 	for id, e := range o.evidence {
-		if !e.SilentSince.IsZero() && len(out) < maxObservations {
+		if !e.UnansweredSince.IsZero() && len(out) < maxObservations {
 			out = append(out, id)
 		}
 	}
@@ -375,8 +375,8 @@
 	out := make(map[models.GroupID]int, len(gates))
 	for id, gate := range gates {
 		if slots := gate.Load.Slots; slots > 0 {
-			total := int(router.QueueFactor * float64(slots))
-			out[id] = max(1, router.Allotment(total, o.d.cfg.ID, serving, string(id)))
+			total := int(router.MaxInFlightFactor * float64(slots))
+			out[id] = max(1, router.LimitShare(total, o.d.cfg.ID, serving, string(id)))
 		}
 	}
 	return out
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -136,7 +136,7 @@
 	}
 	for _, id := range heartbeat.Silent[:min(len(heartbeat.Silent), maxObservations)] {
 		e, watched := v.Evidence[id]
-		if age := now.Sub(e.Direct); watched && e.SilentSince.IsZero() && age < d.cfg.GateBound {
+		if age := now.Sub(e.LastReply); watched && e.UnansweredSince.IsZero() && age < d.cfg.GateBound {
 			resp.Observations = append(resp.Observations, types.Observation{Age: age, Status: e.Status})
 		}
 	}
@@ -265,7 +265,7 @@
 	if len(others) < maxFullMesh {
 		return others
 	}
-	ring := planner.Order(append(others, self), "heartbeats")
+	ring := planner.RendezvousOrder(append(others, self), "heartbeats")
 	at := slices.Index(ring, self)
 	var out []models.DaemonID
 	for distance := 1; distance < len(ring); distance *= ringStepFactor {
@@ -286,7 +286,7 @@
 			serving = append(serving, id)
 		}
 	}
-	return planner.Rank(o.d.cfg.ID, serving, key)
+	return planner.RendezvousRank(o.d.cfg.ID, serving, key)
 }
 
 // currentUntil returns until when the state counts as current: a bounded time after it was last
--- a/daemon/planning.go
+++ b/daemon/planning.go
@@ -57,7 +57,7 @@
 		Daemon: models.Daemon{
 			ID: o.d.cfg.ID, Zone: o.d.cfg.Zone, Peer: o.d.peerAddr, Incarnation: o.d.incarnation,
 		},
-		Was: registered.Incarnation,
+		PreviousIncarnation: registered.Incarnation,
 	}, nil, key)
 }
 
@@ -72,7 +72,7 @@
 			since = in.Now
 		}
 		wanted[key] = since
-		delay := time.Duration(o.rank(p.Key, in.Now)) * rankDelay
+		delay := time.Duration(o.rank(p.RendezvousKey, in.Now)) * rankDelay
 		if in.Now.Sub(since) < delay || o.isPending(key) {
 			continue
 		}
@@ -101,7 +101,7 @@
 // sendOrders sends the orders of the fabric domains for which this daemon has rank 0.
 func (o *owner) sendOrders(in planner.Input) {
 	for domain, dispatches := range planner.Orders(in) {
-		if o.rank(planner.OrderKey(domain), in.Now) != 0 {
+		if o.rank(planner.OrderRendezvousKey(domain), in.Now) != 0 {
 			continue
 		}
 		for _, d := range dispatches {
--- a/daemon/trail.go
+++ b/daemon/trail.go
@@ -48,7 +48,7 @@
 	t := d.trail
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e.End == "" {
+	if e.Outcome == "" {
 		t.active[e.Request] = e
 		return
 	}
@@ -76,7 +76,7 @@
 	for id, e := range t.active {
 		if !t.flushed[id] && len(out) < maxTrailBatch {
 			t.flushed[id] = true
-			e.Took = now.Sub(e.Started)
+			e.Elapsed = now.Sub(e.Started)
 			out = append(out, e)
 		}
 	}
@@ -89,7 +89,7 @@
 	defer t.mu.Unlock()
 	var ended []models.TrailEntry
 	for _, e := range entries {
-		if e.End == "" {
+		if e.Outcome == "" {
 			delete(t.flushed, e.Request)
 		} else {
 			ended = append(ended, e)
@@ -161,7 +161,7 @@
 			continue
 		}
 		for _, e := range entries {
-			if e.Request == id && found.End == "" {
+			if e.Request == id && found.Outcome == "" {
 				found = e
 			}
 		}
--- a/fleet/form.go
+++ b/fleet/form.go
@@ -20,7 +20,7 @@
 
 // formGroups forms groups of free instances, the model with the lowest supply for its demand first.
 func (r *round) formGroups() {
-	if !r.Traffic {
+	if !r.HasTraffic {
 		r.updateLayout()
 	}
 	cache := newCandidateCache(r.freeInstances())
@@ -78,7 +78,7 @@
 	out := map[models.Domain][]models.InstanceID{}
 	for _, id := range slices.Sorted(maps.Keys(r.Instances)) {
 		_, backingOff := r.backoffUntil[id]
-		if !r.usable(id) || r.Unproven[id] || r.reserved[id] || backingOff || !r.released(id) {
+		if !r.usable(id) || r.Unverified[id] || r.reserved[id] || backingOff || !r.released(id) {
 			continue
 		}
 		out[r.Instances[id].Domain] = append(out[r.Instances[id].Domain], id)
@@ -128,7 +128,7 @@
 	out := slices.Clone(r.Profile.Models)
 	supply := func(m models.ModelProfile) float64 {
 		// Adding half a group puts models without any group first.
-		return (float64(r.assigned[m.Name]) + float64(m.Size)/2) / r.demandOf(m)
+		return (float64(r.assigned[m.Name]) + float64(m.GroupSize)/2) / r.demandOf(m)
 	}
 	slices.SortStableFunc(out, func(a, b models.ModelProfile) int { return cmp.Compare(supply(a), supply(b)) })
 	return out
@@ -139,53 +139,53 @@
 // load them first, and another model may need it more by then. Before traffic, loads are cheap, and
 // the layout decides which groups are formed with loads.
 func (r *round) buildCandidate(model models.ModelProfile, domain models.Domain, ids []models.InstanceID) (candidate, bool) {
-	if len(ids) < model.Size {
+	if len(ids) < model.GroupSize {
 		return candidate{}, false
 	}
 	sorted := slices.Clone(ids)
 	slices.SortStableFunc(sorted, func(a, b models.InstanceID) int {
 		return cmp.Compare(r.joinTime(a, model), r.joinTime(b, model))
 	})
-	c := candidate{model: model, members: sorted[:model.Size:model.Size], loading: map[models.InstanceID]bool{}}
+	c := candidate{model: model, members: sorted[:model.GroupSize:model.GroupSize], loading: map[models.InstanceID]bool{}}
 	for _, id := range c.members {
 		joinTime := r.joinTime(id, model)
-		if _, staging := r.staging[id]; staging && joinTime >= model.Load {
+		if _, staging := r.staging[id]; staging && joinTime >= model.LoadTime {
 			// The instance becomes a candidate once its weights are staged.
 			return candidate{}, false
 		}
 		c.readyIn = max(c.readyIn, joinTime)
-		if joinTime >= model.Load {
+		if joinTime >= model.LoadTime {
 			c.loading[id] = true
 		}
 	}
 	if len(c.loading) == 0 {
 		return c, true
 	}
-	planned := r.layout[domain][model.Name] * model.Size
-	return c, !r.Traffic && r.assignedByDomain[domain][model.Name] < planned && r.mayStartLoads(len(c.loading))
+	planned := r.layout[domain][model.Name] * model.GroupSize
+	return c, !r.HasTraffic && r.assignedByDomain[domain][model.Name] < planned && r.mayStartLoads(len(c.loading))
 }
 
 // joinTime is how long the instance takes to join a group of the model.
 func (r *round) joinTime(id models.InstanceID, model models.ModelProfile) time.Duration {
 	i := r.Instances[id]
 	switch {
-	case i.Loaded == model.Name:
-		return Rejoin
-	case slices.Contains(i.Staged, model.Name):
-		return model.Warm
+	case i.LoadedModel == model.Name:
+		return RejoinTime
+	case slices.Contains(i.StagedModels, model.Name):
+		return model.WarmLoadTime
 	default:
-		return model.Load
+		return model.LoadTime
 	}
 }
 
 // mayStartLoads reports whether n loads may start now.
 func (r *round) mayStartLoads(n int) bool {
-	if !r.Traffic {
+	if !r.HasTraffic {
 		// Before traffic, loads don't slow each other down: 44 concurrent loads took no longer
 		// each.
 		return true
 	}
-	limit := r.Profile.LoadsAtOnce
+	limit := r.Profile.MaxConcurrentLoads
 	windowLimit := r.Profile.LoadsPerSecond * loadWindow.Seconds() * loadRateFraction
 	return (r.loading == 0 || r.loading+n <= limit) && float64(len(r.loadStarts)+n) <= windowLimit
 }
--- a/fleet/layout.go
+++ b/fleet/layout.go
@@ -45,7 +45,7 @@
 	if r.layout != nil && in.equal(r.layoutBasis) {
 		return
 	}
-	r.layout, r.layoutBasis = r.World.computeLayout(in), in
+	r.layout, r.layoutBasis = r.Snapshot.computeLayout(in), in
 }
 
 // layoutInput returns the present sizes and zones of the domains and the demand of the models.
@@ -64,7 +64,7 @@
 }
 
 // computeLayout computes a layout for the given domains and demand.
-func (w World) computeLayout(in layoutInput) layout {
+func (w Snapshot) computeLayout(in layoutInput) layout {
 	if len(in.sizes) == 0 {
 		return layout{}
 	}
@@ -76,18 +76,18 @@
 
 // hasSpares reports whether the largest domain has instances left over when filled with the largest
 // groups.
-func (w World) hasSpares(in layoutInput) bool {
+func (w Snapshot) hasSpares(in layoutInput) bool {
 	largest := 0
 	for _, size := range in.sizes {
 		largest = max(largest, size)
 	}
 	bySize := w.bySize()
-	return largest%bySize[0].Size != 0 || bySize[0].Size == bySize[len(bySize)-1].Size
+	return largest%bySize[0].GroupSize != 0 || bySize[0].GroupSize == bySize[len(bySize)-1].GroupSize
 }
 
 // dedicateDomains assigns each domain to one model, always to the model with the fewest instances
 // for its demand.
-func (w World) dedicateDomains(in layoutInput) layout {
+func (w Snapshot) dedicateDomains(in layoutInput) layout {
 	out, supplied := layout{}, supply{}
 	room := maps.Clone(in.sizes)
 	for len(room) > 0 {
@@ -95,7 +95,7 @@
 			return cmp.Compare(float64(supplied[a.Name])/in.demand[a.Name], float64(supplied[b.Name])/in.demand[b.Name])
 		})
 		domain := in.domainWithMostRoom(room, out, m)
-		out[domain] = map[models.ModelName]int{m.Name: in.sizes[domain] / m.Size}
+		out[domain] = map[models.ModelName]int{m.Name: in.sizes[domain] / m.GroupSize}
 		// Spares count as supply too: they replace lost members.
 		supplied[m.Name] += in.sizes[domain]
 		delete(room, domain)
@@ -105,7 +105,7 @@
 
 // spreadGroups computes the layout that is best after every domain has lost an instance, unless a
 // model would have no group in it.
-func (w World) spreadGroups(in layoutInput) layout {
+func (w Snapshot) spreadGroups(in layoutInput) layout {
 	reduced := in
 	reduced.sizes = map[models.Domain]int{}
 	for domain, size := range in.sizes {
@@ -123,7 +123,7 @@
 
 // optimizeFill searches for the number of groups of each model with the lowest congestion. It
 // starts with numbers proportional to the demand and changes them one group at a time.
-func (w World) optimizeFill(in layoutInput) layout {
+func (w Snapshot) optimizeFill(in layoutInput) layout {
 	totalInstances, totalDemand := 0, 0.0
 	for _, size := range in.sizes {
 		totalInstances += size
@@ -134,7 +134,7 @@
 	bySize := w.bySize()
 	counts := map[models.ModelName]int{}
 	for _, m := range bySize {
-		counts[m.Name] = int(in.demand[m.Name] / totalDemand * float64(totalInstances) / float64(m.Size))
+		counts[m.Name] = int(in.demand[m.Name] / totalDemand * float64(totalInstances) / float64(m.GroupSize))
 	}
 	best, lowest := w.fillDomains(in, counts)
 	for improved := true; improved; {
@@ -165,7 +165,7 @@
 
 // fillDomains places the given number of groups of each model, and as many groups of the smallest
 // model as fit. It returns the layout and its congestion.
-func (w World) fillDomains(in layoutInput, counts map[models.ModelName]int) (layout, float64) {
+func (w Snapshot) fillDomains(in layoutInput, counts map[models.ModelName]int) (layout, float64) {
 	room, out, supplied := maps.Clone(in.sizes), layout{}, supply{}
 	for domain := range room {
 		out[domain] = map[models.ModelName]int{}
@@ -175,12 +175,12 @@
 	for _, m := range bySize {
 		for n := 0; n < counts[m.Name] || m.Name == smallest.Name; n++ {
 			domain := in.domainWithMostRoom(room, out, m)
-			if room[domain] < m.Size {
+			if room[domain] < m.GroupSize {
 				break
 			}
 			out[domain][m.Name]++
-			room[domain] -= m.Size
-			supplied[m.Name] += m.Size
+			room[domain] -= m.GroupSize
+			supplied[m.Name] += m.GroupSize
 		}
 	}
 	return out, w.congestion(supplied)
--- a/fleet/round.go
+++ b/fleet/round.go
@@ -12,7 +12,7 @@
 // round is the state of one call of Step.
 type round struct {
 	*Planner
-	World
+	Snapshot
 	groups map[models.GroupKey]*Group
 	orders []types.GroupOrder
 	// reserved holds the instances that are in a group or assigned to one, and can't be used
@@ -103,7 +103,7 @@
 
 // issue queues an order under a new fence.
 func (r *round) issue(o types.GroupOrder) {
-	o.Fence, o.Born = r.nextFence(), r.Instances[o.Instance].Born
+	o.Fence, o.Born = r.nextFence(), r.Instances[o.Instance].StartedAt
 	r.sent[o.Instance] = &sentOrder{order: o, at: r.Now, outcome: pending}
 	r.orders = append(r.orders, o)
 }
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -21,7 +21,7 @@
 	head     models.RequestHead
 	route    models.Route
 	service  models.ServiceName
-	holder   models.KeyHolder
+	holder   models.KeyOwner
 	body     []byte
 	started  time.Time
 	deadline time.Time
@@ -123,7 +123,7 @@
 // writeHead forwards the head of a response.
 func (e *exchange) writeHead(status int, h http.Header) {
 	out := e.w.Header()
-	for name, values := range platform.AnswerHeader(h) {
+	for name, values := range platform.ResponseHeader(h) {
 		out[name] = values
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
--- a/gateway/script_test.go
+++ b/gateway/script_test.go
@@ -71,7 +71,7 @@
 	limits *cluster.Limits
 	// breakers are closed if nil.
 	breakers *cluster.Breakers
-	permit   func(ratelimit.Ask) (ratelimit.Grant, error)
+	permit   func(ratelimit.PermitRequest) (ratelimit.Grant, error)
 
 	mu      sync.Mutex
 	stalled []models.InstanceID
@@ -115,7 +115,7 @@
 }
 
 // AskPermit calls the test's permit function; without one there is no granter.
-func (f *fakeNode) AskPermit(_ context.Context, _ models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
+func (f *fakeNode) AskPermit(_ context.Context, _ models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	if f.permit == nil {
 		return ratelimit.Grant{}, cluster.ErrNoGranter
 	}
@@ -179,12 +179,12 @@
 	}
 	for _, line := range lines(parts["restarted"]) {
 		u := node.view.All[models.InstanceID(line)]
-		u.Born = u.Born.Add(time.Second)
+		u.StartedAt = u.StartedAt.Add(time.Second)
 		node.view.All[u.ID] = u
 	}
-	cfg := Settings{KeysBound: time.Minute, ConfigBound: time.Minute, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second}
+	cfg := Settings{MaxKeysProofAge: time.Minute, MaxConfigAge: time.Minute, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second}
 	if settle, given := parts["settle"]; given {
-		cfg.Settle, err = time.ParseDuration(lines(settle)[0])
+		cfg.StallReportDelay, err = time.ParseDuration(lines(settle)[0])
 		c.Assert(err, qt.IsNil)
 	}
 	g := New(cfg, node, newScheduler(), metrics.NewSet(), zerolog.Nop())
@@ -217,7 +217,7 @@
 	}
 	for _, i := range instances {
 		u := models.UpstreamInstance{
-			ID: models.InstanceID(i.name), Born: time.Unix(1, 0), Addr: netip.MustParseAddrPort(i.l.Addr().String()), Service: "plain",
+			ID: models.InstanceID(i.name), StartedAt: time.Unix(1, 0), Addr: netip.MustParseAddrPort(i.l.Addr().String()), Service: "plain",
 		}
 		v.All[u.ID] = u
 		if !strings.HasPrefix(i.name, "g") {
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -44,11 +44,11 @@
 }
 
 // sendAdmitted is send for an admitted request. It also returns the result for the circuit breaker.
-func (e *exchange) sendAdmitted(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, readTimeout h1.Patience) (*h1.Response, breaker.End, error) {
-	a.Left, a.Instance, a.Workspace = time.Until(e.deadline), i.ID, e.holder.Workspace
+func (e *exchange) sendAdmitted(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, readTimeout h1.Patience) (*h1.Response, breaker.Outcome, error) {
+	a.Remaining, a.Instance, a.Workspace = time.Until(e.deadline), i.ID, e.holder.Workspace
 	a.Priority = rank(e.holder.Priority, e.route.Priority)
 	maxIdle := maxIdleRepeatable
-	if !e.route.Repeatable() {
+	if !e.route.Idempotent() {
 		maxIdle = maxIdleOnce
 	}
 	sentAt := time.Now()
@@ -56,7 +56,7 @@
 		Method: e.r.Method, Target: e.r.RequestURI, Host: e.r.Host, Header: platform.ForwardHeader(e.r.Header, a), Body: e.body,
 		Freshest: maxIdle, Patience: readTimeout,
 		Ready: func() error { return e.checkAdmission(i, p) },
-		Mine:  func(h http.Header) bool { return platform.DecodeAnswer(0, h).ID == e.head.ID },
+		Mine:  func(h http.Header) bool { return platform.DecodeResponse(0, h).ID == e.head.ID },
 	})
 	if err != nil && ctx.Err() == nil && !errors.Is(err, h1.ErrStalled) && !errors.Is(err, errNotAdmitted) {
 		e.g.scheduler.addFailure(i)
@@ -67,32 +67,32 @@
 	case err != nil:
 		return nil, breaker.Unanswered, errors.Join(errMaybeExecuted, err)
 	}
-	head := platform.DecodeAnswer(resp.Status, resp.Header)
+	head := platform.DecodeResponse(resp.Status, resp.Header)
 	e.recordSignals(i, head, resp.Status, sentAt)
 	if !head.NotRun {
 		e.g.scheduler.addSuccess(i.ID)
-		return resp, breaker.Taken, nil
+		return resp, breaker.Accepted, nil
 	}
 	// An instance that rejects requests has few of them, and would look the least loaded one.
 	e.g.scheduler.addFailure(i)
 	e.rejections.Add(1)
 	e.g.stats.rejections.Inc()
 	resp.Body.Discard()
-	return nil, breaker.TurnedAway, fmt.Errorf("%w: status %d, at fault %q", errNotExecuted, resp.Status, head.Fault)
+	return nil, breaker.Rejected, fmt.Errorf("%w: status %d, at fault %q", errNotExecuted, resp.Status, head.FaultyInstance)
 }
 
 // recordSignals records the backoff, leaving notice and rate limit in the head of a response.
-func (e *exchange) recordSignals(i models.UpstreamInstance, head models.AnswerHead, status int, sentAt time.Time) {
-	for _, header := range head.Unreadable {
+func (e *exchange) recordSignals(i models.UpstreamInstance, head models.ResponseHead, status int, sentAt time.Time) {
+	for _, header := range head.InvalidHeaders {
 		e.g.log.Warn().Str("instance", string(i.ID)).Str("request", string(e.head.ID)).Str("header", header).Msg("answer-unreadable")
 	}
 	// Another instance may have taken over the address and sent the response.
 	misdirected := status == http.StatusMisdirectedRequest
 	if !misdirected || !e.g.isAddressShared(i) {
-		e.g.node.Breakers().HeardHead(i.ID, i.Born, head)
+		e.g.node.Breakers().HeardHead(i.ID, i.StartedAt, head)
 	}
 	if !misdirected {
-		e.recordLimit(i, head.Limit, sentAt)
+		e.recordLimit(i, head.RateLimit, sentAt)
 	}
 }
 
@@ -112,5 +112,5 @@
 		e.g.log.Warn().Str("instance", string(i.ID)).Str("request", string(e.head.ID)).Msg("limit-unreadable")
 		return
 	}
-	e.g.node.Limits().Heard(ratelimit.Sighting{Instance: i.ID, Born: i.Born, Rate: rate, Asked: sentAt, Heard: time.Now()})
+	e.g.node.Limits().Heard(ratelimit.Observation{Instance: i.ID, StartedAt: i.StartedAt, Rate: rate, SentAt: sentAt, ReceivedAt: time.Now()})
 }
--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -232,7 +232,7 @@
 			return nil, err
 		}
 		out, err := s.Apply(s.Applied+1, data)
-		if err := firstError(err, out.Refused); err != nil {
+		if err := firstError(err, out.Rejection); err != nil {
 			return nil, err
 		}
 	}
@@ -261,14 +261,14 @@
 	for n := range auditCount {
 		change := state.ChangeConfig{
 			Operator: "duty", Note: "night shift", Text: "limit workspace observatory concurrent 40",
-			Ops: []state.Op{state.PutPolicy{Base: s.Policy.Revision, Policy: models.Policy{Downtime: n % 9, Stranded: 1}}},
+			Ops: []state.Op{state.PutPolicy{Base: s.Policy.Revision, Policy: models.Policy{DowntimeWeight: n % 9, StrandedWeight: 1}}},
 		}
 		data, err := state.Encode(state.Record{ID: recordID(1_000_000 + n), Author: "daemon-1", At: time.Unix(int64(n), 0), Body: change})
 		if err != nil {
 			return err
 		}
 		out, err := s.Apply(s.Applied+1, data)
-		if err := firstError(err, out.Refused); err != nil {
+		if err := firstError(err, out.Rejection); err != nil {
 			return err
 		}
 	}
@@ -280,12 +280,12 @@
 	now := time.Now()
 	in := planner.Input{
 		State: s, Instances: map[models.InstanceID]models.Instance{}, Evidence: map[models.InstanceID]planner.Evidence{},
-		Now: now, Rules: planner.Rules{ReplaceAfter: time.Second, Bound: time.Second},
+		Now: now, Rules: planner.Rules{ReplaceAfter: time.Second, MaxEvidenceAge: time.Second},
 	}
 	for _, g := range s.Groups {
 		for _, m := range g.Members {
 			in.Instances[m.ID] = models.Instance{ID: m.ID, Kind: models.KindEngine, Addr: m.Addr, Zone: g.Zone, Domain: g.Domain, Accelerators: 1}
-			in.Evidence[m.ID] = planner.Evidence{Seen: now, Watched: now, Status: types.EngineStatus{
+			in.Evidence[m.ID] = planner.Evidence{LastSeen: now, ProbedSince: now, Status: types.EngineStatus{
 				Instance: m.ID, Group: g.ID, Fence: g.Fence, Model: g.Model, Version: g.Version, Phase: types.PhaseLoaded,
 			}}
 		}
--- a/measure/naive_planner.go
+++ b/measure/naive_planner.go
@@ -21,7 +21,7 @@
 	serving := map[models.ModelName]int{}
 	lost := func(id models.InstanceID) bool {
 		e, known := in.Evidence[id]
-		return !known || (!e.SilentSince.IsZero() && e.Away(in.Now) > naiveTimeout)
+		return !known || (!e.UnansweredSince.IsZero() && e.UnreachableFor(in.Now) > naiveTimeout)
 	}
 	for _, id := range slices.Sorted(maps.Keys(in.State.Groups)) {
 		g := in.State.Groups[id]
@@ -34,7 +34,7 @@
 	free := map[models.Domain][]models.Member{}
 	for _, id := range slices.Sorted(maps.Keys(in.Instances)) {
 		i := in.Instances[id]
-		if _, owned := in.State.Owner(id); !owned && in.Evidence[id].SilentSince.IsZero() && !in.Evidence[id].Seen.IsZero() && !i.Leaving {
+		if _, owned := in.State.Owner(id); !owned && in.Evidence[id].UnansweredSince.IsZero() && !in.Evidence[id].LastSeen.IsZero() && !i.Leaving {
 			free[i.Domain] = append(free[i.Domain], models.Member{ID: id, Accelerators: i.Accelerators, ChecksFences: true})
 		}
 	}
--- a/measure/simulation.go
+++ b/measure/simulation.go
@@ -77,7 +77,7 @@
 func (sim *simulation) add(id models.InstanceID, d models.Domain) {
 	sim.listed[id] = models.Instance{ID: id, Kind: models.KindEngine, Zone: "z", Domain: d, Accelerators: 1, ChecksFences: true}
 	sim.machines[id] = &machine{up: true}
-	sim.evidence[id] = planner.Evidence{Watched: sim.now}
+	sim.evidence[id] = planner.Evidence{ProbedSince: sim.now}
 }
 
 func (sim *simulation) remove(id models.InstanceID) {
@@ -111,7 +111,7 @@
 		return err
 	}
 	out, err := sim.state.Apply(sim.state.Applied+1, data)
-	return firstError(err, out.Refused)
+	return firstError(err, out.Rejection)
 }
 
 // step advances the time by one step: it updates the evidence, runs the planner and executes the
@@ -152,17 +152,17 @@
 	for id, m := range sim.machines {
 		e := sim.evidence[id]
 		if !m.up {
-			if e.SilentSince.IsZero() {
-				e.SilentSince = sim.now
+			if e.UnansweredSince.IsZero() {
+				e.UnansweredSince = sim.now
 			}
 			sim.evidence[id] = e
 			continue
 		}
-		if !e.Seen.IsZero() && e.Away(sim.now) > sim.rules.ReplaceAfter {
-			e.Absences++
+		if !e.LastSeen.IsZero() && e.UnreachableFor(sim.now) > sim.rules.ReplaceAfter {
+			e.Flaps++
 			e.Returned = sim.now
 		}
-		e.Seen, e.Direct, e.SilentSince = sim.now, sim.now, time.Time{}
+		e.LastSeen, e.LastReply, e.UnansweredSince = sim.now, sim.now, time.Time{}
 		e.Status = sim.statusOf(id, m)
 		sim.evidence[id] = e
 	}
--- a/measure/simulation_test.go
+++ b/measure/simulation_test.go
@@ -21,7 +21,7 @@
 		d := rapid.IntRange(0, domains-1).Draw(t, "domain")
 		sim.add(models.InstanceID(fmt.Sprintf("i%d", n)), domainName(d))
 	}
-	ops := []state.Op{state.PutPolicy{Policy: models.Policy{Downtime: 1, Stranded: 100}}}
+	ops := []state.Op{state.PutPolicy{Policy: models.Policy{DowntimeWeight: 1, StrandedWeight: 100}}}
 	for n := range 2 {
 		ops = append(ops, state.PutModel{Model: models.Model{
 			Name: models.ModelName(fmt.Sprintf("m%d", n)), Version: "v1",
@@ -102,9 +102,9 @@
 // downtime stays near its lower bound and far below that of the naive planner.
 func TestTraces(t *testing.T) {
 	c := qt.New(t)
-	mtkvari, err := runTrace(t.Context(), singleFailures(), plannerVariant{"real", false, models.Policy{Downtime: 9, Stranded: 1}})
+	mtkvari, err := runTrace(t.Context(), singleFailures(), plannerVariant{"real", false, models.Policy{DowntimeWeight: 9, StrandedWeight: 1}})
 	c.Assert(err, qt.IsNil)
-	naive, err := runTrace(t.Context(), singleFailures(), plannerVariant{"naive", true, models.Policy{Downtime: 9, Stranded: 1}})
+	naive, err := runTrace(t.Context(), singleFailures(), plannerVariant{"naive", true, models.Policy{DowntimeWeight: 9, StrandedWeight: 1}})
 	c.Assert(err, qt.IsNil)
 	c.Assert(mtkvari.Downtime <= 1.2*mtkvari.DowntimeLimit, qt.IsTrue)
 	c.Assert(mtkvari.Downtime <= naive.Downtime/4, qt.IsTrue, qt.Commentf("%v against %v", mtkvari.Downtime, naive.Downtime))
@@ -122,7 +122,7 @@
 		err := sim.configure(
 			state.PutModel{Model: models.Model{Name: "m0", Version: "v1", Members: 2, Replicas: 2}},
 			state.PutModel{Model: models.Model{Name: "m1", Version: "v1", Members: 1, Replicas: 1}},
-			state.PutPolicy{Policy: models.Policy{Downtime: 1, Stranded: 100}})
+			state.PutPolicy{Policy: models.Policy{DowntimeWeight: 1, StrandedWeight: 100}})
 		qt.Assert(t, err, qt.IsNil)
 		run := func(steps int) {
 			for range steps {
--- a/planner/why.go
+++ b/planner/why.go
@@ -10,10 +10,10 @@
 
 // WhyFree explains to an operator why an instance that could take work belongs to no group.
 // It follows the decisions of Plan on the same input.
-func WhyFree(in Input, i models.Instance) string {
+func ExplainFree(in Input, i models.Instance) string {
 	p := newRound(in)
 	for _, proposal := range Plan(in) {
-		if proposal.Key == string(i.Domain) {
+		if proposal.RendezvousKey == string(i.Domain) {
 			return fmt.Sprintf("a change of fabric domain %s is under way", i.Domain)
 		}
 	}
@@ -24,7 +24,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(in.State.Models)) {
 		m := in.State.Models[name]
-		if target.total(name) < m.Replicas && m.Place.Allows(i.Zone, i.Domain) {
+		if target.total(name) < m.Replicas && m.Placement.Allows(i.Zone, i.Domain) {
 			return fmt.Sprintf("model %s wants %d members and fabric domain %s has %d free", name, m.Members, i.Domain, len(p.freeInstances(i.Domain, m)))
 		}
 	}
--- a/router/choose.go
+++ b/router/choose.go
@@ -65,8 +65,8 @@
 type Prompt struct {
 	// Prefix is a hash of the beginning of the prompt. Seen is set if a recent prompt had the
 	// same prefix.
-	Prefix uint64
-	Seen   bool
+	Prefix     uint64
+	SeenBefore bool
 }
 
 // candidate is a group that can take the request now.
@@ -94,7 +94,7 @@
 	}
 	lowest := slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.utilization, b.utilization) }).utilization
 	slack := 0.0
-	if p.Seen {
+	if p.SeenBefore {
 		slack = affinityUtilizationSlack
 	}
 	var best models.Group
@@ -115,7 +115,7 @@
 	binary.BigEndian.PutUint64(buf[:], prefix)
 	h.Write([]byte(id))
 	h.Write(buf[:])
-	return planner.Mix(h.Sum64())
+	return planner.MixHash(h.Sum64())
 }
 
 // candidates returns the groups that can take the request now, or an error if there are none.
@@ -173,7 +173,7 @@
 // the workspace may use the group's version.
 func (t Table) placementAllowed(w models.Workspace, model models.Model, g models.Group) bool {
 	return g.Model == model.Name && w.AllowsModel(g.Model, g.Version) &&
-		model.Place.Allows(g.Zone, g.Domain) && w.Place.Allows(g.Zone, g.Domain)
+		model.Placement.Allows(g.Zone, g.Domain) && w.Placement.Allows(g.Zone, g.Domain)
 }
 
 func targetOf(g models.Group) Target {
@@ -198,7 +198,7 @@
 	lowest := 0
 	for _, s := range t.Services[name] {
 		i := s.Instance
-		allowed := service.Place.Allows(i.Zone, i.Domain) && w.Place.Allows(i.Zone, i.Domain)
+		allowed := service.Placement.Allows(i.Zone, i.Domain) && w.Placement.Allows(i.Zone, i.Domain)
 		if !allowed || !now.Before(s.OpenUntil) || slices.Contains(exclude, i.Addr) {
 			continue
 		}
--- a/soak/limit_test.go
+++ b/soak/limit_test.go
@@ -118,7 +118,7 @@
 func endLimits(_ *site, limited []*replica.Instance) {
 	time.Sleep(limitDuration - 4*time.Second)
 	for _, i := range limited {
-		i.AdvertiseLimit(models.NoLimit)
+		i.AdvertiseLimit(models.NoRateLimit)
 	}
 }
 
--- a/standin/replica/instance.go
+++ b/standin/replica/instance.go
@@ -159,7 +159,7 @@
 // checkOpen checks that a head opens only with a full group whose members were all ready.
 func (i *Instance) checkOpen() {
 	model, _ := i.pool.profile.model(i.model)
-	if len(i.members) != model.Size {
+	if len(i.members) != model.GroupSize {
 		i.pool.reportViolation("group %s opens with %d members", i.group.Key.Name, len(i.members))
 	}
 	for _, id := range i.members {
--- a/standin/replica/limit.go
+++ b/standin/replica/limit.go
@@ -53,14 +53,14 @@
 func (i *Instance) writeLimitHeader(w http.ResponseWriter) {
 	i.pool.mu.Lock()
 	defer i.pool.mu.Unlock()
-	if rate := i.limits.at(time.Now()); rate != models.NoLimit {
+	if rate := i.limits.at(time.Now()); rate != models.NoRateLimit {
 		w.Header().Set(headerLimit, strconv.FormatFloat(rate, 'f', -1, 64))
 	}
 }
 
 // at returns the limit at a point in time.
 func (r *limitHistory) at(t time.Time) float64 {
-	rate := models.NoLimit
+	rate := models.NoRateLimit
 	for _, n := range r.advertised {
 		if !n.since.After(t) {
 			rate = n.rate
@@ -86,7 +86,7 @@
 	sum := 0.0
 	for t := from; t.Before(to); t = t.Add(limitStep) {
 		rate := r.highest(t.Add(-limitLag), t)
-		if rate == models.NoLimit {
+		if rate == models.NoRateLimit {
 			return 0, false
 		}
 		sum += rate * limitStep.Seconds()
@@ -149,7 +149,7 @@
 	count := 0
 	for _, n := range i.limits.advertised {
 		for _, t := range i.limits.arrivals {
-			if n.rate == models.NoLimit && t.After(n.since) && t.Before(n.since.Add(d)) {
+			if n.rate == models.NoRateLimit && t.After(n.since) && t.Before(n.since.Add(d)) {
 				count++
 			}
 		}
--- a/state/property_test.go
+++ b/state/property_test.go
@@ -47,7 +47,7 @@
 	case 5:
 		return state.UndrainInstance{Base: base(s.Drained[id].Revision), Instance: id}
 	default:
-		return state.PutPolicy{Base: base(s.Policy.Revision), Policy: models.Policy{Downtime: 2, Stranded: 1}}
+		return state.PutPolicy{Base: base(s.Policy.Revision), Policy: models.Policy{DowntimeWeight: 2, StrandedWeight: 1}}
 	}
 }
 
@@ -106,7 +106,7 @@
 	case 9:
 		return state.ReleaseKeys{Claims: []state.Claim{claim}}
 	case 6:
-		return state.JoinDaemon{Daemon: daemon, Was: s.Daemons[daemon.ID].Incarnation}
+		return state.JoinDaemon{Daemon: daemon, PreviousIncarnation: s.Daemons[daemon.ID].Incarnation}
 	default:
 		return state.LeaveDaemon{ID: daemon.ID, Incarnation: daemon.Incarnation}
 	}
@@ -219,7 +219,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if out.Refused == nil {
+			if out.Rejection == nil {
 				continue
 			}
 			after := s.Clone()
@@ -229,7 +229,7 @@
 			before.ForgetIDs()
 			after.ForgetIDs()
 			if digest(t, before) != digest(t, after) {
-				t.Fatalf("record %d was refused (%v) and changed the state", n+1, out.Refused)
+				t.Fatalf("record %d was refused (%v) and changed the state", n+1, out.Rejection)
 			}
 		}
 	})
