--- a/api/chat.go
+++ b/api/chat.go
@@ -63,7 +63,7 @@
 		s.refuse(w, err)
 		return
 	}
-	e.entry.Wanted = string(chat.Model)
+	e.entry.ModelOrService = string(chat.Model)
 	capacity := s.daemon.View().Table.CapacityFor(e.workspace, chat.Model, e.started)
 	if err := s.admitted.Enter(chat.Model, e.workspace, capacity, e.priority); err != nil {
 		s.refuse(w, err)
--- a/api/exchange.go
+++ b/api/exchange.go
@@ -79,7 +79,7 @@
 
 // note puts the request's end on the trail.
 func (e *exchange) note(end router.End, err error) {
-	e.entry.End, e.entry.Tries, e.entry.Took = string(end), e.req.Tries(), time.Since(e.started)
+	e.entry.Outcome, e.entry.Attempts, e.entry.Elapsed = string(end), e.req.Tries(), time.Since(e.started)
 	if err != nil {
 		e.entry.Reason = err.Error()
 	}
--- a/api/service.go
+++ b/api/service.go
@@ -20,7 +20,7 @@
 	}
 	defer done()
 	name := models.ServiceName(r.PathValue("service"))
-	e.entry.Wanted = string(name)
+	e.entry.ModelOrService = string(name)
 	e.choose = func(now time.Time, avoid []netip.AddrPort) (router.Target, error) {
 		return s.daemon.View().Table.ChooseService(e.workspace, name, now, s.flights.at, avoid)
 	}
--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -121,11 +121,11 @@
 // backoffs the later end counts, in whichever order they are received.
 func (b *Breakers) Note(s Signal, from Source) Change {
 	br := b.breakers[s.Instance]
-	if s.IsEmpty() || (br != nil && br.instance.LifeOf(s.Born) == models.EarlierLife) {
+	if s.IsEmpty() || (br != nil && br.instance.CompareIncarnation(s.Born) == models.EarlierIncarnation) {
 		return Change{}
 	}
-	if br == nil || br.instance.LifeOf(s.Born) == models.LaterLife {
-		br = &breaker{instance: models.UpstreamInstance{ID: s.Instance, Born: s.Born}}
+	if br == nil || br.instance.CompareIncarnation(s.Born) == models.LaterIncarnation {
+		br = &breaker{instance: models.UpstreamInstance{ID: s.Instance, StartedAt: s.Born}}
 		b.breakers[s.Instance] = br
 	}
 	var change Change
@@ -168,7 +168,7 @@
 // find returns the breaker of this incarnation of an instance, nil if there is none.
 func (b *Breakers) find(i models.UpstreamInstance) *breaker {
 	br := b.breakers[i.ID]
-	if br == nil || i.LifeOf(br.instance.Born) == models.EarlierLife {
+	if br == nil || i.CompareIncarnation(br.instance.StartedAt) == models.EarlierIncarnation {
 		return nil
 	}
 	return br
@@ -292,7 +292,7 @@
 	var out []Signal
 	for id, br := range b.breakers {
 		if !br.leaving.IsZero() {
-			out = append(out, Signal{Instance: id, Born: br.instance.Born, Heard: br.leaving, Leaving: true})
+			out = append(out, Signal{Instance: id, Born: br.instance.StartedAt, Heard: br.leaving, Leaving: true})
 		}
 	}
 	return out
@@ -305,10 +305,10 @@
 	isNew := func(n sourcedChange) bool { return n.number > seen && include(n.source) }
 	for id, br := range b.breakers {
 		if isNew(br.leavingChange) {
-			out = append(out, Signal{Instance: id, Born: br.instance.Born, Heard: br.leaving, Leaving: true})
+			out = append(out, Signal{Instance: id, Born: br.instance.StartedAt, Heard: br.leaving, Leaving: true})
 		}
 		if isNew(br.backoffChange) && now.Before(br.broadcastUntil) {
-			out = append(out, Signal{Instance: id, Born: br.instance.Born, Heard: br.broadcastUntil.Add(-br.broadcastBackoff), Rest: br.broadcastBackoff})
+			out = append(out, Signal{Instance: id, Born: br.instance.StartedAt, Heard: br.broadcastUntil.Add(-br.broadcastBackoff), Rest: br.broadcastBackoff})
 		}
 	}
 	return out, b.lastChange
--- a/breaker/script_test.go
+++ b/breaker/script_test.go
@@ -84,14 +84,14 @@
 	if hasBorn {
 		seconds, err := strconv.ParseInt(born, 10, 64)
 		s.c.Assert(err, qt.IsNil)
-		i.Born = time.Unix(seconds, 0)
+		i.StartedAt = time.Unix(seconds, 0)
 	}
 	return i
 }
 
 func (s *script) signal(args []string) Signal {
 	i := s.instance(args[0])
-	signal := Signal{Instance: i.ID, Born: i.Born, Heard: s.now}
+	signal := Signal{Instance: i.ID, Born: i.StartedAt, Heard: s.now}
 	for _, a := range args[1:] {
 		if rest, found := strings.CutPrefix(a, "rest="); found {
 			signal.Rest = s.duration(rest)
--- a/cluster/asks.go
+++ b/cluster/asks.go
@@ -122,10 +122,10 @@
 		return 0, false
 	case order.Kind == types.GroupOpen:
 		return service.Engine.FormTime + reportMargin, true
-	case order.Kind == types.GroupJoin && i.Loaded == model.Name:
+	case order.Kind == types.GroupJoin && i.LoadedModel == model.Name:
 		return fleet.Rejoin + reportMargin, true
-	case order.Kind == types.GroupJoin && slices.Contains(i.Staged, model.Name):
-		return model.Warm + reportMargin, true
+	case order.Kind == types.GroupJoin && slices.Contains(i.StagedModels, model.Name):
+		return model.WarmLoadTime + reportMargin, true
 	}
 	return 0, false
 }
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -29,7 +29,7 @@
 		if rank == 0 {
 			m.State = models.MemberOpen
 		}
-		o.noteEntry(models.UpstreamInstance{ID: models.InstanceID(fmt.Sprintf("i-%08d", i)), Group: m, Loaded: "m", Service: "s"}, now)
+		o.noteEntry(models.UpstreamInstance{ID: models.InstanceID(fmt.Sprintf("i-%08d", i)), Group: m, LoadedModel: "m", Service: "s"}, now)
 	}
 	return o
 }
--- a/cluster/breakers.go
+++ b/cluster/breakers.go
@@ -51,8 +51,8 @@
 }
 
 // HeardHead notes what the head of an answer told of its instance.
-func (b *Breakers) HeardHead(id models.InstanceID, born time.Time, told models.AnswerHead) {
-	b.Heard(breaker.Signal{Instance: id, Born: born, Heard: time.Now(), Rest: told.Rest, Leaving: told.Leaving})
+func (b *Breakers) HeardHead(id models.InstanceID, born time.Time, told models.ResponseHead) {
+	b.Heard(breaker.Signal{Instance: id, Born: born, Heard: time.Now(), Rest: told.Backoff, Leaving: told.Leaving})
 }
 
 // Note takes in a signal that a daemon heard, this one if none is named. It tells in the log
@@ -245,7 +245,7 @@
 func (o *owner) noteSaidLeaving(now time.Time) {
 	for _, w := range o.n.breakers.leaving() {
 		k, known := o.fleet.instances[w.Instance]
-		if known && k.LifeOf(w.Born) == models.SameLife && !k.Draining {
+		if known && k.CompareIncarnation(w.Born) == models.SameIncarnation && !k.Draining {
 			o.noteLeaving(k, true, now.Sub(w.Heard))
 			o.fleetStale = true
 		}
--- a/cluster/breakers_test.go
+++ b/cluster/breakers_test.go
@@ -48,10 +48,10 @@
 	for _, id := range []models.InstanceID{"i1", "i2"} {
 		key := models.GroupKey{Name: models.GroupID("m." + id), Epoch: 1}
 		o.fleet.instances[id] = &knownInstance{UpstreamInstance: models.UpstreamInstance{
-			ID: id, Service: "s", Loaded: "m", Group: models.Membership{Key: key, State: models.MemberOpen},
+			ID: id, Service: "s", LoadedModel: "m", Group: models.Membership{Key: key, State: models.MemberOpen},
 		}}
 	}
-	engine := &models.EngineProfile{Slots: 8, Models: []models.ModelProfile{{Name: "m", Size: 1}}}
+	engine := &models.EngineProfile{Slots: 8, Models: []models.ModelProfile{{Name: "m", GroupSize: 1}}}
 	_, withheld := o.busy(engine, time.Now())
 	c.Assert(withheld["m"], qt.Equals, 0.0)
 	o.fleet.busy = nil
--- a/cluster/demand.go
+++ b/cluster/demand.go
@@ -24,7 +24,7 @@
 	work := o.work()
 	total := 0.0
 	for _, m := range engine.Models {
-		total += work[m.Name] * float64(m.Size)
+		total += work[m.Name] * float64(m.GroupSize)
 	}
 	if total > 0 {
 		o.fleet.traffic = true
@@ -33,7 +33,7 @@
 	for _, m := range engine.Models {
 		want[m.Name] = m.Share
 		if total > leastWork {
-			want[m.Name] = work[m.Name] * float64(m.Size) / total
+			want[m.Name] = work[m.Name] * float64(m.GroupSize) / total
 		}
 	}
 	if o.fleet.demand == nil || total <= leastWork {
@@ -107,7 +107,7 @@
 	work := o.work()
 	for _, m := range engine.Models {
 		busy := int(w.Busy[m.Name])
-		o.n.log.Info().Str("model", string(m.Name)).Int("groups", len(groups[m.Name])).Int("size", m.Size).Int("in-flight", busy).
+		o.n.log.Info().Str("model", string(m.Name)).Int("groups", len(groups[m.Name])).Int("size", m.GroupSize).Int("in-flight", busy).
 			Float64("demand", w.Demand[m.Name]).Float64("work", work[m.Name]).Int("instances", len(w.Instances)).
 			Int("lost", len(w.Lost)).Msg("supply")
 	}
--- a/cluster/demand_test.go
+++ b/cluster/demand_test.go
@@ -12,7 +12,7 @@
 func TestPlacesUnderLimits(t *testing.T) {
 	c := qt.New(t)
 	engine := &models.EngineProfile{Slots: 10}
-	c.Assert(places(engine, models.NoLimit, 3), qt.Equals, 10)
+	c.Assert(places(engine, models.NoRateLimit, 3), qt.Equals, 10)
 	c.Assert(places(engine, 20, 3), qt.Equals, 10)
 	c.Assert(places(engine, 1.5, 0), qt.Equals, 2)
 	c.Assert(places(engine, 1.5, 6), qt.Equals, 6)
--- a/cluster/entries.go
+++ b/cluster/entries.go
@@ -191,7 +191,7 @@
 func (f *fleetState) goneNews(id models.InstanceID, at time.Time) InstanceNews {
 	last := models.UpstreamInstance{ID: id}
 	if e, ended := f.ended[id]; ended {
-		last.Born, last.Heartbeat = e.born, e.heartbeat
+		last.StartedAt, last.HeartbeatSeq = e.born, e.heartbeat
 	}
 	return InstanceNews{Instance: last, Age: time.Since(at), Gone: true}
 }
@@ -221,7 +221,7 @@
 		k = &knownInstance{}
 		o.fleet.instances[i.ID], o.fleet.listed = k, true
 	}
-	if !o.noteLife(k, i.Born, asked) {
+	if !o.noteLife(k, i.StartedAt, asked) {
 		o.askAsPlanner(k, now)
 		return
 	}
@@ -235,9 +235,9 @@
 	o.fleet.listed = o.fleet.listed || i.Draining != k.Draining
 	stale := known && o.goesBack(k, i, asked)
 	if stale {
-		i.Group, i.Loaded, i.Staged = k.Group, k.Loaded, k.Staged
+		i.Group, i.LoadedModel, i.StagedModels = k.Group, k.LoadedModel, k.StagedModels
 	}
-	if o.fleet.planner == nil && i.Heartbeat >= k.Heartbeat+aliveWrites {
+	if o.fleet.planner == nil && i.HeartbeatSeq >= k.HeartbeatSeq+aliveWrites {
 		// The word that it is back was missed.
 		k.lost = time.Time{}
 	}
@@ -266,9 +266,9 @@
 // takeIn replaces what is known of the instance in this life, but for the model that
 // it ran last: an instance in no group tells none.
 func (k *knownInstance) takeIn(i models.UpstreamInstance) {
-	i.Loaded = cmp.Or(i.Loaded, k.Loaded)
-	if i.Born.IsZero() {
-		i.Born = k.Born
+	i.LoadedModel = cmp.Or(i.LoadedModel, k.LoadedModel)
+	if i.StartedAt.IsZero() {
+		i.StartedAt = k.StartedAt
 	}
 	k.UpstreamInstance = i
 }
@@ -276,7 +276,7 @@
 // takeInLost is takeIn for an instance that was found lost. It keeps the count
 // of writes at that time, against which later ones tell that it lives.
 func (k *knownInstance) takeInLost(i models.UpstreamInstance) {
-	i.Heartbeat = k.Heartbeat
+	i.HeartbeatSeq = k.HeartbeatSeq
 	k.takeIn(i)
 }
 
@@ -310,7 +310,7 @@
 // shown is what the other daemons are told of the instance.
 func (k *knownInstance) shown() models.UpstreamInstance {
 	shown := k.UpstreamInstance
-	shown.Heartbeat = 0
+	shown.HeartbeatSeq = 0
 	return shown
 }
 
--- a/cluster/entries_test.go
+++ b/cluster/entries_test.go
@@ -19,9 +19,9 @@
 	o := newTestOwner(t)
 	now := time.Now()
 	instance := func(loaded models.ModelName) models.UpstreamInstance {
-		return models.UpstreamInstance{ID: "i-1", Loaded: loaded}
+		return models.UpstreamInstance{ID: "i-1", LoadedModel: loaded}
 	}
-	loaded := func() models.ModelName { return o.fleet.instances["i-1"].Loaded }
+	loaded := func() models.ModelName { return o.fleet.instances["i-1"].LoadedModel }
 
 	o.noteEntry(instance("m0"), now)
 	o.noteEntry(instance(""), now)
@@ -42,7 +42,7 @@
 	o := newTestOwner(t)
 	now := time.Now()
 	instance := func(beat int64) models.UpstreamInstance {
-		return models.UpstreamInstance{ID: "i-1", Heartbeat: beat}
+		return models.UpstreamInstance{ID: "i-1", HeartbeatSeq: beat}
 	}
 	lost := func() bool { return !o.fleet.instances["i-1"].lost.IsZero() }
 	lose := func(feed, beat int64) {
--- a/cluster/limits.go
+++ b/cluster/limits.go
@@ -43,7 +43,7 @@
 
 // Heard notes what an answer told of its instance's limit.
 func (l *Limits) Heard(s ratelimit.Sighting) {
-	if s.Rate == models.NoLimit && !l.Any() {
+	if s.Rate == models.NoRateLimit && !l.Any() {
 		return
 	}
 	// The steady clock is read for what is added: the time of day may go back.
@@ -60,7 +60,7 @@
 // Rate is how many requests a second an instance may get from all daemons together.
 func (l *Limits) Rate(i models.UpstreamInstance, now time.Time) float64 {
 	if !l.Any() {
-		return models.NoLimit
+		return models.NoRateLimit
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cluster/limits_test.go
+++ b/cluster/limits_test.go
@@ -39,8 +39,8 @@
 			waitAll(c, peers, toldWithin, "told of a lower one", believes(1.5))
 			late := startNth(t, test.daemons, test.zones, peers)
 			waitAll(c, []*peerNode{late}, met, "told at its start", believes(1.5))
-			hear(peers[1], models.NoLimit)
-			waitAll(c, append(peers, late), toldWithin, "told of its end", believes(models.NoLimit))
+			hear(peers[1], models.NoRateLimit)
+			waitAll(c, append(peers, late), toldWithin, "told of its end", believes(models.NoRateLimit))
 		})
 	}
 }
--- a/cluster/links_test.go
+++ b/cluster/links_test.go
@@ -140,8 +140,8 @@
 			ID: models.InstanceID(fmt.Sprintf("i-%010x", r.Int63n(1<<40))), Service: "engines", Slots: 30,
 			Zone:   models.Zone(fmt.Sprintf("zone-%d", i%3)),
 			Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(r.Intn(256)), byte(r.Intn(256))}), uint16(8000+r.Intn(500))),
-			Domain: models.Domain(fmt.Sprintf("fabric-%d", i/37)), Loaded: "small-model", Staged: []models.ModelName{"small-model", "large-model"},
-			Heartbeat: r.Int63n(30),
+			Domain: models.Domain(fmt.Sprintf("fabric-%d", i/37)), LoadedModel: "small-model", StagedModels: []models.ModelName{"small-model", "large-model"},
+			HeartbeatSeq: r.Int63n(30),
 			Group: models.Membership{
 				Key:  models.GroupKey{Name: models.GroupID(fmt.Sprintf("small-model.m%03x", group)), Epoch: int64(group)},
 				Rank: i % 4, State: models.MemberReady,
--- a/cluster/lives.go
+++ b/cluster/lives.go
@@ -23,12 +23,12 @@
 // noteLife begins a new life of the instance if an entry or news, as of some time,
 // tell of one. It reports false if they tell of an earlier life: then they say nothing.
 func (o *owner) noteLife(k *knownInstance, born, at time.Time) bool {
-	switch k.LifeOf(born) {
-	case models.EarlierLife:
+	switch k.CompareIncarnation(born) {
+	case models.EarlierIncarnation:
 		return false
-	case models.LaterLife:
+	case models.LaterIncarnation:
 		o.beginLife(k, born, at)
-	case models.SameLife:
+	case models.SameIncarnation:
 		o.learnBirth(k, born, at)
 	}
 	return true
@@ -36,7 +36,7 @@
 
 // noteReportedLife is noteLife for the answer of the instance itself.
 func (o *owner) noteReportedLife(k *knownInstance, born, asked time.Time) bool {
-	if k.LifeOf(born) == models.EarlierLife && asked.After(k.bornKnown) {
+	if k.CompareIncarnation(born) == models.EarlierIncarnation && asked.After(k.bornKnown) {
 		o.beginLife(k, born, asked)
 		return true
 	}
@@ -45,8 +45,8 @@
 
 // learnBirth notes the birth of an instance of which none was known.
 func (o *owner) learnBirth(k *knownInstance, born, at time.Time) {
-	if k.Born.IsZero() && !born.IsZero() {
-		k.Born, k.bornKnown = born, at
+	if k.StartedAt.IsZero() && !born.IsZero() {
+		k.StartedAt, k.bornKnown = born, at
 	}
 }
 
@@ -63,7 +63,7 @@
 		o.fleet.restarted[k.Group.Key] = append(o.fleet.restarted[k.Group.Key], k.ID)
 	}
 	i := k.UpstreamInstance
-	i.Born, i.Group, i.Loaded, i.Heartbeat, i.Draining = born, models.Membership{}, "", 0, false
+	i.StartedAt, i.Group, i.LoadedModel, i.HeartbeatSeq, i.Draining = born, models.Membership{}, "", 0, false
 	*k = knownInstance{UpstreamInstance: i, bornKnown: at, unlisted: k.unlisted, spread: k.spread}
 	o.fleetStale, o.fleet.listed = true, true
 }
@@ -107,17 +107,17 @@
 // back from a copy listed it again.
 func (f *fleetState) hasEnded(i models.UpstreamInstance) bool {
 	e, ended := f.ended[i.ID]
-	if !ended || e.heartbeat == 0 || i.Heartbeat > e.heartbeat {
+	if !ended || e.heartbeat == 0 || i.HeartbeatSeq > e.heartbeat {
 		return false
 	}
-	was := models.UpstreamInstance{Born: e.born}
-	return was.LifeOf(i.Born) != models.LaterLife
+	was := models.UpstreamInstance{StartedAt: e.born}
+	return was.CompareIncarnation(i.StartedAt) != models.LaterIncarnation
 }
 
 // noteEnded takes in how often an instance that is gone had written its entry.
 func (f *fleetState) noteEnded(i models.UpstreamInstance, now time.Time) {
 	e := f.ended[i.ID]
-	f.ended[i.ID] = endedLife{born: i.Born, heartbeat: max(e.heartbeat, i.Heartbeat), at: now}
+	f.ended[i.ID] = endedLife{born: i.StartedAt, heartbeat: max(e.heartbeat, i.HeartbeatSeq), at: now}
 }
 
 // forgetEnded forgets those that ended long ago.
--- a/cluster/lives_test.go
+++ b/cluster/lives_test.go
@@ -74,7 +74,7 @@
 		case "born":
 			var second int64
 			_, err = fmt.Sscan(value, &second)
-			f.instance.Born = time.Unix(second, 0)
+			f.instance.StartedAt = time.Unix(second, 0)
 		case "group":
 			f.instance.Group.Key = models.GroupKey{Name: models.GroupID(value)}
 		case "service":
@@ -136,12 +136,12 @@
 	case "silence":
 		s.o.handleReport(reportEnded{instance: f.instance, asked: now.Add(f.asked), err: platform.ErrInstance})
 	case "ended":
-		order := types.GroupOrder{Kind: types.GroupJoin, Instance: id, Born: f.instance.Born}
+		order := types.GroupOrder{Kind: types.GroupJoin, Instance: id, Born: f.instance.StartedAt}
 		s.o.handleOrderEnded(orderEnded{order: order, outcome: f.outcome, at: now})
 	case "expect":
 		got := s.o.fleet.instances[id]
 		s.c.Assert(got, qt.IsNotNil, comment)
-		s.c.Assert(got.Born.Equal(f.instance.Born), qt.IsTrue, qt.Commentf("%s: born %s", s.line, got.Born))
+		s.c.Assert(got.StartedAt.Equal(f.instance.StartedAt), qt.IsTrue, qt.Commentf("%s: born %s", s.line, got.StartedAt))
 		s.c.Assert(got.Group.Key, qt.Equals, f.instance.Group.Key, comment)
 	case "due":
 		k := s.o.fleet.instances[id]
--- a/cluster/news.go
+++ b/cluster/news.go
@@ -119,7 +119,7 @@
 			k.lost = now
 		}
 		o.fleet.instances[id], o.fleet.listed = k, true
-	case !o.noteLife(k, news.Instance.Born, at):
+	case !o.noteLife(k, news.Instance.StartedAt, at):
 	case at.Before(k.told):
 		// Something newer is known of its group. That it leaves is told by its entry, which
 		// may be newer all the same.
@@ -146,7 +146,7 @@
 	case m.entries != nil && k.listed.Compare(m.entries.End) <= 0, m.entries == nil && m.at.Add(-news.Age).After(k.written):
 		o.dropInstance(id)
 	}
-	if _, kept := o.fleet.instances[id]; !kept && news.Instance.Heartbeat > 0 {
+	if _, kept := o.fleet.instances[id]; !kept && news.Instance.HeartbeatSeq > 0 {
 		o.fleet.noteEnded(news.Instance, now)
 	}
 }
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -298,8 +298,8 @@
 }
 
 // hearInstance notes what an answer to an order or a question told of its instance.
-func (n *Node) hearInstance(id models.InstanceID, told models.AnswerHead) {
-	n.breakers.HeardHead(id, n.View().All[id].Born, told)
+func (n *Node) hearInstance(id models.InstanceID, told models.ResponseHead) {
+	n.breakers.HeardHead(id, n.View().All[id].StartedAt, told)
 }
 
 // askReport asks an instance how it is, in the background. It returns false if the instance
--- a/cluster/peerserver_test.go
+++ b/cluster/peerserver_test.go
@@ -49,7 +49,7 @@
 	news := News{From: "d-2", Term: 3, Feed: 4, Instances: []InstanceNews{{
 		Age: time.Second, Instance: models.UpstreamInstance{
 			ID: "i-1", Service: "engines", Addr: netip.MustParseAddrPort("10.1.64.16:8526"), Zone: "z1", Domain: "f1", Slots: 26,
-			Loaded: "m", Staged: []models.ModelName{"m"}, Group: models.Membership{Key: models.GroupKey{Name: "m.1", Epoch: 1}, State: models.MemberOpen},
+			LoadedModel: "m", StagedModels: []models.ModelName{"m"}, Group: models.Membership{Key: models.GroupKey{Name: "m.1", Epoch: 1}, State: models.MemberOpen},
 		},
 	}}}
 	body, err := pack.Marshal(news)
--- a/cluster/permits.go
+++ b/cluster/permits.go
@@ -122,7 +122,7 @@
 // asked for when something is wrong, and can't wait.
 func (p *permits) charge(ctx context.Context, i models.UpstreamInstance) {
 	rate := p.n.limits.Rate(i, time.Now())
-	if rate == models.NoLimit {
+	if rate == models.NoRateLimit {
 		return
 	}
 	_, err := p.ask(ctx, i.Zone, ratelimit.Ask{Charge: true, Wanted: []ratelimit.Wanted{{Instance: i.ID, Rate: rate}}})
--- a/cluster/planning.go
+++ b/cluster/planning.go
@@ -235,7 +235,7 @@
 		p.Note(m.order, m.outcome, m.at)
 	}
 	k := o.fleet.instances[m.order.Instance]
-	if k == nil || k.LifeOf(m.order.Born) != models.SameLife {
+	if k == nil || k.CompareIncarnation(m.order.Born) != models.SameIncarnation {
 		// An earlier life's order is void.
 		return
 	}
--- a/cluster/reports.go
+++ b/cluster/reports.go
@@ -23,11 +23,11 @@
 	switch {
 	case !known || m.asked.Before(k.told):
 		// Answers on different connections overtake each other.
-	case m.err != nil && m.asked.Before(k.bornKnown) && k.LifeOf(m.instance.Born) != models.SameLife:
+	case m.err != nil && m.asked.Before(k.bornKnown) && k.CompareIncarnation(m.instance.StartedAt) != models.SameIncarnation:
 		// An earlier life did not answer.
 	case m.err != nil:
 		o.noteSilence(k, m)
-	case !o.noteReportedLife(k, m.instance.Born, m.asked):
+	case !o.noteReportedLife(k, m.instance.StartedAt, m.asked):
 	default:
 		o.noteReport(k, m)
 	}
@@ -71,7 +71,7 @@
 	}
 	k.lost, k.told, k.failed = time.Time{}, m.asked, time.Time{}
 	told := k.UpstreamInstance
-	told.Group, told.Loaded, told.Staged = m.instance.Group, m.instance.Loaded, m.instance.Staged
+	told.Group, told.LoadedModel, told.StagedModels = m.instance.Group, m.instance.LoadedModel, m.instance.StagedModels
 	k.takeIn(told)
 	delete(o.fleet.suspects, k.ID)
 	if o.underWay(k) {
--- a/cluster/unlisted.go
+++ b/cluster/unlisted.go
@@ -58,7 +58,7 @@
 // forgetInstance drops what is known of an instance.
 func (o *owner) forgetInstance(i *knownInstance) {
 	o.n.log.Info().Str("instance", string(i.ID)).Str("group", string(i.Group.Key.Name)).Msg("instance-gone")
-	o.fleet.ended[i.ID] = endedLife{born: i.Born, heartbeat: i.Heartbeat, at: time.Now()}
+	o.fleet.ended[i.ID] = endedLife{born: i.StartedAt, heartbeat: i.HeartbeatSeq, at: time.Now()}
 	delete(o.fleet.instances, i.ID)
 	o.fleetStale, o.fleet.listed = true, true
 }
--- a/daemon/trail.go
+++ b/daemon/trail.go
@@ -50,7 +50,7 @@
 	t := d.trail
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e.End == "" {
+	if e.Outcome == "" {
 		t.open[e.Request] = e
 		return
 	}
@@ -77,7 +77,7 @@
 	for id, e := range t.open {
 		if !t.written[id] && len(out) < maxTrailBatch {
 			t.written[id] = true
-			e.Took = now.Sub(e.Started)
+			e.Elapsed = now.Sub(e.Started)
 			out = append(out, e)
 		}
 	}
@@ -90,7 +90,7 @@
 	defer t.mu.Unlock()
 	var ended []models.TrailEntry
 	for _, e := range entries {
-		if e.End == "" {
+		if e.Outcome == "" {
 			delete(t.written, e.Request)
 		} else {
 			ended = append(ended, e)
@@ -162,7 +162,7 @@
 			continue
 		}
 		for _, e := range entries {
-			if e.Request == id && found.End == "" {
+			if e.Request == id && found.Outcome == "" {
 				found = e
 			}
 		}
--- a/fleet/convert.go
+++ b/fleet/convert.go
@@ -53,7 +53,7 @@
 
 // isShift reports whether most members come from serving groups rather than from what is left of a
 // broken group.
-func (c *conversion) isShift() bool { return 2*c.freeCount < c.model.Size }
+func (c *conversion) isShift() bool { return 2*c.freeCount < c.model.GroupSize }
 
 // startConversion starts the worthwhile conversion that leaves the lowest congestion over all
 // models, if there is one.
@@ -149,27 +149,27 @@
 // planConversion picks the members for a group of the model in one domain: free instances first,
 // then members of the donor groups that lose the fewest other members, smaller groups first.
 func (r *round) planConversion(domain models.Domain, to models.ModelProfile, free []models.InstanceID) *conversion {
-	c := &conversion{model: to, deadline: r.Now.Add(conversionTimeout), supplyChange: supply{to.Name: to.Size}}
+	c := &conversion{model: to, deadline: r.Now.Add(conversionTimeout), supplyChange: supply{to.Name: to.GroupSize}}
 	leftover := supply{}
 	for _, id := range free {
 		i := r.Instances[id]
-		if _, staging := r.staging[id]; !staging && IsWarm(i, to.Name) && len(c.members) < to.Size {
+		if _, staging := r.staging[id]; !staging && IsWarm(i, to.Name) && len(c.members) < to.GroupSize {
 			c.members = append(c.members, id)
-		} else if i.Loaded != "" {
-			leftover[i.Loaded]++
+		} else if i.LoadedModel != "" {
+			leftover[i.LoadedModel]++
 		}
 	}
-	if len(c.members) == to.Size {
+	if len(c.members) == to.GroupSize {
 		return nil
 	}
 	c.freeCount = len(c.members)
 	for _, d := range r.donors(domain, to.Name) {
-		if len(c.members) == to.Size {
+		if len(c.members) == to.GroupSize {
 			break
 		}
 		taken := 0
 		for _, id := range d.candidates {
-			if len(c.members) < to.Size {
+			if len(c.members) < to.GroupSize {
 				c.members = append(c.members, id)
 				taken++
 			}
@@ -177,13 +177,13 @@
 		c.supplyChange[d.group.Model] -= len(d.group.Members)
 		leftover[d.group.Model] += len(d.group.Members) - taken
 	}
-	if len(c.members) < to.Size {
+	if len(c.members) < to.GroupSize {
 		return nil
 	}
 	for name, n := range leftover {
 		// Instances that are left over form groups again.
 		if from, known := r.Profile.Model(name); known && name != to.Name {
-			c.supplyChange[name] += n / from.Size * from.Size
+			c.supplyChange[name] += n / from.GroupSize * from.GroupSize
 		}
 	}
 	return c
@@ -206,7 +206,7 @@
 		d := donor{group: g}
 		for rank := range len(g.Members) {
 			id, present := g.Members[rank]
-			if present && r.usable(id) && !r.Unproven[id] && slices.Contains(r.Instances[id].Staged, to) {
+			if present && r.usable(id) && !r.Unproven[id] && slices.Contains(r.Instances[id].StagedModels, to) {
 				d.candidates = append(d.candidates, id)
 			}
 		}
@@ -247,6 +247,6 @@
 		return
 	}
 	r.converting = nil
-	candidate := candidate{model: c.model, members: c.members, loading: map[models.InstanceID]bool{}, readyIn: c.model.Warm}
+	candidate := candidate{model: c.model, members: c.members, loading: map[models.InstanceID]bool{}, readyIn: c.model.WarmLoadTime}
 	r.startFormation(candidate)
 }
--- a/fleet/evaluate.go
+++ b/fleet/evaluate.go
@@ -65,7 +65,7 @@
 	if g.State == models.MemberBroken {
 		return actionMarkClosed
 	}
-	complete := known && g.complete(profile.Size)
+	complete := known && g.complete(profile.GroupSize)
 	draining := false
 	for _, id := range g.Members {
 		complete = complete && !r.Lost[id]
--- a/fleet/form.go
+++ b/fleet/form.go
@@ -128,7 +128,7 @@
 	out := slices.Clone(r.Profile.Models)
 	supply := func(m models.ModelProfile) float64 {
 		// Adding half a group puts models without any group first.
-		return (float64(r.assigned[m.Name]) + float64(m.Size)/2) / r.demandOf(m)
+		return (float64(r.assigned[m.Name]) + float64(m.GroupSize)/2) / r.demandOf(m)
 	}
 	slices.SortStableFunc(out, func(a, b models.ModelProfile) int { return cmp.Compare(supply(a), supply(b)) })
 	return out
@@ -139,29 +139,29 @@
 // load them first, and another model may need it more by then. Before traffic, loads are cheap, and
 // the layout decides which groups are formed with loads.
 func (r *round) buildCandidate(model models.ModelProfile, domain models.Domain, ids []models.InstanceID) (candidate, bool) {
-	if len(ids) < model.Size {
+	if len(ids) < model.GroupSize {
 		return candidate{}, false
 	}
 	sorted := slices.Clone(ids)
 	slices.SortStableFunc(sorted, func(a, b models.InstanceID) int {
 		return cmp.Compare(r.joinTime(a, model), r.joinTime(b, model))
 	})
-	c := candidate{model: model, members: sorted[:model.Size:model.Size], loading: map[models.InstanceID]bool{}}
+	c := candidate{model: model, members: sorted[:model.GroupSize:model.GroupSize], loading: map[models.InstanceID]bool{}}
 	for _, id := range c.members {
 		joinTime := r.joinTime(id, model)
-		if _, staging := r.staging[id]; staging && joinTime >= model.Load {
+		if _, staging := r.staging[id]; staging && joinTime >= model.LoadTime {
 			// The instance becomes a candidate once its weights are staged.
 			return candidate{}, false
 		}
 		c.readyIn = max(c.readyIn, joinTime)
-		if joinTime >= model.Load {
+		if joinTime >= model.LoadTime {
 			c.loading[id] = true
 		}
 	}
 	if len(c.loading) == 0 {
 		return c, true
 	}
-	planned := r.layout[domain][model.Name] * model.Size
+	planned := r.layout[domain][model.Name] * model.GroupSize
 	return c, !r.Traffic && r.assignedByDomain[domain][model.Name] < planned && r.mayStartLoads(len(c.loading))
 }
 
@@ -169,12 +169,12 @@
 func (r *round) joinTime(id models.InstanceID, model models.ModelProfile) time.Duration {
 	i := r.Instances[id]
 	switch {
-	case i.Loaded == model.Name:
+	case i.LoadedModel == model.Name:
 		return Rejoin
-	case slices.Contains(i.Staged, model.Name):
-		return model.Warm
+	case slices.Contains(i.StagedModels, model.Name):
+		return model.WarmLoadTime
 	default:
-		return model.Load
+		return model.LoadTime
 	}
 }
 
@@ -185,7 +185,7 @@
 		// each.
 		return true
 	}
-	limit := r.Profile.LoadsAtOnce
+	limit := r.Profile.MaxConcurrentLoads
 	windowLimit := r.Profile.LoadsPerSecond * loadWindow.Seconds() * loadRateFraction
 	return (r.loading == 0 || r.loading+n <= limit) && float64(len(r.loadStarts)+n) <= windowLimit
 }
--- a/fleet/formation.go
+++ b/fleet/formation.go
@@ -101,9 +101,9 @@
 func (r *round) adopt(g *Group, profile models.ModelProfile) {
 	f := &formation{
 		key: g.Key, model: g.Model, openOrdered: true, joined: map[models.InstanceID]bool{}, loading: map[models.InstanceID]bool{},
-		deadline: r.deadlineAfter(profile.Load),
+		deadline: r.deadlineAfter(profile.LoadTime),
 	}
-	for rank := range profile.Size {
+	for rank := range profile.GroupSize {
 		id := g.Members[rank]
 		f.members = append(f.members, id)
 		f.loading[id] = r.Instances[id].Group.State == models.MemberJoining
--- a/fleet/layout.go
+++ b/fleet/layout.go
@@ -82,7 +82,7 @@
 		largest = max(largest, size)
 	}
 	bySize := w.bySize()
-	return largest%bySize[0].Size != 0 || bySize[0].Size == bySize[len(bySize)-1].Size
+	return largest%bySize[0].GroupSize != 0 || bySize[0].GroupSize == bySize[len(bySize)-1].GroupSize
 }
 
 // dedicateDomains assigns each domain to one model, always to the model with the fewest instances
@@ -95,7 +95,7 @@
 			return cmp.Compare(float64(supplied[a.Name])/in.demand[a.Name], float64(supplied[b.Name])/in.demand[b.Name])
 		})
 		domain := in.domainWithMostRoom(room, out, m)
-		out[domain] = map[models.ModelName]int{m.Name: in.sizes[domain] / m.Size}
+		out[domain] = map[models.ModelName]int{m.Name: in.sizes[domain] / m.GroupSize}
 		// Spares count as supply too: they replace lost members.
 		supplied[m.Name] += in.sizes[domain]
 		delete(room, domain)
@@ -134,7 +134,7 @@
 	bySize := w.bySize()
 	counts := map[models.ModelName]int{}
 	for _, m := range bySize {
-		counts[m.Name] = int(in.demand[m.Name] / totalDemand * float64(totalInstances) / float64(m.Size))
+		counts[m.Name] = int(in.demand[m.Name] / totalDemand * float64(totalInstances) / float64(m.GroupSize))
 	}
 	best, lowest := w.fillDomains(in, counts)
 	for improved := true; improved; {
@@ -175,12 +175,12 @@
 	for _, m := range bySize {
 		for n := 0; n < counts[m.Name] || m.Name == smallest.Name; n++ {
 			domain := in.domainWithMostRoom(room, out, m)
-			if room[domain] < m.Size {
+			if room[domain] < m.GroupSize {
 				break
 			}
 			out[domain][m.Name]++
-			room[domain] -= m.Size
-			supplied[m.Name] += m.Size
+			room[domain] -= m.GroupSize
+			supplied[m.Name] += m.GroupSize
 		}
 	}
 	return out, w.congestion(supplied)
--- a/fleet/losses_test.go
+++ b/fleet/losses_test.go
@@ -40,8 +40,8 @@
 
 func (l lossScenario) run(seed uint64) (supplyResult, []string) {
 	profile := testProfile()
-	profile.Slots, profile.LoadsAtOnce, profile.LoadsPerSecond = 26, 6, 4
-	profile.Models[0].Size, profile.Models[1].Size = l.large, l.small
+	profile.Slots, profile.MaxConcurrentLoads, profile.LoadsPerSecond = 26, 6, 4
+	profile.Models[0].GroupSize, profile.Models[1].GroupSize = l.large, l.small
 	s := newSim(profile, seed)
 	s.cheapLoads = true
 	s.demand["big"], s.demand["small"] = l.demandLarge, 1-l.demandLarge
@@ -106,11 +106,11 @@
 	serving := 0
 	ideal, sum := 0.0, 0.0
 	for _, m := range s.profile.Models {
-		n := s.serving(m.Name) * m.Size
+		n := s.serving(m.Name) * m.GroupSize
 		serving += n
 		need := s.demand[m.Name]
 		ideal += need / float64(total)
-		sum += need * need / max(float64(n), float64(m.Size)/2)
+		sum += need * need / max(float64(n), float64(m.GroupSize)/2)
 	}
 	return supplyResult{sum / ideal, 1 - float64(serving)/float64(total)}
 }
--- a/fleet/planner.go
+++ b/fleet/planner.go
@@ -211,7 +211,7 @@
 
 // Note records the outcome of an order.
 func (p *Planner) Note(o types.GroupOrder, outcome types.OrderOutcome, now time.Time) {
-	if (models.UpstreamInstance{Born: p.startTimes[o.Instance]}).LifeOf(o.Born) != models.SameLife {
+	if (models.UpstreamInstance{StartedAt: p.startTimes[o.Instance]}).CompareIncarnation(o.Born) != models.SameIncarnation {
 		// The instance has restarted since the order.
 		return
 	}
--- a/fleet/planner_test.go
+++ b/fleet/planner_test.go
@@ -62,8 +62,8 @@
 	key := models.GroupKey{Name: "small.1", Epoch: 1}
 	w := World{Now: time.Now(), Profile: testProfile(), Traffic: true, Unlisted: map[models.InstanceID]bool{"i-2": true}}
 	w.Instances = map[models.InstanceID]models.UpstreamInstance{
-		"i-1": {ID: "i-1", Domain: "a", Loaded: "small", Staged: []models.ModelName{"small", "big"}, Group: models.Membership{Key: key, State: models.MemberOpen}},
-		"i-2": {ID: "i-2", Domain: "a", Loaded: "small", Staged: []models.ModelName{"small"}, Group: models.Membership{Key: key, Rank: 1, State: models.MemberReady}},
+		"i-1": {ID: "i-1", Domain: "a", LoadedModel: "small", StagedModels: []models.ModelName{"small", "big"}, Group: models.Membership{Key: key, State: models.MemberOpen}},
+		"i-2": {ID: "i-2", Domain: "a", LoadedModel: "small", StagedModels: []models.ModelName{"small"}, Group: models.Membership{Key: key, Rank: 1, State: models.MemberReady}},
 	}
 	p := NewPlanner(1, w.Now)
 	qt.Assert(t, p.Step(w), qt.HasLen, 0)
@@ -82,7 +82,7 @@
 	w := World{Now: time.Now(), Profile: testProfile(), Traffic: true, Lost: map[models.InstanceID]bool{}}
 	w.Instances = map[models.InstanceID]models.UpstreamInstance{}
 	for _, id := range []models.InstanceID{"i-1", "i-2"} {
-		w.Instances[id] = models.UpstreamInstance{ID: id, Domain: "a", Loaded: "small", Staged: []models.ModelName{"small"}}
+		w.Instances[id] = models.UpstreamInstance{ID: id, Domain: "a", LoadedModel: "small", StagedModels: []models.ModelName{"small"}}
 	}
 	for rank, id := range []models.InstanceID{"i-1", "i-2"} {
 		i := w.Instances[id]
--- a/fleet/restarts.go
+++ b/fleet/restarts.go
@@ -12,10 +12,10 @@
 func (r *round) detectRestarts() {
 	for id, i := range r.Instances {
 		previous, known := r.startTimes[id]
-		if known && !previous.IsZero() && !previous.Equal(i.Born) {
+		if known && !previous.IsZero() && !previous.Equal(i.StartedAt) {
 			r.forgetInstance(id)
 		}
-		r.startTimes[id] = i.Born
+		r.startTimes[id] = i.StartedAt
 	}
 	maps.DeleteFunc(r.startTimes, func(id models.InstanceID, _ time.Time) bool {
 		_, present := r.Instances[id]
--- a/fleet/script_test.go
+++ b/fleet/script_test.go
@@ -19,10 +19,10 @@
 
 func testProfile() *models.EngineProfile {
 	return &models.EngineProfile{
-		Slots: 17, LoadsPerSecond: 5, LoadsAtOnce: 7, FormTime: 300 * time.Millisecond, ReadPerSecond: 45900,
+		Slots: 17, LoadsPerSecond: 5, MaxConcurrentLoads: 7, FormTime: 300 * time.Millisecond, PrefillTokensPerSecond: 45900,
 		Models: []models.ModelProfile{
-			{Name: "big", Size: 4, Share: 0.5, Pace: 1, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
-			{Name: "small", Size: 2, Share: 0.5, Pace: 0.6, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
+			{Name: "big", GroupSize: 4, Share: 0.5, TimeFactor: 1, LoadTime: 16 * time.Second, WarmLoadTime: 1600 * time.Millisecond},
+			{Name: "small", GroupSize: 2, Share: 0.5, TimeFactor: 0.6, LoadTime: 12 * time.Second, WarmLoadTime: 1100 * time.Millisecond},
 		},
 	}
 }
@@ -123,13 +123,13 @@
 	case "idle":
 		idle := len(s.instances)
 		for _, m := range s.profile.Models {
-			idle -= s.serving(m.Name) * m.Size
+			idle -= s.serving(m.Name) * m.GroupSize
 		}
 		return compare(idle, fields[1], fields[2])
 	case "cold":
 		n := 0
 		for _, i := range s.instances {
-			if i.Loaded == "" && len(i.Staged) == 0 {
+			if i.LoadedModel == "" && len(i.StagedModels) == 0 {
 				n++
 			}
 		}
--- a/fleet/sim_test.go
+++ b/fleet/sim_test.go
@@ -30,7 +30,7 @@
 // weights.
 func (s *sim) restart(i *simInstance) {
 	*i = simInstance{UpstreamInstance: models.UpstreamInstance{
-		ID: i.ID, Born: s.now, Service: i.Service, Domain: i.Domain, Zone: i.Zone, Staged: i.Staged,
+		ID: i.ID, StartedAt: s.now, Service: i.Service, Domain: i.Domain, Zone: i.Zone, StagedModels: i.StagedModels,
 	}}
 }
 
@@ -79,7 +79,7 @@
 }
 
 func (s *sim) add(id models.InstanceID, domain models.Domain, zone models.Zone) {
-	s.instances[id] = &simInstance{UpstreamInstance: models.UpstreamInstance{ID: id, Born: s.now, Domain: domain, Zone: zone, Service: "engines"}}
+	s.instances[id] = &simInstance{UpstreamInstance: models.UpstreamInstance{ID: id, StartedAt: s.now, Domain: domain, Zone: zone, Service: "engines"}}
 }
 
 func (s *sim) newPlanner(term int64) {
@@ -155,11 +155,11 @@
 		return
 	}
 	if i.staging != "" && !s.now.Before(i.stagedAt) {
-		i.Staged, i.staging = []models.ModelName{i.staging}, ""
+		i.StagedModels, i.staging = []models.ModelName{i.staging}, ""
 	}
 	if i.Group.State == models.MemberJoining && !s.now.Before(i.readyAt) {
-		i.Group.State, i.Loaded = models.MemberReady, ModelOf(i.Group.Key.Name)
-		i.Staged = []models.ModelName{i.Loaded}
+		i.Group.State, i.LoadedModel = models.MemberReady, ModelOf(i.Group.Key.Name)
+		i.StagedModels = []models.ModelName{i.LoadedModel}
 		ready := s.everReady[i.Group.Key]
 		if ready == nil {
 			ready = map[models.InstanceID]bool{}
@@ -180,7 +180,7 @@
 func (s *sim) checkComplete(head *simInstance) {
 	key := head.Group.Key
 	model, _ := s.profile.Model(ModelOf(key.Name))
-	if len(s.memberLists[key]) != model.Size {
+	if len(s.memberLists[key]) != model.GroupSize {
 		s.violation("group %s opened with %d members", key.Name, len(s.memberLists[key]))
 	}
 	for _, id := range s.memberLists[key] {
@@ -226,7 +226,7 @@
 
 func (s *sim) executeStage(i *simInstance, o types.GroupOrder) types.OrderOutcome {
 	model, _ := s.profile.Model(o.Model)
-	if slices.Contains(i.Staged, o.Model) {
+	if slices.Contains(i.StagedModels, o.Model) {
 		return types.OrderDone
 	}
 	s.recordLoad()
@@ -258,9 +258,9 @@
 // loadTime is how long a load takes now.
 func (s *sim) loadTime(model models.ModelProfile) time.Duration {
 	if s.cheapLoads && !s.traffic {
-		return model.Load / 10
+		return model.LoadTime / 10
 	}
-	return model.Load
+	return model.LoadTime
 }
 
 func (s *sim) recordLoad() {
@@ -286,10 +286,10 @@
 	i.members, i.openAt = o.Members, time.Time{}
 	s.memberLists[o.Group] = o.Members
 	switch {
-	case i.Loaded == model.Name:
+	case i.LoadedModel == model.Name:
 		i.readyAt = s.now.Add(Rejoin)
-	case slices.Contains(i.Staged, model.Name):
-		i.readyAt = s.now.Add(model.Warm)
+	case slices.Contains(i.StagedModels, model.Name):
+		i.readyAt = s.now.Add(model.WarmLoadTime)
 	default:
 		s.recordLoad()
 		i.readyAt = s.now.Add(s.loadTime(model))
@@ -317,7 +317,7 @@
 	n := 0
 	for _, g := range Groups(s.world().Instances) {
 		profile, _ := s.profile.Model(g.Model)
-		complete := g.Serving() && g.Model == model && g.complete(profile.Size)
+		complete := g.Serving() && g.Model == model && g.complete(profile.GroupSize)
 		for _, id := range g.Members {
 			complete = complete && !s.instances[id].dead && !s.instances[id].cut
 		}
--- a/fleet/staging.go
+++ b/fleet/staging.go
@@ -38,7 +38,7 @@
 // advanceStaging counts the stagings in progress and forgets those that ended.
 func (r *round) advanceStaging() {
 	for id, s := range r.staging {
-		if !r.usable(id) || slices.Contains(r.Instances[id].Staged, s.model) || r.Now.After(s.deadline) {
+		if !r.usable(id) || slices.Contains(r.Instances[id].StagedModels, s.model) || r.Now.After(s.deadline) {
 			delete(r.staging, id)
 			continue
 		}
@@ -96,7 +96,7 @@
 	for _, id := range ids {
 		s, staging := r.staging[id]
 		i := r.Instances[id]
-		if !staging && i.Loaded == "" && len(i.Staged) == 0 {
+		if !staging && i.LoadedModel == "" && len(i.StagedModels) == 0 {
 			cold = append(cold, id)
 		}
 		for _, m := range r.Profile.Models {
@@ -113,7 +113,7 @@
 			if dominant != "" && m.Name != dominant {
 				continue
 			}
-			gain := r.loadGain(m, domain, ready[m.Name], len(cold)-at) * r.marginalGain(m, r.assigned) / m.Load.Seconds()
+			gain := r.loadGain(m, domain, ready[m.Name], len(cold)-at) * r.marginalGain(m, r.assigned) / m.LoadTime.Seconds()
 			if best.id == "" || gain > best.gain {
 				best = loadOption{id, m, gain}
 			}
@@ -142,9 +142,9 @@
 		if i.Domain != domain || !r.usable(id) {
 			continue
 		}
-		runs := i.Loaded
-		if runs == "" && len(i.Staged) > 0 {
-			runs = i.Staged[0]
+		runs := i.LoadedModel
+		if runs == "" && len(i.StagedModels) > 0 {
+			runs = i.StagedModels[0]
 		}
 		if runs != "" {
 			count[runs]++
@@ -177,8 +177,8 @@
 // instances of a domain, where some others already have the weights, loads the model: in the next
 // group, if there are enough instances for it, or as the replacement of a lost member.
 func (r *round) loadGain(m models.ModelProfile, domain models.Domain, ready, cold int) float64 {
-	size := float64(m.Size)
-	missing := m.Size - ready%m.Size
+	size := float64(m.GroupSize)
+	missing := m.GroupSize - ready%m.GroupSize
 	gain := 0.0
 	if missing <= cold {
 		gain = size / float64(missing)
@@ -194,7 +194,7 @@
 	}
 	r.loading++
 	r.loadStarts = append(r.loadStarts, r.Now)
-	r.staging[id] = staging{model: model.Name, deadline: r.deadlineAfter(model.Load)}
+	r.staging[id] = staging{model: model.Name, deadline: r.deadlineAfter(model.LoadTime)}
 	r.issue(types.GroupOrder{Kind: types.GroupStage, Instance: id, Model: model.Name})
 }
 
@@ -203,7 +203,7 @@
 func (r *round) prestage() {
 	bySize := r.bySize()
 	for _, to := range bySize {
-		if to.Size > bySize[len(bySize)-1].Size {
+		if to.GroupSize > bySize[len(bySize)-1].GroupSize {
 			r.prestageLarger(to)
 		}
 	}
@@ -217,8 +217,8 @@
 // prestageLarger stages a model's weights on the hosts of smaller groups: on all hosts in domains
 // that have groups of the model, and elsewhere on enough hosts for prestagedGroups groups.
 func (r *round) prestageLarger(to models.ModelProfile) {
-	elsewhere := prestagedGroups*to.Size - r.countStagedElsewhere(to)
-	for _, id := range r.prestageCandidates(to, func(from models.ModelProfile) bool { return from.Size < to.Size }) {
+	elsewhere := prestagedGroups*to.GroupSize - r.countStagedElsewhere(to)
+	for _, id := range r.prestageCandidates(to, func(from models.ModelProfile) bool { return from.GroupSize < to.GroupSize }) {
 		ownDomain := r.assignedByDomain[r.Instances[id].Domain][to.Name] > 0
 		if !ownDomain && elsewhere <= 0 || !r.mayPrestage() {
 			return
@@ -233,8 +233,8 @@
 // prestageSmaller stages the weights of a model with rising utilization on the hosts of larger
 // groups, at least on one whole group.
 func (r *round) prestageSmaller(to models.ModelProfile) {
-	missing := max(prestagedGroups*to.Size, r.bySize()[0].Size) - r.countPrestaged(to)
-	for _, id := range r.prestageCandidates(to, func(from models.ModelProfile) bool { return from.Size > to.Size }) {
+	missing := max(prestagedGroups*to.GroupSize, r.bySize()[0].GroupSize) - r.countPrestaged(to)
+	for _, id := range r.prestageCandidates(to, func(from models.ModelProfile) bool { return from.GroupSize > to.GroupSize }) {
 		if missing <= 0 || !r.mayPrestage() {
 			return
 		}
@@ -252,14 +252,14 @@
 // countPrestaged counts the instances that run another model and whose hosts have the model's
 // weights or are loading them.
 func (r *round) countPrestaged(to models.ModelProfile) int {
-	return r.countStaged(to, func(i models.UpstreamInstance) bool { return i.Loaded != to.Name })
+	return r.countStaged(to, func(i models.UpstreamInstance) bool { return i.LoadedModel != to.Name })
 }
 
 func (r *round) countStaged(to models.ModelProfile, match func(models.UpstreamInstance) bool) int {
 	n := 0
 	for id, i := range r.Instances {
 		s, staging := r.staging[id]
-		staged := slices.Contains(i.Staged, to.Name) || (staging && s.model == to.Name)
+		staged := slices.Contains(i.StagedModels, to.Name) || (staging && s.model == to.Name)
 		if staged && r.usable(id) && match(i) {
 			n++
 		}
@@ -271,9 +271,9 @@
 // for.
 func (r *round) mayPrestage() bool {
 	if !r.Traffic {
-		return r.loading < r.Profile.LoadsAtOnce+extraLoadsBeforeTraffic
+		return r.loading < r.Profile.MaxConcurrentLoads+extraLoadsBeforeTraffic
 	}
-	return r.loading < r.Profile.LoadsAtOnce-reservedLoads && r.mayStartLoads(1)
+	return r.loading < r.Profile.MaxConcurrentLoads-reservedLoads && r.mayStartLoads(1)
 }
 
 // prestageCandidates lists the instances in groups of matching models whose hosts could get the
@@ -283,7 +283,7 @@
 	var groups []*Group
 	staged := map[models.Domain]int{}
 	for id, i := range r.Instances {
-		if s, staging := r.staging[id]; slices.Contains(i.Staged, to.Name) || (staging && s.model == to.Name) {
+		if s, staging := r.staging[id]; slices.Contains(i.StagedModels, to.Name) || (staging && s.model == to.Name) {
 			staged[i.Domain]++
 		}
 	}
@@ -300,7 +300,7 @@
 	var out []models.InstanceID
 	for _, g := range groups {
 		from, _ := r.Profile.Model(g.Model)
-		for rank := range from.Size {
+		for rank := range from.GroupSize {
 			id, present := g.Members[rank]
 			if present && r.usable(id) && r.canPrestage(id, from, to) {
 				out = append(out, id)
@@ -317,9 +317,9 @@
 	if _, staging := r.staging[id]; staging {
 		return false
 	}
-	for _, name := range r.Instances[id].Staged {
+	for _, name := range r.Instances[id].StagedModels {
 		m, known := r.Profile.Model(name)
-		if name == to.Name || (known && m.Size > current.Size) {
+		if name == to.Name || (known && m.GroupSize > current.GroupSize) {
 			return false
 		}
 	}
--- a/fleet/supply.go
+++ b/fleet/supply.go
@@ -40,24 +40,24 @@
 
 // effectiveSupply is the supply of a model, positive even if it has no instance.
 func effectiveSupply(m models.ModelProfile, s supply) float64 {
-	return max(float64(s[m.Name]), noGroupFraction*float64(m.Size))
+	return max(float64(s[m.Name]), noGroupFraction*float64(m.GroupSize))
 }
 
 // utilization is the fraction of the model's slots that are busy if its groups have this many
 // instances.
 func (w World) utilization(m models.ModelProfile, instances int) float64 {
-	slots := float64(instances/m.Size*w.Profile.Slots) - w.Withheld[m.Name]
+	slots := float64(instances/m.GroupSize*w.Profile.Slots) - w.Withheld[m.Name]
 	return w.Busy[m.Name] / max(1, slots)
 }
 
 // bySize lists the models by group size, largest first.
 func (w World) bySize() []models.ModelProfile {
 	out := slices.Clone(w.Profile.Models)
-	slices.SortStableFunc(out, func(a, b models.ModelProfile) int { return b.Size - a.Size })
+	slices.SortStableFunc(out, func(a, b models.ModelProfile) int { return b.GroupSize - a.GroupSize })
 	return out
 }
 
 // IsWarm reports whether an instance runs a model or has its weights on its host.
 func IsWarm(i models.UpstreamInstance, model models.ModelName) bool {
-	return i.Loaded == model || slices.Contains(i.Staged, model)
+	return i.LoadedModel == model || slices.Contains(i.StagedModels, model)
 }
--- a/fleet/supply_test.go
+++ b/fleet/supply_test.go
@@ -12,7 +12,7 @@
 // not count as idle, so that these groups don't become donors.
 func TestWithheldSlotsAreNotIdle(t *testing.T) {
 	c := qt.New(t)
-	m := models.ModelProfile{Name: "m", Size: 2}
+	m := models.ModelProfile{Name: "m", GroupSize: 2}
 	w := World{Profile: &models.EngineProfile{Slots: 10, Models: []models.ModelProfile{m}}, Busy: map[models.ModelName]float64{"m": 12}}
 	c.Assert(w.utilization(m, 8), qt.Equals, 0.3)
 	w.Withheld = map[models.ModelName]float64{"m": 25}
--- a/fleet/warming.go
+++ b/fleet/warming.go
@@ -64,15 +64,15 @@
 					continue
 				}
 				warm++
-				if i.Loaded == "" {
+				if i.LoadedModel == "" {
 					unwarmed = append(unwarmed, id)
 				}
 			}
-			if warm >= m.Size {
+			if warm >= m.GroupSize {
 				continue
 			}
 			for _, id := range unwarmed {
-				w := warming{key: r.newKey(m.Name), model: m.Name, deadline: r.deadlineAfter(m.Warm)}
+				w := warming{key: r.newKey(m.Name), model: m.Name, deadline: r.deadlineAfter(m.WarmLoadTime)}
 				r.warming[id] = w
 				r.orderWarmingJoin(id, w)
 			}
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -50,7 +50,7 @@
 // authorize finds the workspace that the key belongs to. An unknown key is refused as such only if
 // the configuration is current, since a newer one may contain it.
 func (e *exchange) authorize(v *cluster.View) error {
-	if !v.Routing.Keyed || e.route.Open {
+	if !v.Routing.RequiresKeys || e.route.AuthExempt {
 		return nil
 	}
 	if !e.g.isCurrent(v, e.g.cfg.KeysBound) {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -76,7 +76,7 @@
 
 // open sends the request and reads the head of the response.
 func (a *streamAttempt) open() error {
-	resp, err := a.s.send(a.ctx, a.group.Head, a.permit, models.Attempt{Resume: a.resumed, After: a.resume}, a.readTimeout)
+	resp, err := a.s.send(a.ctx, a.group.Head, a.permit, models.Attempt{HasLastEventID: a.resumed, LastEventID: a.resume}, a.readTimeout)
 	if err != nil {
 		return err
 	}
@@ -169,7 +169,7 @@
 	expected := currentPassTime(a.expectedPass, a.passTime(), a.s.g.node.View().LoadsAge())
 	timeout := a.s.g.scheduler.stallTimeout(a.s.head.Model, expected)
 	if engine, model, known := a.profile(); known {
-		timeout = max(timeout, failoverSlack(engine, model, a.s.head.PromptTokens, a.s.route.Pause))
+		timeout = max(timeout, failoverSlack(engine, model, a.s.head.PromptTokens, a.s.route.EventGapTarget))
 	}
 	return timeout
 }
--- a/gateway/availability.go
+++ b/gateway/availability.go
@@ -23,7 +23,7 @@
 // isPermitDenied reports whether a rate-limited instance is excluded because no permit is available
 // now. The scheduler must be locked.
 func (s *scheduler) isPermitDenied(node Node, i models.UpstreamInstance, now time.Time) bool {
-	return now.Before(s.excludedUntil[i.ID]) && node.Limits().Rate(i, now) != models.NoLimit
+	return now.Before(s.excludedUntil[i.ID]) && node.Limits().Rate(i, now) != models.NoRateLimit
 }
 
 // availability tells when a request that can't be sent now can be sent.
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -28,7 +28,7 @@
 
 // signal records a backoff or leaving notice of an instance at the gateway.
 func (s *limitFixture) signal(id models.InstanceID, rest time.Duration, leaving bool) {
-	s.node.breakers.Heard(breaker.Signal{Instance: id, Born: s.node.view.All[id].Born, Heard: time.Now(), Rest: rest, Leaving: leaving})
+	s.node.breakers.Heard(breaker.Signal{Instance: id, Born: s.node.view.All[id].StartedAt, Heard: time.Now(), Rest: rest, Leaving: leaving})
 }
 
 // TestSignalAppliesToNextRequest checks that a backoff or a leaving notice in a response applies
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -92,7 +92,7 @@
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
 	c := cd.disconnects[i.ID]
-	if c == nil || c.isAlive() || c.instance.LifeOf(i.Born) == models.LaterLife {
+	if c == nil || c.isAlive() || c.instance.CompareIncarnation(i.StartedAt) == models.LaterIncarnation {
 		if !there || known.Draining {
 			return closedChannel
 		}
@@ -114,7 +114,7 @@
 // report tells all daemons which requests a crashed instance was executing. The detector must be
 // locked.
 func (cd *crashDetector) report(c *disconnect, requests ...quarantine.Digest) {
-	crash := quarantine.Crash{Instance: c.instance.ID, Born: c.instance.Born, At: c.at, Requests: map[quarantine.Digest]bool{}}
+	crash := quarantine.Crash{Instance: c.instance.ID, Born: c.instance.StartedAt, At: c.at, Requests: map[quarantine.Digest]bool{}}
 	for _, d := range requests {
 		crash.Requests[d] = false
 	}
@@ -166,7 +166,7 @@
 	c.evidence = e
 	cd.crashes.Inc()
 	cd.report(c, slices.Collect(maps.Keys(c.requests))...)
-	cd.log.Warn().Str("instance", string(c.instance.ID)).Time("born", c.instance.Born).Str("evidence", string(e)).
+	cd.log.Warn().Str("instance", string(c.instance.ID)).Time("born", c.instance.StartedAt).Str("evidence", string(e)).
 		Int("requests", len(c.requests)).Str("digests", c.digestList()).Dur("after", time.Since(c.at)).Msg("instance-crashed")
 }
 
@@ -188,7 +188,7 @@
 	for id, c := range cd.disconnects {
 		i, there := all[id]
 		switch {
-		case c.evidence == "" && there && c.instance.LifeOf(i.Born) == models.LaterLife:
+		case c.evidence == "" && there && c.instance.CompareIncarnation(i.StartedAt) == models.LaterIncarnation:
 			restarted = append(restarted, c)
 		case now.Sub(c.at) > disconnectRetention, c.evidence == "" && now.Sub(c.at) > restartWindow:
 			delete(cd.disconnects, id)
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -42,7 +42,7 @@
 			l, err := net.Listen("tcp4", "127.0.0.1:0")
 			c.Assert(err, qt.IsNil)
 			defer l.Close()
-			i := models.UpstreamInstance{ID: "i", Born: time.Unix(1, 0), Addr: netip.MustParseAddrPort(l.Addr().String()), Draining: test.draining}
+			i := models.UpstreamInstance{ID: "i", StartedAt: time.Unix(1, 0), Addr: netip.MustParseAddrPort(l.Addr().String()), Draining: test.draining}
 			if !test.listens {
 				l.Close()
 			}
@@ -59,7 +59,7 @@
 			}
 			if test.bornAnewLater {
 				later := i
-				later.Born = i.Born.Add(time.Second)
+				later.StartedAt = i.StartedAt.Add(time.Second)
 				node.view.All[i.ID] = later
 			}
 			cd.sweep(time.Now())
@@ -113,14 +113,14 @@
 // crash by that connection's request.
 func TestRestartLongAfterReset(t *testing.T) {
 	c := qt.New(t)
-	i := models.UpstreamInstance{ID: "i", Born: time.Unix(1, 0), Addr: netip.MustParseAddrPort("127.0.0.1:1")}
+	i := models.UpstreamInstance{ID: "i", StartedAt: time.Unix(1, 0), Addr: netip.MustParseAddrPort("127.0.0.1:1")}
 	node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{All: map[models.InstanceID]models.UpstreamInstance{}}}
 	cd := newCrashDetector(node, metrics.NewSet(), zerolog.Nop())
 	d := quarantine.Request{Target: "/reset"}.Digest()
 	now := time.Now()
 	cd.disconnects[i.ID] = &disconnect{instance: i, at: now, requests: map[quarantine.Digest]struct{}{d: {}}}
 	cd.sweep(now.Add(restartWindow + time.Second))
-	i.Born = i.Born.Add(time.Minute)
+	i.StartedAt = i.StartedAt.Add(time.Minute)
 	node.view.All[i.ID] = i
 	cd.sweep(now.Add(restartWindow + 2*time.Second))
 	c.Assert(node.quarantine.Standing(d).Crashes, qt.Equals, 0)
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -18,8 +18,8 @@
 // groupSeconds returns how long a request would occupy a whole group, at half of the group's slots
 // in use.
 func groupSeconds(engine *models.EngineProfile, model models.ModelProfile, head models.RequestHead) float64 {
-	read := float64(head.PromptTokens) / max(1, engine.ReadPerSecond)
+	read := float64(head.PromptTokens) / max(1, engine.PrefillTokensPerSecond)
 	half := max(1, float64(engine.Slots)/2)
-	token := engine.Step.Seconds()/half + engine.PerRequest.Seconds()
-	return (read + float64(head.AnswerTokens)*token) * model.Pace
+	token := engine.StepTime.Seconds()/half + engine.StepTimePerRequest.Seconds()
+	return (read + float64(head.OutputTokens)*token) * model.TimeFactor
 }
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -21,7 +21,7 @@
 	head     models.RequestHead
 	route    models.Route
 	service  models.ServiceName
-	holder   models.KeyHolder
+	holder   models.KeyOwner
 	body     []byte
 	started  time.Time
 	deadline time.Time
--- a/gateway/failures.go
+++ b/gateway/failures.go
@@ -41,7 +41,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failures[i.ID] = failureCount{i.Born, min(maxFailureCount, s.recentFailures(i)+1), now}
+	s.failures[i.ID] = failureCount{i.StartedAt, min(maxFailureCount, s.recentFailures(i)+1), now}
 }
 
 // addSuccess records that an instance executed a request.
@@ -58,7 +58,7 @@
 // failed. The scheduler must be locked.
 func (s *scheduler) recentFailures(i models.UpstreamInstance) float64 {
 	f, known := s.failures[i.ID]
-	if !known || i.LifeOf(f.incarnation) == models.EarlierLife {
+	if !known || i.CompareIncarnation(f.incarnation) == models.EarlierIncarnation {
 		return 0
 	}
 	return f.decayed(time.Now())
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -152,7 +152,7 @@
 // hasRestarted reports whether an instance is known to have restarted since it was picked.
 func (g *Gateway) hasRestarted(i models.UpstreamInstance) bool {
 	now, there := g.node.View().All[i.ID]
-	return there && i.LifeOf(now.Born) == models.LaterLife
+	return there && i.CompareIncarnation(now.StartedAt) == models.LaterIncarnation
 }
 
 // logHedge logs why a hedge was started.
@@ -171,7 +171,7 @@
 	}
 	load := s.g.scheduler.totalLoad(s.g.node, group.Head.ID)
 	full := float64(load.Requests) >= fullFraction*float64(engine.Slots)
-	return full || (load.Requests >= minWatchers && waited < time.Duration(watchedWaitFactor*float64(s.route.Aim)))
+	return full || (load.Requests >= minWatchers && waited < time.Duration(watchedWaitFactor*float64(s.route.LatencyTarget)))
 }
 
 // isStalled reports whether the attempt's group has been silent for long enough to start a hedge.
@@ -183,13 +183,13 @@
 	case s.g.scheduler.silence(head, now) < stallTimeout:
 		// The group makes progress; only this request waits.
 		return false
-	case awaitsFirst && waited < time.Duration(firstEventFraction*float64(s.route.Aim)):
+	case awaitsFirst && waited < time.Duration(firstEventFraction*float64(s.route.LatencyTarget)):
 		// The first event may still be on its way.
 		return false
 	case awaitsFirst && s.isWatched(a.group, waited):
 		// A hedge would only add a prompt to prefill elsewhere.
 		return false
-	case now.Before(s.g.stallReportsFrom), awaitsFirst && waited < s.route.Aim:
+	case now.Before(s.g.stallReportsFrom), awaitsFirst && waited < s.route.LatencyTarget:
 		// Too little is known to report the group; a hedge does no harm.
 		return true
 	default:
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -21,10 +21,10 @@
 func TestStaleConfigRefuses(t *testing.T) {
 	c := qt.New(t)
 	routing := &models.Routing{
-		Version: 1, Keyed: true, Keys: map[string]models.KeyHolder{"k1": {Workspace: "ws"}},
+		Version: 1, RequiresKeys: true, Keys: map[string]models.KeyOwner{"k1": {Workspace: "ws"}},
 		Hosts: map[string][]models.Route{"api.example": {
-			{Name: "keyed", Host: "api.example", Prefix: "/keyed/", Kind: models.RouteOnce, Attempts: 1, Targets: []models.RouteTarget{{Service: "plain"}}},
-			{Name: "open", Host: "api.example", Prefix: "/open/", Kind: models.RouteOnce, Attempts: 1, Open: true, Targets: []models.RouteTarget{{Service: "plain"}}},
+			{Name: "keyed", Host: "api.example", PathPrefix: "/keyed/", Kind: models.RouteNonIdempotent, MaxAttempts: 1, Targets: []models.RouteTarget{{Service: "plain"}}},
+			{Name: "open", Host: "api.example", PathPrefix: "/open/", Kind: models.RouteNonIdempotent, MaxAttempts: 1, AuthExempt: true, Targets: []models.RouteTarget{{Service: "plain"}}},
 		}},
 	}
 	for _, test := range []struct {
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -180,7 +180,7 @@
 		event.Stringer("digest", e.digest())
 	}
 	event.Str("request", string(e.head.ID)).Str("route", e.route.Name).Str("model", string(e.head.Model)).
-		Dur("aim", e.route.Aim).Int64("config", version).Str("workspace", string(e.holder.Workspace)).
+		Dur("aim", e.route.LatencyTarget).Int64("config", version).Str("workspace", string(e.holder.Workspace)).
 		Str("outcome", string(end)).Int("status", status).Str("instance", string(e.instance.ID)).Str("zone", string(e.instance.Zone)).
 		Str("group", string(e.group.Name)).Int("sent", len(e.tried)).Int32("turned-away", e.rejections.Load()).Int("load", e.pickedLoad).
 		Dur("first", first).Dur("gap", e.maxPause).Dur("took", time.Since(e.started)).
--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -40,8 +40,8 @@
 // of a pass.
 func passTime(engine *models.EngineProfile, model models.ModelProfile, load cluster.Load) time.Duration {
 	running := time.Duration(min(load.Requests, engine.Slots))
-	steps := time.Duration(max(1, engine.Stride)) * (engine.Step + running*engine.PerRequest)
-	return time.Duration(model.Pace * float64(steps+engine.ReadTime(load.Unread)))
+	steps := time.Duration(max(1, engine.StepsPerSend)) * (engine.StepTime + running*engine.StepTimePerRequest)
+	return time.Duration(model.TimeFactor * float64(steps+engine.PrefillTime(load.Unread)))
 }
 
 // currentPassTime returns the expected duration of the pass that a group is executing, from the
--- a/gateway/pauses_test.go
+++ b/gateway/pauses_test.go
@@ -13,12 +13,12 @@
 
 func TestPassTime(t *testing.T) {
 	c := qt.New(t)
-	engine := &models.EngineProfile{Slots: 17, Step: 8 * time.Millisecond, PerRequest: 100 * time.Microsecond, ReadPerSecond: 40000, Stride: 5}
-	idle := passTime(engine, models.ModelProfile{Pace: 1}, cluster.Load{})
+	engine := &models.EngineProfile{Slots: 17, StepTime: 8 * time.Millisecond, StepTimePerRequest: 100 * time.Microsecond, PrefillTokensPerSecond: 40000, StepsPerSend: 5}
+	idle := passTime(engine, models.ModelProfile{TimeFactor: 1}, cluster.Load{})
 	c.Assert(idle, qt.Equals, 40*time.Millisecond)
-	busy := passTime(engine, models.ModelProfile{Pace: 1}, cluster.Load{Requests: 10, Unread: 2000})
+	busy := passTime(engine, models.ModelProfile{TimeFactor: 1}, cluster.Load{Requests: 10, Unread: 2000})
 	c.Assert(busy, qt.Equals, 95*time.Millisecond)
-	over := passTime(engine, models.ModelProfile{Pace: 0.5}, cluster.Load{Requests: 40})
+	over := passTime(engine, models.ModelProfile{TimeFactor: 0.5}, cluster.Load{Requests: 40})
 	c.Assert(over, qt.Equals, 24250*time.Microsecond)
 }
 
@@ -69,8 +69,8 @@
 // timeout of 56 ms where the caller tolerates 200.
 func TestFailoverSlack(t *testing.T) {
 	c := qt.New(t)
-	engine := &models.EngineProfile{Slots: 20, Step: 8 * time.Millisecond, PerRequest: 100 * time.Microsecond, ReadPerSecond: 46000, Stride: 6}
-	model := models.ModelProfile{Pace: 0.5}
+	engine := &models.EngineProfile{Slots: 20, StepTime: 8 * time.Millisecond, StepTimePerRequest: 100 * time.Microsecond, PrefillTokensPerSecond: 46000, StepsPerSend: 6}
+	model := models.ModelProfile{TimeFactor: 0.5}
 	c.Assert(failoverSlack(engine, model, 460, 200*time.Millisecond), qt.Equals, 138*time.Millisecond)
 	c.Assert(failoverSlack(engine, model, 1840, 200*time.Millisecond), qt.Equals, 93*time.Millisecond)
 	c.Assert(failoverSlack(engine, model, 460, 0) < 0, qt.IsTrue, qt.Commentf("the route sets no pause"))
@@ -100,8 +100,8 @@
 // falseAlarmRate returns the fraction of a group's passes that exceed the stall timeout, where
 // expectation returns the expected pass time from the expectations when the pass began and now.
 func falseAlarmRate(expectation func(expected, now time.Duration) time.Duration) float64 {
-	engine := &models.EngineProfile{Slots: 14, Step: 7800 * time.Microsecond, PerRequest: 95 * time.Microsecond, Stride: 8, ReadPerSecond: 45900}
-	model := models.ModelProfile{Pace: 1}
+	engine := &models.EngineProfile{Slots: 14, StepTime: 7800 * time.Microsecond, StepTimePerRequest: 95 * time.Microsecond, StepsPerSend: 8, PrefillTokensPerSecond: 45900}
+	model := models.ModelProfile{TimeFactor: 1}
 	random := rand.New(rand.NewPCG(1, 2))
 	type prompt struct {
 		arrived time.Duration
--- a/gateway/permit.go
+++ b/gateway/permit.go
@@ -32,7 +32,7 @@
 
 // needsPermit reports whether requests to an instance need permits.
 func (g *Gateway) needsPermit(i models.UpstreamInstance) bool {
-	return g.node.Limits().Rate(i, time.Now()) != models.NoLimit
+	return g.node.Limits().Rate(i, time.Now()) != models.NoRateLimit
 }
 
 // allows reports whether a request may be sent to an instance now. It is called right before the
@@ -77,7 +77,7 @@
 // those that can still meet their latency target.
 func (e *exchange) permitRank(now time.Time) int {
 	r := rank(e.holder.Priority, e.route.Priority)
-	if latencyTarget := e.route.Aim; latencyTarget > 0 && !e.headSent && now.Sub(e.started) > latencyTarget {
+	if latencyTarget := e.route.LatencyTarget; latencyTarget > 0 && !e.headSent && now.Sub(e.started) > latencyTarget {
 		return min(maxPriority, r+routeRanks)
 	}
 	return r
@@ -115,7 +115,7 @@
 	defer s.mu.Unlock()
 	var out []cluster.Group
 	for _, g := range s.eligible(node, node.View().Groups[criteria.head.Model], criteria, now) {
-		limited := node.Limits().Rate(g.Head, now) != models.NoLimit
+		limited := node.Limits().Rate(g.Head, now) != models.NoRateLimit
 		if len(out) < maxPermitCandidates-1 && limited && g.Head.ID != picked.Head.ID && g.Head.Zone == picked.Head.Zone &&
 			s.policy.HasCapacity(engine, s.totalLoadLocked(node, g.Head.ID).Requests) {
 			out = append(out, g)
@@ -127,7 +127,7 @@
 // awaitInstance returns the instance of a plain service that the request is sent to next. If all
 // have rate limits or back off, it waits as long as a stream waits for a group with capacity.
 func (e *exchange) awaitInstance(ctx context.Context) (models.UpstreamInstance, permit, error) {
-	until := e.started.Add(time.Duration(queueFraction * float64(e.route.Aim)))
+	until := e.started.Add(time.Duration(queueFraction * float64(e.route.LatencyTarget)))
 	for {
 		i, p, found := e.pickPermittedInstance(ctx)
 		if found {
@@ -172,7 +172,7 @@
 	var out []models.UpstreamInstance
 	for _, i := range node.View().Services[service] {
 		skip := i.ID == picked.ID || i.Zone != picked.Zone || slices.Contains(tried, i.ID) || s.isExcluded(node, i, now)
-		if len(out) < maxPermitCandidates-1 && !skip && node.Limits().Rate(i, now) != models.NoLimit {
+		if len(out) < maxPermitCandidates-1 && !skip && node.Limits().Rate(i, now) != models.NoRateLimit {
 			out = append(out, i)
 		}
 	}
--- a/gateway/permit_test.go
+++ b/gateway/permit_test.go
@@ -79,7 +79,7 @@
 // setLimit records a rate limit of an instance at the gateway.
 func (s *limitFixture) setLimit(id models.InstanceID) {
 	i := s.node.view.All[id]
-	s.node.limits.Heard(ratelimit.Sighting{Instance: id, Born: i.Born, Rate: 2, Asked: time.Now(), Heard: time.Now()})
+	s.node.limits.Heard(ratelimit.Sighting{Instance: id, Born: i.StartedAt, Rate: 2, Asked: time.Now(), Heard: time.Now()})
 }
 
 // TestLimitedInstanceNeedsPermit checks that a rate limit announced in a response applies from the
--- a/gateway/pick.go
+++ b/gateway/pick.go
@@ -69,9 +69,9 @@
 // and waits as long as its caller tolerates a pause. It does not wait if no permit and no end of a
 // backoff comes in time.
 func (s *stream) awaitGroup() (target, error) {
-	until := s.started.Add(time.Duration(queueFraction * float64(s.route.Aim)))
+	until := s.started.Add(time.Duration(queueFraction * float64(s.route.LatencyTarget)))
 	if s.headSent {
-		until = s.lastEvent.Add(s.route.Pause)
+		until = s.lastEvent.Add(s.route.EventGapTarget)
 	}
 	for {
 		dest, found, free := s.findGroup()
@@ -116,7 +116,7 @@
 // criteria returns the stream's criteria for its next group. After a failover the stream is late
 // already, wherever it continues.
 func (s *stream) criteria() groupCriteria {
-	criteria := groupCriteria{head: s.head, latencyTarget: s.route.Aim, routeTarget: s.route.Aim, tried: s.tried, trialPlace: s.trialPlace()}
+	criteria := groupCriteria{head: s.head, latencyTarget: s.route.LatencyTarget, routeTarget: s.route.LatencyTarget, tried: s.tried, trialPlace: s.trialPlace()}
 	if len(s.tried) > 0 {
 		criteria.latencyTarget = 0
 	}
@@ -183,7 +183,7 @@
 func (s *scheduler) eligible(node Node, groups []cluster.Group, criteria groupCriteria, now time.Time) []cluster.Group {
 	return slices.DeleteFunc(slices.Clone(groups), func(g cluster.Group) bool {
 		return slices.Contains(criteria.tried, g.Head.ID) || s.isExcluded(node, g.Head, now) ||
-			(criteria.unlimitedOnly && node.Limits().Rate(g.Head, now) != models.NoLimit)
+			(criteria.unlimitedOnly && node.Limits().Rate(g.Head, now) != models.NoRateLimit)
 	})
 }
 
--- a/gateway/pick_test.go
+++ b/gateway/pick_test.go
@@ -37,7 +37,7 @@
 	b := newScheduler()
 	b.zone = "b"
 	node := newPickNode()
-	engine := &models.EngineProfile{Slots: 17, ReadPerSecond: 45900}
+	engine := &models.EngineProfile{Slots: 17, PrefillTokensPerSecond: 45900}
 	group := func(latencyTarget time.Duration) models.InstanceID {
 		g, _, found := b.pickGroup(node, engine, groupCriteria{head: models.RequestHead{Model: "m"}, latencyTarget: latencyTarget, routeTarget: 300 * time.Millisecond})
 		c.Assert(found, qt.IsTrue)
@@ -70,7 +70,7 @@
 	b.addLoad("b", 1, 0)
 	b.addLoad("c", 2, 0)
 	b.addLoad("lost", 9, 0)
-	engine := &models.EngineProfile{Slots: 17, ReadPerSecond: 45900}
+	engine := &models.EngineProfile{Slots: 17, PrefillTokensPerSecond: 45900}
 	head := models.RequestHead{Model: "m", PromptTokens: 1400}
 	pick := func(tried ...models.InstanceID) map[models.InstanceID]int {
 		picked := map[models.InstanceID]int{}
@@ -123,7 +123,7 @@
 	b := newScheduler()
 	b.zone = "b"
 	node := newPickNode()
-	engine := &models.EngineProfile{Slots: 17, ReadPerSecond: 45900}
+	engine := &models.EngineProfile{Slots: 17, PrefillTokensPerSecond: 45900}
 	picks := func(tried ...models.InstanceID) (group, instance models.InstanceID) {
 		criteria := groupCriteria{head: models.RequestHead{Model: "m"}, latencyTarget: 300 * time.Millisecond, routeTarget: 300 * time.Millisecond, tried: tried}
 		g, _, _ := b.pickGroup(node, engine, criteria)
@@ -163,8 +163,8 @@
 func TestRestartForgetsFailures(t *testing.T) {
 	c := qt.New(t)
 	b := newScheduler()
-	before := models.UpstreamInstance{ID: "i-1", Born: time.Unix(1, 0)}
-	after := models.UpstreamInstance{ID: "i-1", Born: time.Unix(2, 0)}
+	before := models.UpstreamInstance{ID: "i-1", StartedAt: time.Unix(1, 0)}
+	after := models.UpstreamInstance{ID: "i-1", StartedAt: time.Unix(2, 0)}
 	b.addFailure(before)
 	c.Assert(b.recentFailures(before) > 0.9, qt.IsTrue)
 	c.Assert(b.recentFailures(after), qt.Equals, 0.0)
--- a/gateway/script_test.go
+++ b/gateway/script_test.go
@@ -179,7 +179,7 @@
 	}
 	for _, line := range lines(parts["restarted"]) {
 		u := node.view.All[models.InstanceID(line)]
-		u.Born = u.Born.Add(time.Second)
+		u.StartedAt = u.StartedAt.Add(time.Second)
 		node.view.All[u.ID] = u
 	}
 	cfg := Settings{KeysBound: time.Minute, ConfigBound: time.Minute, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second}
@@ -217,7 +217,7 @@
 	}
 	for _, i := range instances {
 		u := models.UpstreamInstance{
-			ID: models.InstanceID(i.name), Born: time.Unix(1, 0), Addr: netip.MustParseAddrPort(i.l.Addr().String()), Service: "plain",
+			ID: models.InstanceID(i.name), StartedAt: time.Unix(1, 0), Addr: netip.MustParseAddrPort(i.l.Addr().String()), Service: "plain",
 		}
 		v.All[u.ID] = u
 		if !strings.HasPrefix(i.name, "g") {
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -45,10 +45,10 @@
 
 // sendAdmitted is send for an admitted request. It also returns the result for the circuit breaker.
 func (e *exchange) sendAdmitted(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, readTimeout h1.Patience) (*h1.Response, breaker.End, error) {
-	a.Left, a.Instance, a.Workspace = time.Until(e.deadline), i.ID, e.holder.Workspace
+	a.Remaining, a.Instance, a.Workspace = time.Until(e.deadline), i.ID, e.holder.Workspace
 	a.Priority = rank(e.holder.Priority, e.route.Priority)
 	maxIdle := maxIdleRepeatable
-	if !e.route.Repeatable() {
+	if !e.route.Idempotent() {
 		maxIdle = maxIdleOnce
 	}
 	sentAt := time.Now()
@@ -78,21 +78,21 @@
 	e.rejections.Add(1)
 	e.g.stats.rejections.Inc()
 	resp.Body.Discard()
-	return nil, breaker.TurnedAway, fmt.Errorf("%w: status %d, at fault %q", errNotExecuted, resp.Status, head.Fault)
+	return nil, breaker.TurnedAway, fmt.Errorf("%w: status %d, at fault %q", errNotExecuted, resp.Status, head.FaultyInstance)
 }
 
 // recordSignals records the backoff, leaving notice and rate limit in the head of a response.
-func (e *exchange) recordSignals(i models.UpstreamInstance, head models.AnswerHead, status int, sentAt time.Time) {
-	for _, header := range head.Unreadable {
+func (e *exchange) recordSignals(i models.UpstreamInstance, head models.ResponseHead, status int, sentAt time.Time) {
+	for _, header := range head.InvalidHeaders {
 		e.g.log.Warn().Str("instance", string(i.ID)).Str("request", string(e.head.ID)).Str("header", header).Msg("answer-unreadable")
 	}
 	// Another instance may have taken over the address and sent the response.
 	misdirected := status == http.StatusMisdirectedRequest
 	if !misdirected || !e.g.isAddressShared(i) {
-		e.g.node.Breakers().HeardHead(i.ID, i.Born, head)
+		e.g.node.Breakers().HeardHead(i.ID, i.StartedAt, head)
 	}
 	if !misdirected {
-		e.recordLimit(i, head.Limit, sentAt)
+		e.recordLimit(i, head.RateLimit, sentAt)
 	}
 }
 
@@ -112,5 +112,5 @@
 		e.g.log.Warn().Str("instance", string(i.ID)).Str("request", string(e.head.ID)).Msg("limit-unreadable")
 		return
 	}
-	e.g.node.Limits().Heard(ratelimit.Sighting{Instance: i.ID, Born: i.Born, Rate: rate, Asked: sentAt, Heard: time.Now()})
+	e.g.node.Limits().Heard(ratelimit.Sighting{Instance: i.ID, Born: i.StartedAt, Rate: rate, Asked: sentAt, Heard: time.Now()})
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -42,8 +42,8 @@
 	e.g.budget.addRequest(e.started)
 	e.addDemand()
 	s := &stream{exchange: e, ctx: ctx, flush: http.NewResponseController(e.w).Flush}
-	if e.head.Resumed {
-		s.lastID, s.hasLast = e.head.After, true
+	if e.head.HasLastEventID {
+		s.lastID, s.hasLast = e.head.LastEventID, true
 	}
 	defer s.close()
 	to, err := s.awaitGroup()
@@ -186,11 +186,11 @@
 
 // mayRetry reports whether the request may be executed once more.
 func (s *stream) mayRetry() bool {
-	return s.route.Repeatable() && s.attempts < s.route.Attempts && s.maySend()
+	return s.route.Idempotent() && s.attempts < s.route.MaxAttempts && s.maySend()
 }
 
 // maySend reports whether the request may be sent to one more instance.
-func (s *stream) maySend() bool { return len(s.tried) < s.route.Attempts+extraSends }
+func (s *stream) maySend() bool { return len(s.tried) < s.route.MaxAttempts+extraSends }
 
 // allowRetry takes a retry from the budget.
 func (s *stream) allowRetry(rejected bool) bool {
--- a/gateway/unary.go
+++ b/gateway/unary.go
@@ -41,7 +41,7 @@
 		if none != nil {
 			return errors.Join(err, none)
 		}
-		last := len(e.tried)+1 >= e.route.Attempts
+		last := len(e.tried)+1 >= e.route.MaxAttempts
 		err = e.attemptUnary(ctx, i, p, last)
 		e.noteDisconnect(ctx, i, err)
 		if errors.Is(err, errNotAdmitted) {
@@ -50,7 +50,7 @@
 			continue
 		}
 		e.maybeExecuted = e.maybeExecuted || (err != nil && !errors.Is(err, errNotExecuted))
-		if err == nil || last || ctx.Err() != nil || !(e.route.Repeatable() || errors.Is(err, errNotExecuted)) {
+		if err == nil || last || ctx.Err() != nil || !(e.route.Idempotent() || errors.Is(err, errNotExecuted)) {
 			return err
 		}
 		if quarantined := e.checkQuarantine(); quarantined != nil {
@@ -82,8 +82,8 @@
 	e.markTried(i)
 	e.g.scheduler.addLoad(i.ID, 1, 0)
 	defer e.g.scheduler.addLoad(i.ID, -1, 0)
-	if e.route.Repeatable() && !last {
-		limited, cancel := context.WithTimeoutCause(ctx, max(minSlowTimeout, time.Duration(slowTimeoutFactor*float64(e.route.Aim))), errSlow)
+	if e.route.Idempotent() && !last {
+		limited, cancel := context.WithTimeoutCause(ctx, max(minSlowTimeout, time.Duration(slowTimeoutFactor*float64(e.route.LatencyTarget))), errSlow)
 		defer cancel()
 		ctx = limited
 	}
@@ -95,7 +95,7 @@
 	if err != nil {
 		return errors.Join(errMaybeExecuted, err)
 	}
-	if resp.Status >= http.StatusInternalServerError && e.route.Repeatable() && !last {
+	if resp.Status >= http.StatusInternalServerError && e.route.Idempotent() && !last {
 		return errMaybeExecuted
 	}
 	if resp.Status < http.StatusMultipleChoices && !platform.DecodeAnswer(resp.Status, resp.Header).Signed {
--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -262,7 +262,7 @@
 	for n := range auditCount {
 		change := state.ChangeConfig{
 			Operator: "duty", Note: "night shift", Text: "limit workspace observatory concurrent 40",
-			Ops: []state.Op{state.PutPolicy{Base: s.Policy.Revision, Policy: models.Policy{Downtime: n % 9, Stranded: 1}}},
+			Ops: []state.Op{state.PutPolicy{Base: s.Policy.Revision, Policy: models.Policy{DowntimeWeight: n % 9, StrandedWeight: 1}}},
 		}
 		data, err := state.Encode(state.Record{ID: newID(1_000_000 + n), Author: "daemon-1", At: time.Unix(int64(n), 0), Body: change})
 		if err != nil {
--- a/measure/groups.go
+++ b/measure/groups.go
@@ -154,9 +154,9 @@
 // users, through the same traces.
 func Groups(ctx context.Context) (Report, error) {
 	players := []player{
-		{"naive", true, models.Policy{Downtime: 1, Stranded: 1}},
-		{"mtkvari", false, models.Policy{Downtime: 9, Stranded: 1}},
-		{"bangkok", false, models.Policy{Downtime: 1, Stranded: 9}},
+		{"naive", true, models.Policy{DowntimeWeight: 1, StrandedWeight: 1}},
+		{"mtkvari", false, models.Policy{DowntimeWeight: 9, StrandedWeight: 1}},
+		{"bangkok", false, models.Policy{DowntimeWeight: 1, StrandedWeight: 9}},
 	}
 	table := Table{Columns: []string{"trace", "planner", "downtime group-s", "limit", "stranded acc-s", "limit", "loads", "records", "plan ms"}}
 	all, err := playAll(ctx, []trace{singleDeaths(), darkDomain(), rolling(), flapping()}, players)
--- a/measure/world_test.go
+++ b/measure/world_test.go
@@ -21,7 +21,7 @@
 		d := rapid.IntRange(0, domains-1).Draw(t, "domain")
 		w.add(models.InstanceID(fmt.Sprintf("i%d", n)), domainName(d))
 	}
-	ops := []state.Op{state.PutPolicy{Policy: models.Policy{Downtime: 1, Stranded: 100}}}
+	ops := []state.Op{state.PutPolicy{Policy: models.Policy{DowntimeWeight: 1, StrandedWeight: 100}}}
 	for n := range 2 {
 		ops = append(ops, state.PutModel{Model: models.Model{
 			Name: models.ModelName(fmt.Sprintf("m%d", n)), Version: "v1",
@@ -102,9 +102,9 @@
 // the planner keeps its promise for single deaths.
 func TestTraces(t *testing.T) {
 	c := qt.New(t)
-	ours, err := playTrace(t.Context(), singleDeaths(), player{"real", false, models.Policy{Downtime: 9, Stranded: 1}})
+	ours, err := playTrace(t.Context(), singleDeaths(), player{"real", false, models.Policy{DowntimeWeight: 9, StrandedWeight: 1}})
 	c.Assert(err, qt.IsNil)
-	naive, err := playTrace(t.Context(), singleDeaths(), player{"naive", true, models.Policy{Downtime: 9, Stranded: 1}})
+	naive, err := playTrace(t.Context(), singleDeaths(), player{"naive", true, models.Policy{DowntimeWeight: 9, StrandedWeight: 1}})
 	c.Assert(err, qt.IsNil)
 	c.Assert(ours.Downtime <= 1.2*ours.DowntimeLimit, qt.IsTrue)
 	c.Assert(ours.Downtime <= naive.Downtime/4, qt.IsTrue, qt.Commentf("%v against %v", ours.Downtime, naive.Downtime))
@@ -122,7 +122,7 @@
 		err := w.configure(
 			state.PutModel{Model: models.Model{Name: "m0", Version: "v1", Members: 2, Replicas: 2}},
 			state.PutModel{Model: models.Model{Name: "m1", Version: "v1", Members: 1, Replicas: 1}},
-			state.PutPolicy{Policy: models.Policy{Downtime: 1, Stranded: 100}})
+			state.PutPolicy{Policy: models.Policy{DowntimeWeight: 1, StrandedWeight: 100}})
 		qt.Assert(t, err, qt.IsNil)
 		run := func(steps int) {
 			for range steps {
--- a/models/config.go
+++ b/models/config.go
@@ -21,7 +21,7 @@
 
 // Place limits where the instances of a model, service or workspace may run. An empty list
 // allows every zone or every fabric domain.
-type Place struct {
+type PlacementRule struct {
 	Zones   []Zone   `msgpack:"z" json:"zones,omitempty"`
 	Domains []Domain `msgpack:"d" json:"domains,omitempty"`
 }
@@ -29,7 +29,7 @@
 // Allows reports whether both the zone and the fabric domain are allowed.
 //
 // See Example_place.
-func (p Place) Allows(z Zone, d Domain) bool {
+func (p PlacementRule) Allows(z Zone, d Domain) bool {
 	return (len(p.Zones) == 0 || slices.Contains(p.Zones, z)) &&
 		(len(p.Domains) == 0 || slices.Contains(p.Domains, d))
 }
@@ -37,18 +37,18 @@
 // Model declares a model: the version to serve, the number of instances in each replica
 // group, the number of replica groups, and where they may run.
 type Model struct {
-	Name     ModelName `msgpack:"n" json:"name"`
-	Version  Version   `msgpack:"v" json:"version"`
-	Members  int       `msgpack:"m" json:"members"`
-	Replicas int       `msgpack:"r" json:"replicas"`
-	Place    Place     `msgpack:"p" json:"place"`
-	Revision Revision  `msgpack:"rev" json:"revision"`
+	Name      ModelName     `msgpack:"n" json:"name"`
+	Version   Version       `msgpack:"v" json:"version"`
+	Members   int           `msgpack:"m" json:"members"`
+	Replicas  int           `msgpack:"r" json:"replicas"`
+	Placement PlacementRule `msgpack:"p" json:"place"`
+	Revision  Revision      `msgpack:"rev" json:"revision"`
 }
 
 // Check returns ErrBadName if a name is invalid, and ErrBadValue if Members or Replicas is
 // out of range.
 func (m Model) Check() error {
-	if err := errors.Join(CheckName(m.Name), CheckName(m.Version), m.Place.check()); err != nil {
+	if err := errors.Join(CheckName(m.Name), CheckName(m.Version), m.Placement.check()); err != nil {
 		return err
 	}
 	if m.Members < 1 || m.Members > MaxMembers {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func (p Place) check() error {
+func (p PlacementRule) check() error {
 	for _, z := range p.Zones {
 		if err := CheckName(z); err != nil {
 			return fmt.Errorf("zone: %w", err)
@@ -77,14 +77,14 @@
 // Service declares a plain service, which serves no models, and where its instances may be
 // used.
 type Service struct {
-	Name     ServiceName `msgpack:"n" json:"name"`
-	Place    Place       `msgpack:"p" json:"place"`
-	Revision Revision    `msgpack:"rev" json:"revision"`
+	Name      ServiceName   `msgpack:"n" json:"name"`
+	Placement PlacementRule `msgpack:"p" json:"place"`
+	Revision  Revision      `msgpack:"rev" json:"revision"`
 }
 
 // Check returns ErrBadName if the service's name, a zone or a fabric domain is invalid.
 func (s Service) Check() error {
-	return errors.Join(CheckName(s.Name), s.Place.check())
+	return errors.Join(CheckName(s.Name), s.Placement.check())
 }
 
 // ModelRule allows a workspace to use a model. An empty version allows every version of it.
@@ -117,10 +117,10 @@
 // Workspace declares which models and services its callers may use, where their requests
 // may run, and its share of the capacity.
 type Workspace struct {
-	Name     WorkspaceName `msgpack:"n" json:"name"`
-	Models   []ModelRule   `msgpack:"m" json:"models,omitempty"`
-	Services []ServiceName `msgpack:"s" json:"services,omitempty"`
-	Place    Place         `msgpack:"p" json:"place"`
+	Name      WorkspaceName `msgpack:"n" json:"name"`
+	Models    []ModelRule   `msgpack:"m" json:"models,omitempty"`
+	Services  []ServiceName `msgpack:"s" json:"services,omitempty"`
+	Placement PlacementRule `msgpack:"p" json:"place"`
 	// Share is the workspace's weight relative to other workspaces under load.
 	Share int `msgpack:"w" json:"share"`
 	// Concurrent limits the requests in flight on all daemons together; 0 sets no limit.
@@ -133,7 +133,7 @@
 // Check returns ErrBadName if a name is invalid, and ErrBadValue if Share, Concurrent or a
 // token hash is.
 func (w Workspace) Check() error {
-	if err := errors.Join(CheckName(w.Name), w.Place.check()); err != nil {
+	if err := errors.Join(CheckName(w.Name), w.Placement.check()); err != nil {
 		return err
 	}
 	for _, r := range w.Models {
@@ -207,14 +207,14 @@
 type Policy struct {
 	// Downtime is the cost of one second of downtime of a group, Stranded the cost of one
 	// accelerator that is stranded for one second.
-	Downtime int      `msgpack:"d" json:"downtime"`
-	Stranded int      `msgpack:"s" json:"stranded"`
-	Revision Revision `msgpack:"rev" json:"revision"`
+	DowntimeWeight int      `msgpack:"d" json:"downtime"`
+	StrandedWeight int      `msgpack:"s" json:"stranded"`
+	Revision       Revision `msgpack:"rev" json:"revision"`
 }
 
 // Check returns ErrBadValue if a weight is out of range.
 func (p Policy) Check() error {
-	for _, w := range []int{p.Downtime, p.Stranded} {
+	for _, w := range []int{p.DowntimeWeight, p.StrandedWeight} {
 		if w < 0 || w > MaxWeight {
 			return fmt.Errorf("%w: weight is %d, allowed are 0 to %d", ErrBadValue, w, MaxWeight)
 		}
--- a/models/example_test.go
+++ b/models/example_test.go
@@ -6,8 +6,8 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-func Example_place() {
-	p := models.Place{Zones: []models.Zone{"tbilisi-a"}}
+func Example_placementRule() {
+	p := models.PlacementRule{Zones: []models.Zone{"tbilisi-a"}}
 	fmt.Println(p.Allows("tbilisi-a", "f1"), p.Allows("tbilisi-b", "f1"))
 	// Output: true false
 }
--- a/models/models.go
+++ b/models/models.go
@@ -159,5 +159,5 @@
 	Change   string       `msgpack:"c" json:"change"`
 	Note     string       `msgpack:"n" json:"note"`
 	// Refused is the reason for which the change was refused; empty for an accepted change.
-	Refused string `msgpack:"r" json:"refused,omitempty"`
+	RejectionReason string `msgpack:"r" json:"refused,omitempty"`
 }
--- a/models/routing.go
+++ b/models/routing.go
@@ -12,39 +12,39 @@
 // The kinds of routes.
 const (
 	// RouteRepeatable is for idempotent requests, which may be run more than once.
-	RouteRepeatable RouteKind = "repeatable"
+	RouteIdempotent RouteKind = "repeatable"
 	// RouteOnce is for requests that must run at most once.
-	RouteOnce RouteKind = "once"
+	RouteNonIdempotent RouteKind = "once"
 	// RouteStream is for requests whose response is a stream of events.
 	RouteStream RouteKind = "stream"
 )
 
 // Route routes the requests for a host whose path begins with Prefix to upstream services.
 type Route struct {
-	Name   string
-	Host   string
-	Prefix string
-	Kind   RouteKind
+	Name       string
+	Host       string
+	PathPrefix string
+	Kind       RouteKind
 	// Timeout limits the duration of a request. Aim is the target latency of the response or,
 	// for a stream, of its first event. Pause is the target for the longest gap between two
 	// events.
-	Timeout time.Duration
-	Aim     time.Duration
-	Pause   time.Duration
+	Timeout        time.Duration
+	LatencyTarget  time.Duration
+	EventGapTarget time.Duration
 	// Attempts is the maximum number of instances to which a request is sent.
-	Attempts int
+	MaxAttempts int
 	// Priority is the priority of the route's requests; 0 is the most urgent.
 	Priority int
 	Targets  []RouteTarget
 	// Open is true if requests need no API key.
-	Open bool
+	AuthExempt bool
 	// Resumable is true if a stream may be continued on another instance.
 	Resumable bool
 }
 
 // Repeatable reports whether a request of the route may be run more than once.
-func (r Route) Repeatable() bool {
-	return r.Kind == RouteRepeatable || (r.Kind == RouteStream && r.Resumable)
+func (r Route) Idempotent() bool {
+	return r.Kind == RouteIdempotent || (r.Kind == RouteStream && r.Resumable)
 }
 
 // RouteTarget is a service of a route, with its weight relative to the route's other services.
@@ -71,19 +71,19 @@
 	// Step is the base duration of a decode step, which generates one token for every running
 	// request. Each running request adds PerRequest, and PerThousandTokens for every thousand
 	// tokens of its context.
-	Step              time.Duration
-	PerRequest        time.Duration
-	PerThousandTokens time.Duration
+	StepTime                  time.Duration
+	StepTimePerRequest        time.Duration
+	StepTimePerThousandTokens time.Duration
 	// ReadPerSecond is the prefill speed, in prompt tokens per second; Chunk is the maximum
 	// number of prompt tokens that one step processes.
-	ReadPerSecond float64
-	Chunk         int
+	PrefillTokensPerSecond float64
+	PrefillChunk           int
 	// Stride is the number of steps after which an engine sends the generated tokens.
-	Stride int
+	StepsPerSend int
 	// LoadsPerSecond limits the rate at which loads from the weight store start, LoadsAtOnce
 	// how many run concurrently.
-	LoadsPerSecond float64
-	LoadsAtOnce    int
+	LoadsPerSecond     float64
+	MaxConcurrentLoads int
 	// FormTime is the time that a group needs to open once all its members are ready.
 	FormTime time.Duration
 	Models   []ModelProfile
@@ -91,26 +91,26 @@
 
 // ReadTime returns the prefill time of prompts with that many tokens, or 0 if the profile sets
 // no prefill speed.
-func (e *EngineProfile) ReadTime(tokens int) time.Duration {
-	if e.ReadPerSecond <= 0 {
+func (e *EngineProfile) PrefillTime(tokens int) time.Duration {
+	if e.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(float64(tokens) / e.ReadPerSecond * float64(time.Second))
+	return time.Duration(float64(tokens) / e.PrefillTokensPerSecond * float64(time.Second))
 }
 
 // ModelProfile describes a model that engines can load.
 type ModelProfile struct {
 	Name ModelName
 	// Size is the number of instances of a replica group.
-	Size int
+	GroupSize int
 	// Share is the fraction of all instances that the model needs initially.
 	Share float64
 	// Pace is the factor by which the model multiplies all durations of the engine profile.
-	Pace float64
+	TimeFactor float64
 	// Load is the time to load the weights from the weight store, Warm the time to load them
 	// from the instance's own host.
-	Load time.Duration
-	Warm time.Duration
+	LoadTime     time.Duration
+	WarmLoadTime time.Duration
 }
 
 // Model returns the profile of a model.
@@ -124,7 +124,7 @@
 }
 
 // KeyHolder is the workspace to which an API key belongs, with the priority of its requests.
-type KeyHolder struct {
+type KeyOwner struct {
 	Workspace WorkspaceName
 	Priority  int
 }
@@ -146,15 +146,15 @@
 	Services map[ServiceName]UpstreamService
 	// Keys maps API keys to their workspaces. Keyed is true if the configuration declares
 	// workspaces: only then do requests need a key.
-	Keys   map[string]KeyHolder
-	Keyed  bool
-	Limits CallerLimits
+	Keys         map[string]KeyOwner
+	RequiresKeys bool
+	Limits       CallerLimits
 }
 
 // Match returns the route with the longest prefix that matches the host and path.
 func (r *Routing) Match(host, path string) (Route, bool) {
 	for _, route := range r.Hosts[host] {
-		if strings.HasPrefix(path, route.Prefix) {
+		if strings.HasPrefix(path, route.PathPrefix) {
 			return route, true
 		}
 	}
--- a/models/trail.go
+++ b/models/trail.go
@@ -8,21 +8,21 @@
 	Request   RequestID     `msgpack:"r" json:"request"`
 	Workspace WorkspaceName `msgpack:"w" json:"workspace"`
 	// Wanted is the model or plain service that the caller requested.
-	Wanted    string       `msgpack:"m" json:"wanted"`
-	Version   Version      `msgpack:"v" json:"version,omitempty"`
-	Group     GroupID      `msgpack:"g" json:"group,omitempty"`
-	Instances []InstanceID `msgpack:"i" json:"instances,omitempty"`
-	Zone      Zone         `msgpack:"z" json:"zone,omitempty"`
-	Domain    Domain       `msgpack:"d" json:"domain,omitempty"`
-	Daemon    DaemonID     `msgpack:"n" json:"daemon"`
-	Started   time.Time    `msgpack:"t" json:"started"`
+	ModelOrService string       `msgpack:"m" json:"wanted"`
+	Version        Version      `msgpack:"v" json:"version,omitempty"`
+	Group          GroupID      `msgpack:"g" json:"group,omitempty"`
+	Instances      []InstanceID `msgpack:"i" json:"instances,omitempty"`
+	Zone           Zone         `msgpack:"z" json:"zone,omitempty"`
+	Domain         Domain       `msgpack:"d" json:"domain,omitempty"`
+	Daemon         DaemonID     `msgpack:"n" json:"daemon"`
+	Started        time.Time    `msgpack:"t" json:"started"`
 	// Took is the duration of the request; for a request in flight, until the entry was
 	// written.
-	Took  time.Duration `msgpack:"o" json:"took"`
-	Tries int           `msgpack:"x" json:"tries"`
+	Elapsed  time.Duration `msgpack:"o" json:"took"`
+	Attempts int           `msgpack:"x" json:"tries"`
 	// End is "whole" (the caller got the complete response), "not-run" or "may-have-run"; it is
 	// empty if the request was in flight when the entry was written.
-	End string `msgpack:"e" json:"end"`
+	Outcome string `msgpack:"e" json:"end"`
 	// Reason is the reason for an End other than "whole".
 	Reason string `msgpack:"y" json:"reason,omitempty"`
 }
--- a/models/upstream.go
+++ b/models/upstream.go
@@ -11,46 +11,46 @@
 	ID InstanceID
 	// Born is the start time of the instance by its own clock; zero if unknown. An instance
 	// that restarts under the same ID has lost all its earlier state.
-	Born     time.Time `msgpack:",omitempty"`
-	Service  ServiceName
-	Addr     netip.AddrPort
-	Zone     Zone
-	Domain   Domain
-	Slots    int
-	Draining bool
+	StartedAt time.Time `msgpack:"Born,omitempty"`
+	Service   ServiceName
+	Addr      netip.AddrPort
+	Zone      Zone
+	Domain    Domain
+	Slots     int
+	Draining  bool
 	// Loaded is the model that the instance runs or, as far as known, the last one it ran since
 	// its start; the instance joins a group of this model fastest. Staged lists the models
 	// whose weights are stored on the instance's host.
-	Loaded ModelName
-	Staged []ModelName
-	Group  Membership
+	LoadedModel  ModelName   `msgpack:"Loaded"`
+	StagedModels []ModelName `msgpack:"Staged"`
+	Group        Membership
 	// Heartbeat is the number of times that the instance has written its entry.
-	Heartbeat int64
+	HeartbeatSeq int64 `msgpack:"Heartbeat"`
 }
 
 // Life is the result of comparing the incarnation of an instance in a report with the known
 // incarnation. An instance begins a new incarnation, or life, at each start.
-type Life int
+type IncarnationOrder int
 
 // The results of LifeOf.
 const (
 	// SameLife is also the result if either start time is unknown.
-	SameLife Life = iota
+	SameIncarnation IncarnationOrder = iota
 	// EarlierLife means that the report is about an earlier incarnation than the known one.
-	EarlierLife
+	EarlierIncarnation
 	// LaterLife means that the report is about a later incarnation than the known one.
-	LaterLife
+	LaterIncarnation
 )
 
 // LifeOf compares the incarnation with the given start time with the incarnation i.
-func (i UpstreamInstance) LifeOf(startedAt time.Time) Life {
+func (i UpstreamInstance) CompareIncarnation(startedAt time.Time) IncarnationOrder {
 	switch {
-	case startedAt.IsZero() || i.Born.IsZero() || startedAt.Equal(i.Born):
-		return SameLife
-	case startedAt.Before(i.Born):
-		return EarlierLife
+	case startedAt.IsZero() || i.StartedAt.IsZero() || startedAt.Equal(i.StartedAt):
+		return SameIncarnation
+	case startedAt.Before(i.StartedAt):
+		return EarlierIncarnation
 	default:
-		return LaterLife
+		return LaterIncarnation
 	}
 }
 
@@ -85,7 +85,7 @@
 )
 
 // Known reports whether s is one of the defined states.
-func (s MemberState) Known() bool {
+func (s MemberState) IsValid() bool {
 	switch s {
 	case MemberNone, MemberJoining, MemberReady, MemberOpen, MemberClosing, MemberBroken:
 		return true
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -119,7 +119,7 @@
 
 // Delay returns how much later a request is answered at a group with this load than at an idle one.
 func (p Policy) Delay(engine *models.EngineProfile, c Candidate) time.Duration {
-	delay := time.Duration(c.Requests)*p.RunningRequestCost + engine.ReadTime(c.PrefillTokens)
+	delay := time.Duration(c.Requests)*p.RunningRequestCost + engine.PrefillTime(c.PrefillTokens)
 	if c.Requests >= engine.Slots {
 		delay += p.QueuedRequestCost * time.Duration(c.Requests-engine.Slots+1)
 	}
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -48,7 +48,7 @@
 )
 
 // engine is one of the users' engines for short prompts.
-var engine = &models.EngineProfile{Slots: 14, Step: 4700 * time.Microsecond, PerRequest: 57 * time.Microsecond, Stride: 8, ReadPerSecond: 76500}
+var engine = &models.EngineProfile{Slots: 14, StepTime: 4700 * time.Microsecond, StepTimePerRequest: 57 * time.Microsecond, StepsPerSend: 8, PrefillTokensPerSecond: 76500}
 
 // picker picks a group by the known loads.
 type picker func(known []placement.Candidate, prompt int, rate float64) int
@@ -120,9 +120,9 @@
 		for _, j := range g.waiting[:admitted] {
 			tokens += j.tokens
 		}
-		steps := time.Duration(engine.Stride) * (engine.Step + time.Duration(len(g.running)+admitted)*engine.PerRequest)
+		steps := time.Duration(engine.StepsPerSend) * (engine.StepTime + time.Duration(len(g.running)+admitted)*engine.StepTimePerRequest)
 		started := g.busy
-		g.busy += steps + engine.ReadTime(tokens)
+		g.busy += steps + engine.PrefillTime(tokens)
 		for _, j := range g.waiting[:admitted] {
 			if g.busy-j.arrived > latencyTarget {
 				late++
--- a/planner/assign.go
+++ b/planner/assign.go
@@ -57,7 +57,7 @@
 	scratch := assignFromScratch(supplies, wanted)
 	gain := usedAccelerators(scratch, supplies, wanted) - usedAccelerators(incremental, supplies, wanted)
 	disrupted := disruptedGroups(scratch, supplies) - disruptedGroups(incremental, supplies)
-	if gain*policy.Stranded*repackBenefitSeconds > disrupted*policy.Downtime*regroupDowntimeSeconds {
+	if gain*policy.StrandedWeight*repackBenefitSeconds > disrupted*policy.DowntimeWeight*regroupDowntimeSeconds {
 		return scratch
 	}
 	return incremental
@@ -72,7 +72,7 @@
 	for i, m := range remaining {
 		for j, s := range left {
 			n := min(s.healthy[m.Name], remaining[i].Replicas)
-			if !m.Place.Allows(s.zone, s.domain) {
+			if !m.Placement.Allows(s.zone, s.domain) {
 				n = 0
 			}
 			kept.add(s.domain, m.Name, n)
@@ -128,7 +128,7 @@
 		need := m.Replicas
 		for _, i := range order {
 			s := left[i]
-			if !m.Place.Allows(s.zone, s.domain) || s.usable < m.Members {
+			if !m.Placement.Allows(s.zone, s.domain) || s.usable < m.Members {
 				continue
 			}
 			n := min(need, s.usable/m.Members)
@@ -216,7 +216,7 @@
 		}
 		m := wanted[model]
 		maxGroups := 0
-		if m.Place.Allows(s.zone, s.domain) {
+		if m.Placement.Allows(s.zone, s.domain) {
 			maxGroups = min(m.Replicas, max(0, left)/m.Members)
 		}
 		for n := 0; n <= maxGroups; n++ {
--- a/planner/assign_test.go
+++ b/planner/assign_test.go
@@ -52,7 +52,7 @@
 				{Name: "m0", Members: 1 + sizes/4, Replicas: replicas / 3},
 				{Name: "m1", Members: 1 + sizes%4, Replicas: replicas % 3},
 			}
-			target := assign(supplies, wanted, models.Policy{Downtime: 1, Stranded: 1})
+			target := assign(supplies, wanted, models.Policy{DowntimeWeight: 1, StrandedWeight: 1})
 			if used, best := usedAccelerators(target, supplies, wanted), maxUsedBruteForce(domains, wanted); used != best {
 				c.Fatalf("domains %v, wanted %+v: %d in use, %d could be: %v", domains, wanted, used, best, target)
 			}
@@ -74,8 +74,8 @@
 		policy models.Policy
 		want   Target
 	}{
-		{"downtime weighs most", models.Policy{Downtime: 100, Stranded: 1}, Target{"a": {"small": 1}}},
-		{"stranded weighs most", models.Policy{Downtime: 1, Stranded: 9}, Target{"a": {"big": 1}, "b": {"small": 1}}},
+		{"downtime weighs most", models.Policy{DowntimeWeight: 100, StrandedWeight: 1}, Target{"a": {"small": 1}}},
+		{"stranded weighs most", models.Policy{DowntimeWeight: 1, StrandedWeight: 9}, Target{"a": {"big": 1}, "b": {"small": 1}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			qt.Assert(t, assign(supplies, wanted, test.policy), qt.DeepEquals, test.want)
@@ -84,8 +84,8 @@
 }
 
 func TestAssignRespectsPlacementRules(t *testing.T) {
-	wanted := []models.Model{{Name: "m", Members: 2, Replicas: 4, Place: models.Place{Zones: []models.Zone{"z1"}}}}
+	wanted := []models.Model{{Name: "m", Members: 2, Replicas: 4, Placement: models.PlacementRule{Zones: []models.Zone{"z1"}}}}
 	supplies := []supply{{domain: "a", zone: "z1", usable: 4, accelerators: 1}, {domain: "b", zone: "z2", usable: 8, accelerators: 1}}
-	target := assign(supplies, wanted, models.Policy{Downtime: 1, Stranded: 1})
+	target := assign(supplies, wanted, models.Policy{DowntimeWeight: 1, StrandedWeight: 1})
 	qt.Assert(t, target, qt.DeepEquals, Target{"a": {"m": 2}})
 }
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -184,7 +184,7 @@
 		return fmt.Sprintf("its model now serves version %s", m.Version)
 	case len(g.Members) != m.Members:
 		return fmt.Sprintf("its model now takes %d members", m.Members)
-	case !m.Place.Allows(g.Zone, g.Domain):
+	case !m.Placement.Allows(g.Zone, g.Domain):
 		return "its model may not stand there any more"
 	}
 	return ""
--- a/planner/retire.go
+++ b/planner/retire.go
@@ -25,7 +25,7 @@
 		}
 		reason := p.reasons[g.ID]
 		m, declared := p.State.Models[g.Model]
-		rolling := declared && p.unwantedReason(g) != "" && m.Place.Allows(g.Zone, g.Domain)
+		rolling := declared && p.unwantedReason(g) != "" && m.Placement.Allows(g.Zone, g.Domain)
 		switch {
 		case g.Retiring != 0 && p.idle(g):
 			p.ended[g.ID] = true
--- a/planner/why.go
+++ b/planner/why.go
@@ -24,7 +24,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(in.State.Models)) {
 		m := in.State.Models[name]
-		if target.total(name) < m.Replicas && m.Place.Allows(i.Zone, i.Domain) {
+		if target.total(name) < m.Replicas && m.Placement.Allows(i.Zone, i.Domain) {
 			return fmt.Sprintf("model %s wants %d members and fabric domain %s has %d free", name, m.Members, i.Domain, len(p.freeInstances(i.Domain, m)))
 		}
 	}
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -73,7 +73,7 @@
 	known := l.find(c)
 	if known == nil {
 		known = &crash{
-			instance: models.UpstreamInstance{ID: c.Instance, Born: c.Born}, at: c.At, requests: map[Digest]suspicion{},
+			instance: models.UpstreamInstance{ID: c.Instance, StartedAt: c.Born}, at: c.At, requests: map[Digest]suspicion{},
 		}
 		l.crashes = append(l.crashes, known)
 	}
@@ -90,7 +90,7 @@
 // find returns the known crash of the same instance since the same start, or nil.
 func (l *List) find(c Crash) *crash {
 	for _, known := range l.crashes {
-		if known.instance.ID == c.Instance && known.instance.LifeOf(c.Born) == models.SameLife {
+		if known.instance.ID == c.Instance && known.instance.CompareIncarnation(c.Born) == models.SameIncarnation {
 			return known
 		}
 	}
@@ -151,7 +151,7 @@
 func (l *List) Since(seen uint64, include func(Source) bool) ([]Crash, uint64) {
 	var out []Crash
 	for _, c := range l.crashes {
-		report := Crash{Instance: c.instance.ID, Born: c.instance.Born, At: c.at, Requests: map[Digest]bool{}}
+		report := Crash{Instance: c.instance.ID, Born: c.instance.StartedAt, At: c.at, Requests: map[Digest]bool{}}
 		for d, i := range c.requests {
 			if i.version > seen && include(i.source) {
 				report.Requests[d] = i.cleared
@@ -168,7 +168,7 @@
 func (l *List) Against(d Digest) []Crash {
 	var out []Crash
 	for _, c := range l.suspects[d] {
-		out = append(out, Crash{Instance: c.instance.ID, Born: c.instance.Born, At: c.at, Requests: map[Digest]bool{d: false}})
+		out = append(out, Crash{Instance: c.instance.ID, Born: c.instance.StartedAt, At: c.at, Requests: map[Digest]bool{d: false}})
 	}
 	return out
 }
@@ -183,7 +183,7 @@
 
 // HasCrashed reports whether the instance is known to have crashed since its last start.
 func (l *List) HasCrashed(i models.UpstreamInstance) bool {
-	return l.find(Crash{Instance: i.ID, Born: i.Born}) != nil
+	return l.find(Crash{Instance: i.ID, Born: i.StartedAt}) != nil
 }
 
 // Empty reports whether no crash is known.
--- a/query/answer.go
+++ b/query/answer.go
@@ -208,7 +208,7 @@
 		}
 		answer.Rows = append(answer.Rows, []string{
 			string(name), string(m.Version), fmt.Sprint(m.Members), fmt.Sprint(m.Replicas), fmt.Sprint(groups), fmt.Sprint(serving),
-			joinValues(m.Place.Zones, keywordAny), joinValues(m.Place.Domains, keywordAny), fmt.Sprint(m.Revision),
+			joinValues(m.Placement.Zones, keywordAny), joinValues(m.Placement.Domains, keywordAny), fmt.Sprint(m.Revision),
 		})
 	}
 	return answer
@@ -223,8 +223,8 @@
 			rules = append(rules, r.String())
 		}
 		answer.Rows = append(answer.Rows, []string{
-			string(name), joinValues(rules, keywordNone), joinValues(w.Services, keywordNone), joinValues(w.Place.Zones, keywordAny),
-			joinValues(w.Place.Domains, keywordAny), fmt.Sprint(w.Share), fmt.Sprint(w.Concurrent), fmt.Sprint(len(w.Tokens)), fmt.Sprint(w.Revision),
+			string(name), joinValues(rules, keywordNone), joinValues(w.Services, keywordNone), joinValues(w.Placement.Zones, keywordAny),
+			joinValues(w.Placement.Domains, keywordAny), fmt.Sprint(w.Share), fmt.Sprint(w.Concurrent), fmt.Sprint(len(w.Tokens)), fmt.Sprint(w.Revision),
 		})
 	}
 	return answer
@@ -241,7 +241,7 @@
 			}
 		}
 		answer.Rows = append(answer.Rows, []string{
-			string(name), fmt.Sprint(instances), joinValues(v.Place.Zones, keywordAny), joinValues(v.Place.Domains, keywordAny), fmt.Sprint(v.Revision),
+			string(name), fmt.Sprint(instances), joinValues(v.Placement.Zones, keywordAny), joinValues(v.Placement.Domains, keywordAny), fmt.Sprint(v.Revision),
 		})
 	}
 	return answer
@@ -290,8 +290,8 @@
 	answer := Answer{Columns: []string{"offset", "at", "operator", "daemon", "result", "change", "note"}}
 	for _, e := range f.State.Audit {
 		result := "accepted"
-		if e.Refused != "" {
-			result = "refused: " + e.Refused
+		if e.RejectionReason != "" {
+			result = "refused: " + e.RejectionReason
 		}
 		answer.Rows = append(answer.Rows, []string{
 			fmt.Sprint(e.Offset), e.At.Format(time.RFC3339), string(e.Operator), string(e.Daemon), result, e.Change, e.Note,
--- a/query/change.go
+++ b/query/change.go
@@ -77,7 +77,7 @@
 	case change.Limit != nil:
 		return c.limit(change.Limit, change.Base)
 	case change.Weigh != nil:
-		p := models.Policy{Downtime: change.Weigh.Downtime, Stranded: change.Weigh.Stranded}
+		p := models.Policy{DowntimeWeight: change.Weigh.Downtime, StrandedWeight: change.Weigh.Stranded}
 		c.ops = append(c.ops, state.PutPolicy{Base: baseRevision(change.Base, c.state.Policy.Revision), Policy: p})
 	case change.Drain != "":
 		id := models.InstanceID(change.Drain)
@@ -119,7 +119,7 @@
 	case "service":
 		v := c.draft.services[models.ServiceName(set.Name)]
 		v.Name = models.ServiceName(set.Name)
-		if err := setAttrs(set.Attrs, placeAttrs(&v.Place)); err != nil {
+		if err := setAttrs(set.Attrs, placeAttrs(&v.Placement)); err != nil {
 			return err
 		}
 		c.draft.services[v.Name] = v
@@ -237,7 +237,7 @@
 }
 
 func modelAttrs(m *models.Model) map[string]setter {
-	attrs := placeAttrs(&m.Place)
+	attrs := placeAttrs(&m.Placement)
 	attrs["version"] = setSingle(&m.Version)
 	attrs["members"] = setInt(&m.Members)
 	attrs["replicas"] = setInt(&m.Replicas)
@@ -249,7 +249,7 @@
 }
 
 func workspaceAttrs(w *models.Workspace) map[string]setter {
-	attrs := placeAttrs(&w.Place)
+	attrs := placeAttrs(&w.Placement)
 	for key, set := range limitAttrs(w) {
 		attrs[key] = set
 	}
@@ -277,7 +277,7 @@
 	return map[string]setter{"right": setSingle(&o.Right), "tokens": setList(&o.Tokens, keywordNone)}
 }
 
-func placeAttrs(p *models.Place) map[string]setter {
+func placeAttrs(p *models.PlacementRule) map[string]setter {
 	return map[string]setter{"zones": setList(&p.Zones, keywordAny), "domains": setList(&p.Domains, keywordAny)}
 }
 
--- a/query/diff.go
+++ b/query/diff.go
@@ -30,7 +30,7 @@
 		current, exists := s.Operators[op.Operator.Name]
 		return exists && printOperator(current) == printOperator(op.Operator)
 	case state.PutPolicy:
-		return s.Policy.Downtime == op.Policy.Downtime && s.Policy.Stranded == op.Policy.Stranded
+		return s.Policy.DowntimeWeight == op.Policy.DowntimeWeight && s.Policy.StrandedWeight == op.Policy.StrandedWeight
 	case state.DrainInstance:
 		_, drained := s.Drained[op.Instance]
 		return drained
--- a/query/print.go
+++ b/query/print.go
@@ -29,7 +29,7 @@
 	for _, name := range sortedKeys(s.Operators) {
 		b.WriteString(printOperator(s.Operators[name]) + "\n")
 	}
-	fmt.Fprintf(&b, "weigh downtime %d stranded %d\n", s.Policy.Downtime, s.Policy.Stranded)
+	fmt.Fprintf(&b, "weigh downtime %d stranded %d\n", s.Policy.DowntimeWeight, s.Policy.StrandedWeight)
 	for _, id := range sortedKeys(s.Drained) {
 		fmt.Fprintf(&b, "drain instance %s\n", id)
 	}
@@ -38,11 +38,11 @@
 
 func printModel(m models.Model) string {
 	return fmt.Sprintf("set model %s version %s members %d replicas %d %s",
-		m.Name, m.Version, m.Members, m.Replicas, printPlace(m.Place))
+		m.Name, m.Version, m.Members, m.Replicas, printPlace(m.Placement))
 }
 
 func printService(v models.Service) string {
-	return fmt.Sprintf("set service %s %s", v.Name, printPlace(v.Place))
+	return fmt.Sprintf("set service %s %s", v.Name, printPlace(v.Placement))
 }
 
 func printWorkspace(w models.Workspace) string {
@@ -52,14 +52,14 @@
 	}
 	return fmt.Sprintf("set workspace %s models %s services %s share %d concurrent %d tokens %s %s",
 		w.Name, joinValues(rules, keywordNone), joinValues(w.Services, keywordNone), w.Share, w.Concurrent,
-		joinValues(w.Tokens, keywordNone), printPlace(w.Place))
+		joinValues(w.Tokens, keywordNone), printPlace(w.Placement))
 }
 
 func printOperator(o models.Operator) string {
 	return fmt.Sprintf("set operator %s right %s tokens %s", o.Name, o.Right, joinValues(o.Tokens, keywordNone))
 }
 
-func printPlace(p models.Place) string {
+func printPlace(p models.PlacementRule) string {
 	return fmt.Sprintf("zones %s domains %s", joinValues(p.Zones, keywordAny), joinValues(p.Domains, keywordAny))
 }
 
--- a/query/trail.go
+++ b/query/trail.go
@@ -13,10 +13,10 @@
 const noOutcome = "in-flight or lost"
 
 func outcomeOf(e models.TrailEntry) string {
-	if e.End == "" {
+	if e.Outcome == "" {
 		return noOutcome
 	}
-	return e.End
+	return e.Outcome
 }
 
 // WhereRequest returns a table that shows where a request ran.
@@ -24,9 +24,9 @@
 	return Answer{
 		Columns: []string{"request", "end", "workspace", "wanted", "version", "group", "instances", "zone", "domain", "daemon", "started", "took", "tries"},
 		Rows: [][]string{{
-			string(e.Request), outcomeOf(e), string(e.Workspace), e.Wanted, string(e.Version), string(e.Group), instanceList(e),
+			string(e.Request), outcomeOf(e), string(e.Workspace), e.ModelOrService, string(e.Version), string(e.Group), instanceList(e),
 			string(e.Zone), string(e.Domain), string(e.Daemon), e.Started.UTC().Format(time.RFC3339Nano),
-			e.Took.Round(time.Millisecond).String(), fmt.Sprint(e.Tries),
+			e.Elapsed.Round(time.Millisecond).String(), fmt.Sprint(e.Attempts),
 		}},
 	}
 }
@@ -45,7 +45,7 @@
 	if len(e.Instances) > 0 {
 		place = fmt.Sprintf("It was sent to %s in zone %s, fabric domain %s", instanceList(e), e.Zone, e.Domain)
 	}
-	text := fmt.Sprintf("Request %s ended %s after %d tries. %s.", e.Request, outcomeOf(e), e.Tries, place)
+	text := fmt.Sprintf("Request %s ended %s after %d tries. %s.", e.Request, outcomeOf(e), e.Attempts, place)
 	if e.Reason != "" {
 		text += " The reason: " + e.Reason + "."
 	}
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -88,7 +88,7 @@
 	}
 	for n, w := range ask.Wanted {
 		r := rate(w)
-		if r == models.NoLimit {
+		if r == models.NoRateLimit {
 			return Grant{Granted: true, At: n, Waits: waits}
 		}
 		if r <= 0 {
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -98,15 +98,15 @@
 // publish to peers.
 func (l *Limits) Note(s Sighting, source Source) (Change, bool) {
 	lim := l.limits[s.Instance]
-	if lim != nil && lim.instance.LifeOf(s.Born) == models.EarlierLife {
+	if lim != nil && lim.instance.CompareIncarnation(s.Born) == models.EarlierIncarnation {
 		return Unchanged, false
 	}
-	if lim == nil && s.Rate == models.NoLimit {
+	if lim == nil && s.Rate == models.NoRateLimit {
 		return Unchanged, false
 	}
-	if lim == nil || lim.instance.LifeOf(s.Born) == models.LaterLife {
+	if lim == nil || lim.instance.CompareIncarnation(s.Born) == models.LaterIncarnation {
 		lim = &limit{
-			instance: models.UpstreamInstance{ID: s.Instance, Born: s.Born}, lastRate: models.NoLimit, lastNumbers: map[models.DaemonID]int64{},
+			instance: models.UpstreamInstance{ID: s.Instance, StartedAt: s.Born}, lastRate: models.NoRateLimit, lastNumbers: map[models.DaemonID]int64{},
 		}
 		if l.limits == nil {
 			l.limits = map[models.InstanceID]*limit{}
@@ -137,9 +137,9 @@
 	switch {
 	case after == before:
 		return Unchanged
-	case before == models.NoLimit:
+	case before == models.NoRateLimit:
 		return Begun
-	case after == models.NoLimit:
+	case after == models.NoRateLimit:
 		return Ended
 	default:
 		return Changed
@@ -162,7 +162,7 @@
 		l.spans = append(l.spans, s)
 		l.dropHighest()
 	}
-	if before != models.NoLimit && l.rate() == models.NoLimit {
+	if before != models.NoRateLimit && l.rate() == models.NoRateLimit {
 		l.lastRate, l.endedAt = before, s.heard
 	}
 	return true
@@ -195,7 +195,7 @@
 
 // rate is the limit in force, models.NoLimit if there is none.
 func (l *limit) rate() float64 {
-	rate := models.NoLimit
+	rate := models.NoRateLimit
 	for _, s := range l.spans {
 		rate = min(rate, s.rate)
 	}
@@ -215,15 +215,15 @@
 // models.NoLimit if it is not limited. After a limit has ended, the rate increases gradually.
 func (l *Limits) Rate(i models.UpstreamInstance, now time.Time) float64 {
 	lim := l.limits[i.ID]
-	if lim == nil || i.LifeOf(lim.instance.Born) == models.EarlierLife {
-		return models.NoLimit
+	if lim == nil || i.CompareIncarnation(lim.instance.StartedAt) == models.EarlierIncarnation {
+		return models.NoRateLimit
 	}
-	if rate := lim.rate(); rate != models.NoLimit {
+	if rate := lim.rate(); rate != models.NoRateLimit {
 		return max(minRate, rate)
 	}
 	since := now.Sub(lim.endedAt)
-	if lim.lastRate == models.NoLimit || since >= rampUpTime {
-		return models.NoLimit
+	if lim.lastRate == models.NoRateLimit || since >= rampUpTime {
+		return models.NoRateLimit
 	}
 	return max(minRate, lim.lastRate) * math.Exp2(max(0, since.Seconds())/rampDoublingTime.Seconds())
 }
@@ -233,14 +233,14 @@
 	if lim := l.limits[id]; lim != nil {
 		return lim.rate()
 	}
-	return models.NoLimit
+	return models.NoRateLimit
 }
 
 // InForce is the number of instances that announce a limit.
 func (l *Limits) InForce() int {
 	n := 0
 	for _, lim := range l.limits {
-		if lim.rate() != models.NoLimit {
+		if lim.rate() != models.NoRateLimit {
 			n++
 		}
 	}
@@ -259,7 +259,7 @@
 			continue
 		}
 		for _, s := range lim.spans {
-			out = append(out, Sighting{Instance: id, Born: lim.instance.Born, Rate: s.rate, Asked: s.asked, Heard: s.heard, By: s.by, Number: s.number})
+			out = append(out, Sighting{Instance: id, Born: lim.instance.StartedAt, Rate: s.rate, Asked: s.asked, Heard: s.heard, By: s.by, Number: s.number})
 		}
 	}
 	return out, l.version
@@ -268,7 +268,7 @@
 // Prune drops instances that are gone, and limits that ended longer than endedRetention ago.
 func (l *Limits) Prune(gone func(models.InstanceID) bool, now time.Time) {
 	for id, lim := range l.limits {
-		inForce := lim.rate() != models.NoLimit
+		inForce := lim.rate() != models.NoRateLimit
 		switch {
 		case inForce && gone(id) && now.Sub(lim.lastHeard()) > endedRetention, !inForce && now.Sub(lim.endedAt) > endedRetention:
 			delete(l.limits, id)
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -15,7 +15,7 @@
 // other.
 func drawSightings(t *rapid.T, began time.Time) []Sighting {
 	var out []Sighting
-	rates := rapid.SliceOfN(rapid.SampledFrom([]float64{0.5, 1.5, 2, 4, models.NoLimit}), 1, 5).Draw(t, "rates")
+	rates := rapid.SliceOfN(rapid.SampledFrom([]float64{0.5, 1.5, 2, 4, models.NoRateLimit}), 1, 5).Draw(t, "rates")
 	ms := func(most int, label string) time.Duration {
 		return time.Duration(rapid.IntRange(0, most).Draw(t, label)) * time.Millisecond
 	}
@@ -35,7 +35,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		began := time.Unix(1_000_000, 0)
 		sightings := drawSightings(t, began)
-		want := models.NoLimit
+		want := models.NoRateLimit
 		for _, s := range sightings {
 			superseded := false
 			for _, other := range sightings {
@@ -76,7 +76,7 @@
 	c.Assert(publish, qt.IsFalse)
 	published, _ = l.Since(seen, all)
 	c.Assert(published, qt.HasLen, 0)
-	_, publish = l.Note(Sighting{Instance: "i1", Rate: models.NoLimit, Asked: at(-10), Heard: at(15)}, "peer")
+	_, publish = l.Note(Sighting{Instance: "i1", Rate: models.NoRateLimit, Asked: at(-10), Heard: at(15)}, "peer")
 	c.Assert(publish, qt.IsTrue)
 	published, _ = l.Since(seen, func(s Source) bool { return s == "" })
 	c.Assert(published, qt.DeepEquals, []Sighting{{Instance: "i1", Rate: 2, Asked: at(20), Heard: at(30)}})
@@ -97,7 +97,7 @@
 		c.Assert(change, qt.Equals, Unchanged)
 		c.Assert(publish, qt.IsFalse)
 	}
-	change, _ = l.Note(Sighting{Instance: "i1", Rate: models.NoLimit, Asked: at(20), Heard: at(30), By: "peer", Number: 2}, "peer")
+	change, _ = l.Note(Sighting{Instance: "i1", Rate: models.NoRateLimit, Asked: at(20), Heard: at(30), By: "peer", Number: 2}, "peer")
 	c.Assert(change, qt.Equals, Ended)
 }
 
@@ -119,21 +119,21 @@
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
-	i := models.UpstreamInstance{ID: "i1", Born: at(-5000)}
+	i := models.UpstreamInstance{ID: "i1", StartedAt: at(-5000)}
 	var l Limits
-	l.Note(Sighting{Instance: "i1", Born: i.Born, Rate: 2, Asked: at(0), Heard: at(10)}, "")
+	l.Note(Sighting{Instance: "i1", Born: i.StartedAt, Rate: 2, Asked: at(0), Heard: at(10)}, "")
 	c.Assert(l.Rate(i, at(20)), qt.Equals, 2.0)
-	change, _ := l.Note(Sighting{Instance: "i1", Born: i.Born, Rate: models.NoLimit, Asked: at(20), Heard: at(1000)}, "")
+	change, _ := l.Note(Sighting{Instance: "i1", Born: i.StartedAt, Rate: models.NoRateLimit, Asked: at(20), Heard: at(1000)}, "")
 	c.Assert(change, qt.Equals, Ended)
 	c.Assert(l.Rate(i, at(1000)), qt.Equals, 2.0)
 	c.Assert(l.Rate(i, at(2000)), qt.Equals, 8.0)
-	l.Note(Sighting{Instance: "i1", Born: i.Born, Rate: models.NoLimit, Asked: at(2000), Heard: at(2500)}, "")
+	l.Note(Sighting{Instance: "i1", Born: i.StartedAt, Rate: models.NoRateLimit, Asked: at(2000), Heard: at(2500)}, "")
 	c.Assert(l.Rate(i, at(3000)), qt.Equals, 32.0)
-	c.Assert(l.Rate(i, at(4000)), qt.Equals, models.NoLimit)
+	c.Assert(l.Rate(i, at(4000)), qt.Equals, models.NoRateLimit)
 
-	l.Note(Sighting{Instance: "i1", Born: i.Born, Rate: 0, Asked: at(4000), Heard: at(4010)}, "")
+	l.Note(Sighting{Instance: "i1", Born: i.StartedAt, Rate: 0, Asked: at(4000), Heard: at(4010)}, "")
 	c.Assert(l.Rate(i, at(4020)), qt.Equals, minRate)
-	c.Assert(l.Rate(models.UpstreamInstance{ID: "i1", Born: at(4015)}, at(4020)), qt.Equals, models.NoLimit)
+	c.Assert(l.Rate(models.UpstreamInstance{ID: "i1", StartedAt: at(4015)}, at(4020)), qt.Equals, models.NoRateLimit)
 	c.Assert(l.InForce(), qt.Equals, 1)
 	l.Prune(func(models.InstanceID) bool { return true }, at(5000))
 	c.Assert(l.Empty(), qt.IsFalse)
@@ -146,6 +146,6 @@
 	now := time.Now()
 	i := models.UpstreamInstance{ID: "fabric-a-1"}
 	l.Note(Sighting{Instance: i.ID, Rate: 1.5, Asked: now.Add(-30 * time.Millisecond), Heard: now}, "")
-	fmt.Println(l.Rate(i, now), l.Rate(models.UpstreamInstance{ID: "fabric-a-2"}, now) == models.NoLimit)
+	fmt.Println(l.Rate(i, now), l.Rate(models.UpstreamInstance{ID: "fabric-a-2"}, now) == models.NoRateLimit)
 	// Output: 1.5 true
 }
--- a/router/choose.go
+++ b/router/choose.go
@@ -173,7 +173,7 @@
 // the workspace may use the group's version.
 func (t Table) placementAllowed(w models.Workspace, model models.Model, g models.Group) bool {
 	return g.Model == model.Name && w.AllowsModel(g.Model, g.Version) &&
-		model.Place.Allows(g.Zone, g.Domain) && w.Place.Allows(g.Zone, g.Domain)
+		model.Placement.Allows(g.Zone, g.Domain) && w.Placement.Allows(g.Zone, g.Domain)
 }
 
 func targetOf(g models.Group) Target {
@@ -198,7 +198,7 @@
 	lowest := 0
 	for _, s := range t.Services[name] {
 		i := s.Instance
-		allowed := service.Place.Allows(i.Zone, i.Domain) && w.Place.Allows(i.Zone, i.Domain)
+		allowed := service.Placement.Allows(i.Zone, i.Domain) && w.Placement.Allows(i.Zone, i.Domain)
 		if !allowed || !now.Before(s.OpenUntil) || slices.Contains(exclude, i.Addr) {
 			continue
 		}
--- a/router/choose_test.go
+++ b/router/choose_test.go
@@ -18,10 +18,10 @@
 
 func idle(netip.AddrPort) int { return 0 }
 
-func genPlace(t *rapid.T, label string) models.Place {
+func genPlace(t *rapid.T, label string) models.PlacementRule {
 	zones := rapid.SliceOfDistinct(rapid.SampledFrom([]models.Zone{"z0", "z1", "z2"}), rapid.ID).Draw(t, label+" zones")
 	domains := rapid.SliceOfDistinct(rapid.SampledFrom([]models.Domain{"d0", "d1", "d2"}), rapid.ID).Draw(t, label+" domains")
-	return models.Place{Zones: zones, Domains: domains}
+	return models.PlacementRule{Zones: zones, Domains: domains}
 }
 
 // TestChooseGroupRespectsPlacementRules checks for random configurations and requests that
@@ -31,9 +31,9 @@
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		s := state.New()
 		versions := []models.Version{"v1", "v2"}
-		model := models.Model{Name: "m", Version: rapid.SampledFrom(versions).Draw(t, "version"), Place: genPlace(t, "model")}
+		model := models.Model{Name: "m", Version: rapid.SampledFrom(versions).Draw(t, "version"), Placement: genPlace(t, "model")}
 		s.Models["m"] = model
-		w := models.Workspace{Name: "w", Place: genPlace(t, "workspace")}
+		w := models.Workspace{Name: "w", Placement: genPlace(t, "workspace")}
 		rule := models.ModelRule{Model: "m", Version: rapid.SampledFrom([]models.Version{"", "v1", "v2"}).Draw(t, "pinned")}
 		w.Models = []models.ModelRule{rule}
 		table := router.Table{State: s, Gates: map[models.GroupID]planner.Gate{}}
@@ -54,7 +54,7 @@
 			return
 		}
 		g := target.Group
-		if !model.Place.Allows(g.Zone, g.Domain) || !w.Place.Allows(g.Zone, g.Domain) || !w.AllowsModel("m", g.Version) || !table.Gates[g.ID].Open(now) {
+		if !model.Placement.Allows(g.Zone, g.Domain) || !w.Placement.Allows(g.Zone, g.Domain) || !w.AllowsModel("m", g.Version) || !table.Gates[g.ID].Open(now) {
 			t.Fatalf("sent to %+v", g)
 		}
 	})
--- a/soak/limit_test.go
+++ b/soak/limit_test.go
@@ -116,7 +116,7 @@
 func end(_ *site, limited []*replica.Instance) {
 	time.Sleep(limitedFor - 4*time.Second)
 	for _, i := range limited {
-		i.NameLimit(models.NoLimit)
+		i.NameLimit(models.NoRateLimit)
 	}
 }
 
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -25,8 +25,8 @@
 // profile has the shape of the users' engines with times a tenth as long.
 var profile = replica.Profile{
 	Models: []models.ModelProfile{
-		{Name: "big", Size: 3, Share: 0.5, Pace: 1, Load: 1200 * time.Millisecond, Warm: 200 * time.Millisecond},
-		{Name: "small", Size: 2, Share: 0.5, Pace: 0.6, Load: 900 * time.Millisecond, Warm: 150 * time.Millisecond},
+		{Name: "big", GroupSize: 3, Share: 0.5, TimeFactor: 1, LoadTime: 1200 * time.Millisecond, WarmLoadTime: 200 * time.Millisecond},
+		{Name: "small", GroupSize: 2, Share: 0.5, TimeFactor: 0.6, LoadTime: 900 * time.Millisecond, WarmLoadTime: 150 * time.Millisecond},
 	},
 	FormTime: 60 * time.Millisecond, Stall: time.Second, EventEvery: 15 * time.Millisecond, Events: 12,
 	Heartbeat: 200 * time.Millisecond, Slots: 8,
--- a/standin/replica/instance.go
+++ b/standin/replica/instance.go
@@ -160,7 +160,7 @@
 // checkWhole checks that a head that opens has a group.
 func (i *Instance) checkWhole() {
 	model, _ := i.f.profile.model(i.model)
-	if len(i.members) != model.Size {
+	if len(i.members) != model.GroupSize {
 		i.f.fail("group %s opens with %d members", i.group.Key.Name, len(i.members))
 	}
 	for _, id := range i.members {
--- a/standin/replica/limit.go
+++ b/standin/replica/limit.go
@@ -52,14 +52,14 @@
 func (i *Instance) tellLimit(w http.ResponseWriter) {
 	i.f.mu.Lock()
 	defer i.f.mu.Unlock()
-	if rate := i.limit.at(time.Now()); rate != models.NoLimit {
+	if rate := i.limit.at(time.Now()); rate != models.NoRateLimit {
 		w.Header().Set(headerLimit, strconv.FormatFloat(rate, 'f', -1, 64))
 	}
 }
 
 // at is the limit at some time.
 func (r *limitRecord) at(t time.Time) float64 {
-	rate := models.NoLimit
+	rate := models.NoRateLimit
 	for _, n := range r.named {
 		if !n.at.After(t) {
 			rate = n.rate
@@ -85,7 +85,7 @@
 	sum := 0.0
 	for t := from; t.Before(to); t = t.Add(limitStep) {
 		rate := r.most(t.Add(-limitLag), t)
-		if rate == models.NoLimit {
+		if rate == models.NoRateLimit {
 			return 0, false
 		}
 		sum += rate * limitStep.Seconds()
@@ -147,7 +147,7 @@
 	count := 0
 	for _, n := range i.limit.named {
 		for _, t := range i.limit.arrivals {
-			if n.rate == models.NoLimit && t.After(n.at) && t.Before(n.at.Add(d)) {
+			if n.rate == models.NoRateLimit && t.After(n.at) && t.Before(n.at.Add(d)) {
 				count++
 			}
 		}
--- a/standin/replica/orders.go
+++ b/standin/replica/orders.go
@@ -71,7 +71,7 @@
 	if slices.Contains(i.staged, name) {
 		return http.StatusOK
 	}
-	i.staging, i.stagedAt = name, now.Add(model.Load)
+	i.staging, i.stagedAt = name, now.Add(model.LoadTime)
 	return http.StatusAccepted
 }
 
@@ -104,9 +104,9 @@
 	case i.model == o.Model:
 		i.readyAt = now.Add(rejoin)
 	case slices.Contains(i.staged, o.Model):
-		i.readyAt = now.Add(model.Warm)
+		i.readyAt = now.Add(model.WarmLoadTime)
 	default:
-		i.readyAt = now.Add(model.Load)
+		i.readyAt = now.Add(model.LoadTime)
 	}
 	return http.StatusAccepted
 }
--- a/state/apply.go
+++ b/state/apply.go
@@ -166,7 +166,7 @@
 	if len(g.Members) != model.Members {
 		return fmt.Errorf("%w: model %s needs %d members, not %d", ErrInvalid, g.Model, model.Members, len(g.Members))
 	}
-	if !model.Place.Allows(g.Zone, g.Domain) {
+	if !model.Placement.Allows(g.Zone, g.Domain) {
 		return fmt.Errorf("%w: model %s may not stand in zone %s, fabric domain %s", ErrInvalid, g.Model, g.Zone, g.Domain)
 	}
 	ids := map[models.InstanceID]bool{}
--- a/state/change.go
+++ b/state/change.go
@@ -17,7 +17,7 @@
 		Change: change.Text, Note: change.Note,
 	}
 	if err != nil {
-		entry.Refused = err.Error()
+		entry.RejectionReason = err.Error()
 	}
 	s.appendAudit(entry)
 	if err != nil {
--- a/state/property_test.go
+++ b/state/property_test.go
@@ -47,7 +47,7 @@
 	case 5:
 		return state.UndrainInstance{Base: base(s.Drained[id].Revision), Instance: id}
 	default:
-		return state.PutPolicy{Base: base(s.Policy.Revision), Policy: models.Policy{Downtime: 2, Stranded: 1}}
+		return state.PutPolicy{Base: base(s.Policy.Revision), Policy: models.Policy{DowntimeWeight: 2, StrandedWeight: 1}}
 	}
 }
 
--- a/state/state.go
+++ b/state/state.go
@@ -62,7 +62,7 @@
 		Workspaces: map[models.WorkspaceName]models.Workspace{},
 		Services:   map[models.ServiceName]models.Service{},
 		Operators:  map[models.OperatorName]models.Operator{},
-		Policy:     models.Policy{Downtime: 1, Stranded: 1},
+		Policy:     models.Policy{DowntimeWeight: 1, StrandedWeight: 1},
 		Drained:    map[models.InstanceID]models.Drain{},
 		Groups:     map[models.GroupID]models.Group{},
 		Daemons:    map[models.DaemonID]models.Daemon{},
