--- a/cluster/entries.go
+++ b/cluster/entries.go
@@ -154,7 +154,7 @@
 // word, with all that followed: a reading that was overtaken would bring back an instance
 // that is gone.
 func (o *owner) handleRecord(r platform.KeyedRecord, asked time.Time) {
-	if r.At.Compare(o.fleet.entries.end) < 0 {
+	if r.Position.Compare(o.fleet.entries.end) < 0 {
 		return
 	}
 	id := models.InstanceID(r.Key)
@@ -172,7 +172,7 @@
 	}
 	delete(o.fleet.unreadable, id)
 	o.noteEntry(i, asked)
-	o.fleet.noteListed(id, models.Position{Era: r.At.Era, Offset: r.At.Offset + 1}, time.Time{})
+	o.fleet.noteListed(id, models.Position{Era: r.Position.Era, Offset: r.Position.Offset + 1}, time.Time{})
 }
 
 // dropUnlisted drops the instances that a whole reading does not list, and tells the
--- a/cluster/known_test.go
+++ b/cluster/known_test.go
@@ -277,7 +277,7 @@
 }
 
 func (s *knownScript) append(id string, value []byte) {
-	s.log = append(s.log, platform.KeyedRecord{Key: id, Value: value, At: s.position(len(s.log))})
+	s.log = append(s.log, platform.KeyedRecord{Key: id, Value: value, Position: s.position(len(s.log))})
 	s.wrote = append(s.wrote, time.Now())
 }
 
@@ -296,7 +296,7 @@
 	}
 	newest := map[string]platform.KeyedRecord{}
 	for at, r := range s.log {
-		r.At = s.position(at)
+		r.Position = s.position(at)
 		newest[r.Key] = r
 	}
 	maps.DeleteFunc(newest, func(_ string, r platform.KeyedRecord) bool { return r.Value == nil })
--- a/cluster/lease.go
+++ b/cluster/lease.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return false, lease, err
 	}
-	return slices.Contains(lease.Parts, plannerPart), lease, nil
+	return slices.Contains(lease.Partitions, plannerPart), lease, nil
 }
 
 // beginTerm returns a term newer than all before, and its era; 0 if the store gave
--- a/cluster/lives_test.go
+++ b/cluster/lives_test.go
@@ -134,7 +134,7 @@
 	case "report":
 		s.o.handleReport(reportEnded{instance: f.instance, asked: now.Add(f.asked)})
 	case "silence":
-		s.o.handleReport(reportEnded{instance: f.instance, asked: now.Add(f.asked), err: platform.ErrInstance})
+		s.o.handleReport(reportEnded{instance: f.instance, asked: now.Add(f.asked), err: platform.ErrInvalidInstance})
 	case "ended":
 		order := types.GroupOrder{Kind: types.GroupJoin, Instance: id, Born: f.instance.StartedAt}
 		s.o.handleOrderEnded(orderEnded{order: order, outcome: f.outcome, at: now})
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -81,7 +81,7 @@
 	clock      *timer.Service
 	traffic    Traffic
 	store      *platform.Store
-	instances  *platform.Instances
+	instances  *platform.InstanceClient
 	conns      *h1.Pool
 	inbox      chan message
 	view       atomic.Pointer[View]
@@ -195,7 +195,7 @@
 	}
 	n.conns = h1.NewPool(dialTimeout, nil)
 	n.store = platform.NewStore(cfg.Store, n.conns)
-	n.instances = platform.NewInstances(n.conns, n.hearInstance)
+	n.instances = platform.NewInstanceClient(n.conns, n.hearInstance)
 	n.links = newLinks(n)
 	n.quarantine = NewQuarantine(n.links.wakeAll, set, log)
 	n.limits = NewLimits(cfg.ID, n.tellLimits, set, log)
@@ -289,7 +289,7 @@
 		given := time.Now()
 		limited, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
-		outcome, err := n.instances.Order(limited, addr, o)
+		outcome, err := n.instances.SendOrder(limited, addr, o)
 		took := time.Since(given)
 		n.stats.orderTime.Update(took.Seconds())
 		n.tell(ctx, orderEnded{order: o, outcome: outcome, err: err, at: time.Now(), took: took})
@@ -313,7 +313,7 @@
 		asked := time.Now()
 		limited, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		told, err := n.instances.Report(limited, i)
+		told, err := n.instances.FetchReport(limited, i)
 		took := time.Since(asked)
 		n.stats.reportTime.Update(took.Seconds())
 		n.tell(ctx, reportEnded{instance: told, err: err, asked: asked, took: took})
--- a/cluster/reports_test.go
+++ b/cluster/reports_test.go
@@ -28,7 +28,7 @@
 	o.handleReport(reportEnded{instance: member, asked: now.Add(2 * time.Second)})
 	o.handleReport(reportEnded{instance: alone, asked: now.Add(time.Second)})
 	c.Assert(group(), qt.Equals, models.MemberReady)
-	o.handleReport(reportEnded{instance: alone, err: platform.ErrInstance, asked: now.Add(time.Second)})
+	o.handleReport(reportEnded{instance: alone, err: platform.ErrInvalidInstance, asked: now.Add(time.Second)})
 	c.Assert(o.fleet.instances["i-1"].lost.IsZero(), qt.IsTrue)
 
 	o.handleLease(leaseHeld{term: 1, until: now.Add(time.Minute)})
@@ -49,7 +49,7 @@
 	o.noteEntry(models.UpstreamInstance{ID: "i-1", Group: models.Membership{Key: key, State: models.MemberOpen}}, now)
 	i := o.fleet.instances["i-1"]
 	miss := func(asked time.Time) {
-		o.handleReport(reportEnded{instance: i.UpstreamInstance, err: platform.ErrInstance, asked: asked})
+		o.handleReport(reportEnded{instance: i.UpstreamInstance, err: platform.ErrInvalidInstance, asked: asked})
 	}
 	miss(now)
 	c.Assert(i.lost.IsZero(), qt.IsTrue)
--- a/cluster/unlisted_test.go
+++ b/cluster/unlisted_test.go
@@ -43,7 +43,7 @@
 
 	gone("second")
 	for range 2 {
-		o.handleReport(reportEnded{instance: models.UpstreamInstance{ID: "second"}, err: platform.ErrInstance, asked: time.Now()})
+		o.handleReport(reportEnded{instance: models.UpstreamInstance{ID: "second"}, err: platform.ErrInvalidInstance, asked: time.Now()})
 	}
 	o.watchUnlisted(now)
 	c.Assert(known("second"), qt.IsFalse, qt.Commentf("it does not answer"))
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -84,7 +84,7 @@
 	switch {
 	case resp.Status != http.StatusOK:
 		return errFailureResponse
-	case !platform.DecodeAnswer(resp.Status, resp.Header).Signed:
+	case !platform.DecodeResponse(resp.Status, resp.Header).Signed:
 		return errors.Join(errMaybeExecuted, errUnsigned)
 	}
 	a.events = sse.NewReader(resp.Body)
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -123,7 +123,7 @@
 // writeHead forwards the head of a response.
 func (e *exchange) writeHead(status int, h http.Header) {
 	out := e.w.Header()
-	for name, values := range platform.AnswerHeader(h) {
+	for name, values := range platform.ResponseHeader(h) {
 		out[name] = values
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -56,7 +56,7 @@
 		Method: e.r.Method, Target: e.r.RequestURI, Host: e.r.Host, Header: platform.ForwardHeader(e.r.Header, a), Body: e.body,
 		Freshest: maxIdle, Patience: readTimeout,
 		Ready: func() error { return e.checkAdmission(i, p) },
-		Mine:  func(h http.Header) bool { return platform.DecodeAnswer(0, h).ID == e.head.ID },
+		Mine:  func(h http.Header) bool { return platform.DecodeResponse(0, h).ID == e.head.ID },
 	})
 	if err != nil && ctx.Err() == nil && !errors.Is(err, h1.ErrStalled) && !errors.Is(err, errNotAdmitted) {
 		e.g.scheduler.addFailure(i)
@@ -67,7 +67,7 @@
 	case err != nil:
 		return nil, breaker.Unanswered, errors.Join(errMaybeExecuted, err)
 	}
-	head := platform.DecodeAnswer(resp.Status, resp.Header)
+	head := platform.DecodeResponse(resp.Status, resp.Header)
 	e.recordSignals(i, head, resp.Status, sentAt)
 	if !head.NotRun {
 		e.g.scheduler.addSuccess(i.ID)
--- a/gateway/unary.go
+++ b/gateway/unary.go
@@ -98,7 +98,7 @@
 	if resp.Status >= http.StatusInternalServerError && e.route.Idempotent() && !last {
 		return errMaybeExecuted
 	}
-	if resp.Status < http.StatusMultipleChoices && !platform.DecodeAnswer(resp.Status, resp.Header).Signed {
+	if resp.Status < http.StatusMultipleChoices && !platform.DecodeResponse(resp.Status, resp.Header).Signed {
 		return errors.Join(errMaybeExecuted, errUnsigned)
 	}
 	e.setContentLength(resp, body)
