--- a/daemon/act.go
+++ b/daemon/act.go
@@ -72,7 +72,7 @@
 			since = in.Now
 		}
 		wanted[key] = since
-		wait := time.Duration(o.rank(p.Key, in.Now)) * turnStep
+		wait := time.Duration(o.rank(p.RendezvousKey, in.Now)) * turnStep
 		if in.Now.Sub(since) < wait || o.pendingFor(key) {
 			continue
 		}
@@ -102,7 +102,7 @@
 // turn.
 func (o *owner) sendOrders(in planner.Input) {
 	for domain, dispatches := range planner.Orders(in) {
-		if o.rank(planner.OrderKey(domain), in.Now) != 0 {
+		if o.rank(planner.OrderRendezvousKey(domain), in.Now) != 0 {
 			continue
 		}
 		for _, d := range dispatches {
--- a/daemon/owner.go
+++ b/daemon/owner.go
@@ -201,7 +201,7 @@
 	o.d.stats.pauses.Inc()
 	o.d.log.Warn().Dur("for", tick.Paused).Msg("process-paused")
 	for id, e := range o.evidence {
-		e.Watched = tick.At
+		e.ProbedSince = tick.At
 		o.evidence[id] = e
 	}
 	clear(o.standing)
@@ -243,7 +243,7 @@
 	now := time.Now()
 	for id := range engines {
 		if _, known := o.evidence[id]; !known {
-			o.evidence[id] = planner.Evidence{Watched: now}
+			o.evidence[id] = planner.Evidence{ProbedSince: now}
 		}
 	}
 	maps.DeleteFunc(o.evidence, func(id models.InstanceID, _ planner.Evidence) bool {
@@ -276,10 +276,10 @@
 
 func (o *owner) handleInstanceSeen(msg types.InstanceSeen) {
 	e, watched := o.evidence[msg.Instance]
-	if !watched || msg.Asked.Before(e.Seen) {
+	if !watched || msg.Asked.Before(e.LastSeen) {
 		return
 	}
-	e.Direct, e.SilentSince = msg.Asked, time.Time{}
+	e.LastReply, e.UnansweredSince = msg.Asked, time.Time{}
 	o.see(msg.Instance, e, msg.Asked, msg.Status)
 }
 
@@ -289,13 +289,13 @@
 		(e.Status.InFlight > 0) != (status.InFlight > 0) {
 		o.changed, o.replan = true, true
 	}
-	if !e.Seen.IsZero() && e.Away(at) > o.d.cfg.ReplaceAfter {
-		e.Absences++
+	if !e.LastSeen.IsZero() && e.UnreachableFor(at) > o.d.cfg.ReplaceAfter {
+		e.Flaps++
 		e.Returned = at
-	} else if e.Absences > 0 && at.Sub(e.Returned) > forgetAbsences {
-		e.Absences = 0
+	} else if e.Flaps > 0 && at.Sub(e.Returned) > forgetAbsences {
+		e.Flaps = 0
 	}
-	e.Seen, e.Status = at, status
+	e.LastSeen, e.Status = at, status
 	o.evidence[id] = e
 }
 
@@ -308,7 +308,7 @@
 func (o *owner) handleVouched(msg types.PeerVouched) {
 	for _, v := range msg.Vouches {
 		e, watched := o.evidence[v.Status.Instance]
-		if at := msg.Asked.Add(-v.Age); watched && at.After(e.Seen) {
+		if at := msg.Asked.Add(-v.Age); watched && at.After(e.LastSeen) {
 			o.see(v.Status.Instance, e, at, v.Status)
 		}
 	}
@@ -319,8 +319,8 @@
 	if !watched {
 		return
 	}
-	if e.SilentSince.IsZero() {
-		e.SilentSince = msg.Asked
+	if e.UnansweredSince.IsZero() {
+		e.UnansweredSince = msg.Asked
 		o.d.log.Warn().Str("instance", string(msg.Instance)).Err(msg.Err).Msg("instance-silent")
 		o.changed, o.replan = true, true
 	}
@@ -357,7 +357,7 @@
 func (o *owner) silentInstances() []models.InstanceID {
 	var out []models.InstanceID
 	for id, e := range o.evidence {
-		if !e.SilentSince.IsZero() && len(out) < maxVouches {
+		if !e.UnansweredSince.IsZero() && len(out) < maxVouches {
 			out = append(out, id)
 		}
 	}
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -134,7 +134,7 @@
 	}
 	for _, id := range beat.Silent[:min(len(beat.Silent), maxVouches)] {
 		e, watched := v.Evidence[id]
-		if age := now.Sub(e.Direct); watched && e.SilentSince.IsZero() && age < d.cfg.GateBound {
+		if age := now.Sub(e.LastReply); watched && e.UnansweredSince.IsZero() && age < d.cfg.GateBound {
 			answer.Vouches = append(answer.Vouches, types.Vouch{Age: age, Status: e.Status})
 		}
 	}
@@ -263,7 +263,7 @@
 	if len(others) < fullMesh {
 		return others
 	}
-	ring := planner.Order(append(others, self), "heartbeats")
+	ring := planner.RendezvousOrder(append(others, self), "heartbeats")
 	at := slices.Index(ring, self)
 	var out []models.DaemonID
 	for step := 1; step < len(ring); step *= ringFactor {
@@ -285,7 +285,7 @@
 			alive = append(alive, id)
 		}
 	}
-	return planner.Rank(o.d.cfg.ID, alive, key)
+	return planner.RendezvousRank(o.d.cfg.ID, alive, key)
 }
 
 // currentUntil is how long the state may be taken for current: a bounded
--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -281,12 +281,12 @@
 	now := time.Now()
 	in := planner.Input{
 		State: s, Instances: map[models.InstanceID]models.Instance{}, Evidence: map[models.InstanceID]planner.Evidence{},
-		Now: now, Rules: planner.Rules{ReplaceAfter: time.Second, Bound: time.Second},
+		Now: now, Rules: planner.Rules{ReplaceAfter: time.Second, MaxEvidenceAge: time.Second},
 	}
 	for _, g := range s.Groups {
 		for _, m := range g.Members {
 			in.Instances[m.ID] = models.Instance{ID: m.ID, Kind: models.KindEngine, Addr: m.Addr, Zone: g.Zone, Domain: g.Domain, Accelerators: 1}
-			in.Evidence[m.ID] = planner.Evidence{Seen: now, Watched: now, Status: types.EngineStatus{
+			in.Evidence[m.ID] = planner.Evidence{LastSeen: now, ProbedSince: now, Status: types.EngineStatus{
 				Instance: m.ID, Group: g.ID, Fence: g.Fence, Model: g.Model, Version: g.Version, Phase: types.PhaseLoaded,
 			}}
 		}
--- a/measure/naive_planner.go
+++ b/measure/naive_planner.go
@@ -22,7 +22,7 @@
 	have := map[models.ModelName]int{}
 	away := func(id models.InstanceID) bool {
 		e, known := in.Evidence[id]
-		return !known || (!e.SilentSince.IsZero() && e.Away(in.Now) > naiveTimeout)
+		return !known || (!e.UnansweredSince.IsZero() && e.UnreachableFor(in.Now) > naiveTimeout)
 	}
 	for _, id := range slices.Sorted(maps.Keys(in.State.Groups)) {
 		g := in.State.Groups[id]
@@ -35,7 +35,7 @@
 	free := map[models.Domain][]models.Member{}
 	for _, id := range slices.Sorted(maps.Keys(in.Instances)) {
 		i := in.Instances[id]
-		if _, owned := in.State.Owner(id); !owned && in.Evidence[id].SilentSince.IsZero() && !in.Evidence[id].Seen.IsZero() && !i.Leaving {
+		if _, owned := in.State.Owner(id); !owned && in.Evidence[id].UnansweredSince.IsZero() && !in.Evidence[id].LastSeen.IsZero() && !i.Leaving {
 			free[i.Domain] = append(free[i.Domain], models.Member{ID: id, Accelerators: i.Accelerators, ChecksFences: true})
 		}
 	}
--- a/measure/world.go
+++ b/measure/world.go
@@ -78,7 +78,7 @@
 func (w *world) add(id models.InstanceID, d models.Domain) {
 	w.listed[id] = models.Instance{ID: id, Kind: models.KindEngine, Zone: "z", Domain: d, Accelerators: 1, ChecksFences: true}
 	w.machines[id] = &machine{up: true}
-	w.evidence[id] = planner.Evidence{Watched: w.now}
+	w.evidence[id] = planner.Evidence{ProbedSince: w.now}
 }
 
 func (w *world) remove(id models.InstanceID) {
@@ -152,17 +152,17 @@
 	for id, m := range w.machines {
 		e := w.evidence[id]
 		if !m.up {
-			if e.SilentSince.IsZero() {
-				e.SilentSince = w.now
+			if e.UnansweredSince.IsZero() {
+				e.UnansweredSince = w.now
 			}
 			w.evidence[id] = e
 			continue
 		}
-		if !e.Seen.IsZero() && e.Away(w.now) > w.rules.ReplaceAfter {
-			e.Absences++
+		if !e.LastSeen.IsZero() && e.UnreachableFor(w.now) > w.rules.ReplaceAfter {
+			e.Flaps++
 			e.Returned = w.now
 		}
-		e.Seen, e.Direct, e.SilentSince = w.now, w.now, time.Time{}
+		e.LastSeen, e.LastReply, e.UnansweredSince = w.now, w.now, time.Time{}
 		e.Status = w.statusOf(id, m)
 		w.evidence[id] = e
 	}
--- a/planner/evidence.go
+++ b/planner/evidence.go
@@ -16,32 +16,32 @@
 type Evidence struct {
 	// Seen is the latest time at which the instance is known to have had Status; zero if
 	// it has never been seen.
-	Seen time.Time
+	LastSeen time.Time
 	// Watched is when the daemon started probing the instance, or restarted after the
 	// daemon's own process was paused. Missing replies before that time prove nothing.
-	Watched time.Time
-	Status  types.EngineStatus
+	ProbedSince time.Time
+	Status      types.EngineStatus
 	// Direct is when the instance last answered a probe of this daemon; Seen may have
 	// been reported by another daemon.
-	Direct time.Time
+	LastReply time.Time
 	// SilentSince is the time of this daemon's first unanswered probe since Direct; zero
 	// if there is none.
-	SilentSince time.Time
+	UnansweredSince time.Time
 	// Absences counts how often the instance became unreachable and returned; old
 	// absences expire. Returned is when it last returned.
-	Absences int
+	Flaps    int
 	Returned time.Time
 }
 
 // Silent reports whether the instance has stopped answering this daemon's probes and no
 // daemon has seen it since.
 func (e Evidence) Silent() bool {
-	return !e.SilentSince.IsZero() && !e.Seen.After(e.SilentSince)
+	return !e.UnansweredSince.IsZero() && !e.LastSeen.After(e.UnansweredSince)
 }
 
 // alive reports whether the instance responds according to evidence not older than bound.
 func (e Evidence) alive(now time.Time, bound time.Duration) bool {
-	return !e.Seen.IsZero() && !e.Silent() && now.Sub(e.Seen) <= bound
+	return !e.LastSeen.IsZero() && !e.Silent() && now.Sub(e.LastSeen) <= bound
 }
 
 const (
@@ -54,10 +54,10 @@
 // stable reports whether the instance may be given work: it doesn't flap, or its hold-down
 // time since the last return has passed.
 func (e Evidence) stable(now time.Time) bool {
-	if e.Absences < 2 {
+	if e.Flaps < 2 {
 		return true
 	}
-	holdDown := flapHoldDown << min(e.Absences, maxFlapDoublings)
+	holdDown := flapHoldDown << min(e.Flaps, maxFlapDoublings)
 	return now.Sub(e.Returned) >= holdDown
 }
 
@@ -67,10 +67,10 @@
 }
 
 // Away returns how long the instance is known to have been unreachable.
-func (e Evidence) Away(now time.Time) time.Duration {
-	last := e.Seen
-	if e.Watched.After(last) {
-		last = e.Watched
+func (e Evidence) UnreachableFor(now time.Time) time.Duration {
+	last := e.LastSeen
+	if e.ProbedSince.After(last) {
+		last = e.ProbedSince
 	}
 	return now.Sub(last)
 }
@@ -82,7 +82,7 @@
 	OpenUntil time.Time
 	// Why is what keeps the gate closed, for operators; empty if every member has joined
 	// the group and loaded its weights.
-	Why string
+	Reason string
 	// Load is the load that the first member reported.
 	Load types.Load
 }
@@ -96,30 +96,30 @@
 func GateOf(g models.Group, evidence map[models.InstanceID]Evidence, bound time.Duration) Gate {
 	gate := Gate{Load: evidence[g.Members[0].ID].Status.Load}
 	if g.Retiring != 0 {
-		gate.Why = "it is being retired"
+		gate.Reason = "it is being retired"
 		return gate
 	}
 	var oldest time.Time
 	for _, m := range g.Members {
 		e, known := evidence[m.ID]
-		if !known || e.Seen.IsZero() {
-			gate.Why = fmt.Sprintf("member %s has not been seen", m.ID)
+		if !known || e.LastSeen.IsZero() {
+			gate.Reason = fmt.Sprintf("member %s has not been seen", m.ID)
 			return gate
 		}
 		// A joining member only waits for the others, so a fault of another member takes
 		// precedence in the reason.
 		joining := e.Status.Phase == types.PhaseJoining
-		if fault := memberFault(g, m, e); fault != "" && (gate.Why == "" || !joining) {
-			gate.Why = fault
+		if fault := memberFault(g, m, e); fault != "" && (gate.Reason == "" || !joining) {
+			gate.Reason = fault
 			if !joining {
 				return gate
 			}
 		}
-		if oldest.IsZero() || e.Seen.Before(oldest) {
-			oldest = e.Seen
+		if oldest.IsZero() || e.LastSeen.Before(oldest) {
+			oldest = e.LastSeen
 		}
 	}
-	if gate.Why == "" {
+	if gate.Reason == "" {
 		gate.OpenUntil = oldest.Add(bound)
 	}
 	return gate
--- a/planner/evidence_test.go
+++ b/planner/evidence_test.go
@@ -18,14 +18,14 @@
 		ID: "g", Model: "m", Version: "v1", Fence: 7,
 		Members: []models.Member{{ID: "a"}, {ID: "b"}},
 	}
-	loaded := planner.Evidence{Seen: now, Status: types.EngineStatus{Group: "g", Fence: 7, Model: "m", Version: "v1", Phase: types.PhaseLoaded}}
+	loaded := planner.Evidence{LastSeen: now, Status: types.EngineStatus{Group: "g", Fence: 7, Model: "m", Version: "v1", Phase: types.PhaseLoaded}}
 	with := func(change func(*planner.Evidence)) planner.Evidence {
 		e := loaded
 		change(&e)
 		return e
 	}
 	joining := with(func(e *planner.Evidence) { e.Status.Phase = types.PhaseJoining })
-	silent := with(func(e *planner.Evidence) { e.SilentSince = now.Add(time.Millisecond) })
+	silent := with(func(e *planner.Evidence) { e.UnansweredSince = now.Add(time.Millisecond) })
 	for _, test := range []struct {
 		name     string
 		a, b     planner.Evidence
@@ -36,8 +36,8 @@
 		{"all members loaded", loaded, loaded, true, "", 0},
 		{"never seen", loaded, planner.Evidence{}, false, "member b has not been seen", 0},
 		{"silent", loaded, silent, false, "member b does not answer", 0},
-		{"silent, but seen by another daemon since", loaded, with(func(e *planner.Evidence) { e.SilentSince = now.Add(-time.Second) }), true, "", 0},
-		{"evidence too old", loaded, with(func(e *planner.Evidence) { e.Seen = now.Add(-bound) }), false, "", 0},
+		{"silent, but seen by another daemon since", loaded, with(func(e *planner.Evidence) { e.UnansweredSince = now.Add(-time.Second) }), true, "", 0},
+		{"evidence too old", loaded, with(func(e *planner.Evidence) { e.LastSeen = now.Add(-bound) }), false, "", 0},
 		{"at an old fence", loaded, with(func(e *planner.Evidence) { e.Status.Fence = 6 }), false, "member b has not joined the group", 0},
 		{"loading", loaded, with(func(e *planner.Evidence) { e.Status.Phase = types.PhaseLoading }), false, "member b is loading", 0},
 		{"wrong weights", loaded, with(func(e *planner.Evidence) { e.Status.Version = "v2" }), false, "member b holds m v2", 0},
@@ -51,7 +51,7 @@
 			group.Retiring = test.retiring
 			gate := planner.GateOf(group, map[models.InstanceID]planner.Evidence{"a": test.a, "b": test.b}, bound)
 			c.Assert(gate.Open(now), qt.Equals, test.open)
-			c.Assert(gate.Why, qt.Equals, test.why)
+			c.Assert(gate.Reason, qt.Equals, test.why)
 		})
 	}
 }
--- a/planner/orders.go
+++ b/planner/orders.go
@@ -13,7 +13,7 @@
 // OrderKey returns the rendezvous hashing key that selects the daemon that gives orders to
 // the instances of a fabric domain. The key is per domain so that one daemon gives all
 // orders to a group.
-func OrderKey(d models.Domain) string { return "orders/" + string(d) }
+func OrderRendezvousKey(d models.Domain) string { return "orders/" + string(d) }
 
 // Orders returns, by domain, the orders that bring the instances in line with the state and
 // that make spares preload weights. Only instances with fresh evidence get an order. At most
@@ -66,7 +66,7 @@
 	return n
 }
 
-func hasFreshEvidence(in Input, e Evidence) bool { return e.alive(in.Now, in.Rules.Bound) }
+func hasFreshEvidence(in Input, e Evidence) bool { return e.alive(in.Now, in.Rules.MaxEvidenceAge) }
 
 func (o *orderRound) orderGroup(g models.Group) {
 	addrs := make([]netip.AddrPort, 0, len(g.Members))
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -19,7 +19,7 @@
 	// loading weights rejoins the group: see replaceLoadingMembers.
 	ReplaceAfter time.Duration
 	// Bound is the age at which evidence about an instance becomes stale.
-	Bound time.Duration
+	MaxEvidenceAge time.Duration
 	// MaxStarting is how many groups may be starting (not all members loaded) in
 	// total, and MaxStartingPerDomain in one fabric domain.
 	MaxStarting          int
@@ -30,7 +30,7 @@
 
 // DefaultRules returns the default limits with the given ReplaceAfter and Bound.
 func DefaultRules(replaceAfter, bound time.Duration) Rules {
-	return Rules{ReplaceAfter: replaceAfter, Bound: bound, MaxStarting: 64, MaxStartingPerDomain: 8, MaxLoads: 128}
+	return Rules{ReplaceAfter: replaceAfter, MaxEvidenceAge: bound, MaxStarting: 64, MaxStartingPerDomain: 8, MaxLoads: 128}
 }
 
 // Input is the input of one planning round.
@@ -48,7 +48,7 @@
 	Body state.Body
 	// Key is the rendezvous hashing key that selects the daemon that appends the
 	// record: the fabric domain.
-	Key string
+	RendezvousKey string
 }
 
 // Plan returns the changes to make to the replica groups. It is deterministic, including
@@ -133,12 +133,12 @@
 }
 
 func (p *round) propose(d models.Domain, body state.Body) {
-	p.proposals = append(p.proposals, Proposal{Body: body, Key: string(d)})
+	p.proposals = append(p.proposals, Proposal{Body: body, RendezvousKey: string(d)})
 }
 
 // alive reports whether there is fresh evidence that the instance responds.
 func (p *round) alive(id models.InstanceID) bool {
-	return p.Evidence[id].alive(p.Now, p.Rules.Bound)
+	return p.Evidence[id].alive(p.Now, p.Rules.MaxEvidenceAge)
 }
 
 // leaving reports whether the instance is drained or is shutting down.
@@ -151,7 +151,7 @@
 // Rules.ReplaceAfter.
 func (p *round) missing(id models.InstanceID) bool {
 	e, known := p.Evidence[id]
-	return known && !p.alive(id) && e.Away(p.Now) > p.Rules.ReplaceAfter
+	return known && !p.alive(id) && e.UnreachableFor(p.Now) > p.Rules.ReplaceAfter
 }
 
 func (p *round) checkHealth(g models.Group) (groupHealth, string) {
@@ -224,7 +224,7 @@
 		return false
 	}
 	for _, m := range g.Members {
-		if p.Evidence[m.ID].Away(p.Now) > relocationGraceFactor*p.Rules.ReplaceAfter {
+		if p.Evidence[m.ID].UnreachableFor(p.Now) > relocationGraceFactor*p.Rules.ReplaceAfter {
 			return false
 		}
 	}
--- a/planner/rendezvous.go
+++ b/planner/rendezvous.go
@@ -12,7 +12,7 @@
 // daemon with rank 0 acts first. Daemons that know the same set of daemons compute the same
 // order, and it changes little when daemons join or leave. A wrong rank only wastes an
 // append or an order; no invariant depends on it.
-func Rank(self models.DaemonID, others []models.DaemonID, key string) int {
+func RendezvousRank(self models.DaemonID, others []models.DaemonID, key string) int {
 	own := rendezvousWeight(self, key)
 	rank := 0
 	for _, d := range others {
@@ -27,7 +27,7 @@
 }
 
 // Order returns the daemons in the rendezvous hashing order for a key.
-func Order(daemons []models.DaemonID, key string) []models.DaemonID {
+func RendezvousOrder(daemons []models.DaemonID, key string) []models.DaemonID {
 	out := slices.Clone(daemons)
 	slices.SortFunc(out, func(a, b models.DaemonID) int {
 		if c := cmp.Compare(rendezvousWeight(b, key), rendezvousWeight(a, key)); c != 0 {
@@ -43,12 +43,12 @@
 	h.Write([]byte(d))
 	h.Write([]byte{0})
 	h.Write([]byte(key))
-	return Mix(h.Sum64())
+	return MixHash(h.Sum64())
 }
 
 // Mix is a 64-bit finalizer (that of MurmurHash3). It spreads the bits of hashes of inputs
 // that differ in only a few bits.
-func Mix(x uint64) uint64 {
+func MixHash(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
--- a/planner/supply.go
+++ b/planner/supply.go
@@ -73,7 +73,7 @@
 		ea, eb := p.Evidence[a.ID], p.Evidence[b.ID]
 		return cmp.Or(
 			compareFalseFirst(!ea.hasWeights(m), !eb.hasWeights(m)),
-			cmp.Compare(ea.Absences, eb.Absences),
+			cmp.Compare(ea.Flaps, eb.Flaps),
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
--- a/planner/why.go
+++ b/planner/why.go
@@ -10,10 +10,10 @@
 
 // WhyFree explains to an operator why an instance that could take work belongs to no group.
 // It follows the decisions of Plan on the same input.
-func WhyFree(in Input, i models.Instance) string {
+func ExplainFree(in Input, i models.Instance) string {
 	p := newRound(in)
 	for _, proposal := range Plan(in) {
-		if proposal.Key == string(i.Domain) {
+		if proposal.RendezvousKey == string(i.Domain) {
 			return fmt.Sprintf("a change of fabric domain %s is under way", i.Domain)
 		}
 	}
--- a/query/answer.go
+++ b/query/answer.go
@@ -153,10 +153,10 @@
 	switch {
 	case gate.Open(f.Now):
 		return ""
-	case gate.Why == "":
+	case gate.Reason == "":
 		return "nothing has been heard of a member for too long"
 	default:
-		return gate.Why
+		return gate.Reason
 	}
 }
 
@@ -183,7 +183,7 @@
 		return "leaving"
 	case i.Kind == models.KindService:
 		return "listed"
-	case e.Seen.IsZero():
+	case e.LastSeen.IsZero():
 		return "unseen"
 	case e.Silent():
 		return "silent"
@@ -332,7 +332,7 @@
 	case "unseen", "silent":
 		return "it does not answer"
 	}
-	return planner.WhyFree(f.input(), i)
+	return planner.ExplainFree(f.input(), i)
 }
 
 func (f Facts) input() planner.Input {
--- a/query/preview.go
+++ b/query/preview.go
@@ -15,11 +15,11 @@
 	for _, p := range planner.Plan(in) {
 		switch body := p.Body.(type) {
 		case state.FormGroup:
-			answer.Rows = append(answer.Rows, []string{"form", fmt.Sprintf("%s of %d", body.Group.Model, len(body.Group.Members)), p.Key, body.Reason})
+			answer.Rows = append(answer.Rows, []string{"form", fmt.Sprintf("%s of %d", body.Group.Model, len(body.Group.Members)), p.RendezvousKey, body.Reason})
 		case state.RetireGroup:
-			answer.Rows = append(answer.Rows, []string{"retire", string(body.Group.ID), p.Key, body.Reason})
+			answer.Rows = append(answer.Rows, []string{"retire", string(body.Group.ID), p.RendezvousKey, body.Reason})
 		case state.EndGroup:
-			answer.Rows = append(answer.Rows, []string{"end", string(body.Group.ID), p.Key, body.Reason})
+			answer.Rows = append(answer.Rows, []string{"end", string(body.Group.ID), p.RendezvousKey, body.Reason})
 		}
 	}
 	return answer
--- a/router/choose.go
+++ b/router/choose.go
@@ -115,7 +115,7 @@
 	binary.BigEndian.PutUint64(buf[:], prefix)
 	h.Write([]byte(id))
 	h.Write(buf[:])
-	return planner.Mix(h.Sum64())
+	return planner.MixHash(h.Sum64())
 }
 
 // candidates returns the groups that can take the request now, or an error if there are none.
--- a/router/limit.go
+++ b/router/limit.go
@@ -26,7 +26,7 @@
 		}
 	}
 	share := limit / daemons
-	if planner.Rank(self, serving, key) < limit%daemons {
+	if planner.RendezvousRank(self, serving, key) < limit%daemons {
 		share++
 	}
 	return share
