--- a/api/operators.go
+++ b/api/operators.go
@@ -309,7 +309,7 @@
 		return AskAnswer{Change: &ChangeResult{Result: ChangeRefused, Reason: err.Error(), RetryAfterMS: retryLog.Milliseconds()}}, nil
 	case err != nil:
 		return AskAnswer{Change: &ChangeResult{Result: ChangeUnknown, Reason: err.Error() + "; show audit tells whether it took effect"}}, nil
-	case outcome.Refused != nil:
+	case outcome.Rejection != nil:
 		return AskAnswer{Change: &ChangeResult{Result: ChangeRefused, Offset: outcome.Offset, Reason: a.explain(ctx, outcome)}}, nil
 	}
 	return AskAnswer{Change: a.inForce(ctx, outcome.Offset)}, nil
@@ -345,13 +345,13 @@
 
 // explain tells a loser which change it lost to.
 func (a asker) explain(ctx context.Context, outcome state.Outcome) string {
-	reason := outcome.Refused.Error()
+	reason := outcome.Rejection.Error()
 	var conflict *state.Conflict
-	if !errors.As(outcome.Refused, &conflict) {
+	if !errors.As(outcome.Rejection, &conflict) {
 		return reason
 	}
-	for _, e := range slices.Backward(a.stateAt(ctx, conflict.Present).Audit) {
-		if e.Offset == conflict.Present {
+	for _, e := range slices.Backward(a.stateAt(ctx, conflict.Current).Audit) {
+		if e.Offset == conflict.Current {
 			return fmt.Sprintf("%s; revision %d was made by %s through %s: %s", reason, e.Offset, e.Operator, e.Daemon, e.Change)
 		}
 	}
--- a/daemon/act.go
+++ b/daemon/act.go
@@ -57,7 +57,7 @@
 		Daemon: models.Daemon{
 			ID: o.d.cfg.ID, Zone: o.d.cfg.Zone, Peer: o.d.peerAddr, Incarnation: o.d.incarnation,
 		},
-		Was: me.Incarnation,
+		PreviousIncarnation: me.Incarnation,
 	}, nil, key)
 }
 
--- a/daemon/fold.go
+++ b/daemon/fold.go
@@ -82,9 +82,9 @@
 func (o *owner) report(out state.Outcome, source string) {
 	o.d.stats.applied.Inc()
 	log := o.d.log.Info().Uint64("offset", uint64(out.Offset)).Str("source", source)
-	if out.Refused != nil {
+	if out.Rejection != nil {
 		o.d.stats.refused.Inc()
-		log.Str("record", string(out.Record)).Str("reason", out.Refused.Error()).Msg("record-refused")
+		log.Str("record", string(out.Record)).Str("reason", out.Rejection.Error()).Msg("record-refused")
 		return
 	}
 	for _, e := range out.Events {
--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -233,7 +233,7 @@
 			return nil, err
 		}
 		out, err := s.Apply(s.Applied+1, data)
-		if err := firstError(err, out.Refused); err != nil {
+		if err := firstError(err, out.Rejection); err != nil {
 			return nil, err
 		}
 	}
@@ -269,7 +269,7 @@
 			return err
 		}
 		out, err := s.Apply(s.Applied+1, data)
-		if err := firstError(err, out.Refused); err != nil {
+		if err := firstError(err, out.Rejection); err != nil {
 			return err
 		}
 	}
--- a/measure/world.go
+++ b/measure/world.go
@@ -112,7 +112,7 @@
 		return err
 	}
 	out, err := w.state.Apply(w.state.Applied+1, data)
-	return firstError(err, out.Refused)
+	return firstError(err, out.Rejection)
 }
 
 // step lets one step of time pass: evidence, planning, orders.
--- a/state/apply.go
+++ b/state/apply.go
@@ -28,8 +28,8 @@
 	Offset models.Offset
 	Record models.RecordID
 	// Refused is why the record was refused; nil if it took effect.
-	Refused error
-	Events  []Event
+	Rejection error
+	Events    []Event
 }
 
 // Event is a change that a record made: one of the types in this package with an event
@@ -82,15 +82,15 @@
 	s.Applied = offset
 	rec, err := Decode(data)
 	if err != nil {
-		return Outcome{Offset: offset, Refused: err}, nil
+		return Outcome{Offset: offset, Rejection: err}, nil
 	}
 	out := Outcome{Offset: offset, Record: rec.ID}
 	if _, duplicate := s.seenIDs[rec.ID]; duplicate {
-		out.Refused = ErrDuplicate
+		out.Rejection = ErrDuplicate
 		return out, nil
 	}
 	s.rememberID(rec.ID)
-	out.Events, out.Refused = s.applyBody(offset, rec)
+	out.Events, out.Rejection = s.applyBody(offset, rec)
 	return out, nil
 }
 
@@ -230,9 +230,9 @@
 	if err := models.CheckName(d.ID); err != nil {
 		return nil, fmt.Errorf("%w: daemon: %w", ErrInvalid, err)
 	}
-	if current := s.Daemons[d.ID]; current.Incarnation != join.Was {
+	if current := s.Daemons[d.ID]; current.Incarnation != join.PreviousIncarnation {
 		return nil, fmt.Errorf("%w: daemon %s is at incarnation %d, the author saw %d",
-			ErrStale, d.ID, current.Incarnation, join.Was)
+			ErrStale, d.ID, current.Incarnation, join.PreviousIncarnation)
 	}
 	d.Joined = offset
 	s.Daemons[d.ID] = d
--- a/state/change.go
+++ b/state/change.go
@@ -160,13 +160,13 @@
 // Conflict is the ErrStale of a change that is based on an outdated revision of an entity.
 type Conflict struct {
 	Entity  string
-	Present models.Revision
+	Current models.Revision
 	Base    models.Revision
 }
 
 // Error returns a message with both revisions.
 func (c *Conflict) Error() string {
-	return fmt.Sprintf("%v: %s is at revision %d, the change is based on %d", ErrStale, c.Entity, c.Present, c.Base)
+	return fmt.Sprintf("%v: %s is at revision %d, the change is based on %d", ErrStale, c.Entity, c.Current, c.Base)
 }
 
 // Unwrap returns ErrStale.
@@ -177,7 +177,7 @@
 		return nil
 	}
 	if base != current {
-		return &Conflict{Entity: entity, Present: current, Base: base}
+		return &Conflict{Entity: entity, Current: current, Base: base}
 	}
 	c.changed[entity] = true
 	return nil
--- a/state/property_test.go
+++ b/state/property_test.go
@@ -106,7 +106,7 @@
 	case 9:
 		return state.ReleaseKeys{Claims: []state.Claim{claim}}
 	case 6:
-		return state.JoinDaemon{Daemon: daemon, Was: s.Daemons[daemon.ID].Incarnation}
+		return state.JoinDaemon{Daemon: daemon, PreviousIncarnation: s.Daemons[daemon.ID].Incarnation}
 	default:
 		return state.LeaveDaemon{ID: daemon.ID, Incarnation: daemon.Incarnation}
 	}
@@ -219,7 +219,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if out.Refused == nil {
+			if out.Rejection == nil {
 				continue
 			}
 			after := s.Clone()
@@ -229,7 +229,7 @@
 			before.ForgetIDs()
 			after.ForgetIDs()
 			if digest(t, before) != digest(t, after) {
-				t.Fatalf("record %d was refused (%v) and changed the state", n+1, out.Refused)
+				t.Fatalf("record %d was refused (%v) and changed the state", n+1, out.Rejection)
 			}
 		}
 	})
--- a/state/record.go
+++ b/state/record.go
@@ -71,7 +71,7 @@
 	Daemon models.Daemon `msgpack:"d"`
 	// Was is the incarnation of the daemon in the author's state, 0 if it wasn't on the
 	// roster.
-	Was uint64 `msgpack:"w"`
+	PreviousIncarnation uint64 `msgpack:"w"`
 }
 
 // LeaveDaemon removes an incarnation of a daemon from the roster.
