--- a/api/callers.go
+++ b/api/callers.go
@@ -45,16 +45,16 @@
 		s.refuse(w, err)
 		return nil, nil, nil
 	}
-	if err := s.limits.Take(e.workspace, s.allotment(e.workspace)); err != nil {
+	if err := s.limits.Acquire(e.workspace, s.allotment(e.workspace)); err != nil {
 		s.flights.end()
 		s.refuse(w, err)
 		return nil, nil, nil
 	}
-	s.budget.Earn()
+	s.budget.Deposit()
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	return e, ctx, func() {
 		cancel()
-		s.limits.Give(e.workspace.Name)
+		s.limits.Release(e.workspace.Name)
 		s.flights.end()
 	}
 }
@@ -64,12 +64,12 @@
 	if w.Concurrent == 0 {
 		return 0
 	}
-	return router.Allotment(w.Concurrent, s.cfg.ID, s.daemon.View().Serving(time.Now()), string(w.Name))
+	return router.LimitShare(w.Concurrent, s.cfg.ID, s.daemon.View().Serving(time.Now()), string(w.Name))
 }
 
 func (s *Server) refuse(w http.ResponseWriter, err error) {
 	s.stats.refused.Inc()
-	writeProblem(w, err, router.EndNotRun)
+	writeProblem(w, err, router.OutcomeNotRun)
 }
 
 func (s *Server) newExchange(w http.ResponseWriter, r *http.Request, id models.RequestID, repeatable bool) (*exchange, time.Duration, error) {
@@ -95,7 +95,7 @@
 	}
 	return &exchange{
 		s: s, w: w, r: r, workspace: workspace, body: body, priority: settings.priority, started: time.Now(),
-		req: &router.Request{ID: id, Repeatable: settings.repeatable}, key: settings.keyIn(workspace.Name),
+		req: &router.Request{ID: id, Idempotent: settings.repeatable}, key: settings.keyIn(workspace.Name),
 		entry: models.TrailEntry{Request: id, Workspace: workspace.Name, Daemon: s.cfg.ID, Started: time.Now().UTC()},
 	}, settings.timeout, nil
 }
@@ -105,7 +105,7 @@
 	view := s.daemon.View()
 	workspace, err := workspaceOf(view.State, r)
 	if err != nil {
-		writeProblem(w, err, router.EndNone)
+		writeProblem(w, err, router.OutcomeNone)
 		return
 	}
 	type model struct {
--- a/api/chat.go
+++ b/api/chat.go
@@ -65,20 +65,20 @@
 	}
 	e.entry.ModelOrService = string(chat.Model)
 	capacity := s.daemon.View().Table.CapacityFor(e.workspace, chat.Model, e.started)
-	if err := s.admitted.Enter(chat.Model, e.workspace, capacity, e.priority); err != nil {
+	if err := s.admitted.Acquire(chat.Model, e.workspace, capacity, e.priority); err != nil {
 		s.refuse(w, err)
 		return
 	}
-	defer s.admitted.Leave(chat.Model, e.workspace.Name)
+	defer s.admitted.Release(chat.Model, e.workspace.Name)
 	prompt := router.Prompt{Prefix: prefixOf(chat)}
-	prompt.Seen = s.prefixes.Seen(prompt.Prefix)
+	prompt.SeenBefore = s.prefixes.Seen(prompt.Prefix)
 	e.choose = func(now time.Time, avoid []netip.AddrPort) (router.Target, error) {
 		return s.daemon.View().Table.ChooseGroup(e.workspace, chat.Model, prompt, now, s.flights.at, avoid)
 	}
 	e.call = func(t router.Target) upstream.Call {
 		return upstream.Call{
 			Addr: t.Addr, Method: http.MethodPost, Path: chatPath, Header: passOn(r.Header), Body: e.body,
-			Request: e.req.ID, Group: t.Group.ID, Fence: t.Group.Fence, Priority: e.priority, Fresh: !e.req.Repeatable,
+			Request: e.req.ID, Group: t.Group.ID, Fence: t.Group.Fence, Priority: e.priority, Fresh: !e.req.Idempotent,
 		}
 	}
 	e.answer = e.answerWhole
@@ -87,7 +87,7 @@
 	}
 	var last netip.AddrPort
 	defer func() {
-		if e.req.End() == router.EndMayHaveRun && last.IsValid() {
+		if e.req.Outcome() == router.OutcomeMayHaveRun && last.IsValid() {
 			s.cancelRun(last, e.req.ID)
 		}
 	}()
@@ -197,7 +197,7 @@
 // connection is broken off afterwards.
 func (e *exchange) writeErrorEvent(cause error) {
 	err := fmt.Errorf("%w: %w", ErrUpstream, cause)
-	data, merr := json.Marshal(errorBody{Error: detailOf(err, router.EndMayHaveRun)})
+	data, merr := json.Marshal(errorBody{Error: detailOf(err, router.OutcomeMayHaveRun)})
 	if merr != nil {
 		return
 	}
--- a/api/claim.go
+++ b/api/claim.go
@@ -34,7 +34,7 @@
 		e.claimed = errors.Is(err, daemon.ErrOutcomeUnknown)
 		return fmt.Errorf("%w: %w", ErrNoClaim, err)
 	case holder != e.req.ID:
-		return errors.Join(ErrKeyInUse, e.req.HeldElsewhere())
+		return errors.Join(ErrKeyInUse, e.req.KeyInUse())
 	}
 	e.claimed = true
 	return nil
--- a/api/errors.go
+++ b/api/errors.go
@@ -96,25 +96,25 @@
 }
 
 type errorDetail struct {
-	Message string     `json:"message"`
-	Type    string     `json:"type"`
-	Code    string     `json:"code"`
-	End     router.End `json:"end,omitempty"`
+	Message string         `json:"message"`
+	Type    string         `json:"type"`
+	Code    string         `json:"code"`
+	End     router.Outcome `json:"end,omitempty"`
 }
 
-func detailOf(err error, end router.End) errorDetail {
+func detailOf(err error, end router.Outcome) errorDetail {
 	p := problemOf(err)
 	return errorDetail{Message: err.Error(), Type: p.kind, Code: p.code, End: end}
 }
 
 // writeProblem answers with an error. end tells whether the request may have
 // been run; it is empty for calls that run nothing.
-func writeProblem(w http.ResponseWriter, err error, end router.End) {
+func writeProblem(w http.ResponseWriter, err error, end router.Outcome) {
 	p := problemOf(err)
 	if p.retry > 0 {
 		w.Header().Set("Retry-After", fmt.Sprint(int(math.Ceil(p.retry.Seconds()))))
 	}
-	if end != router.EndNone {
+	if end != router.OutcomeNone {
 		w.Header().Set(HeaderEnd, string(end))
 	}
 	writeJSON(w, p.status, errorBody{Error: detailOf(err, end)})
--- a/api/exchange.go
+++ b/api/exchange.go
@@ -53,10 +53,10 @@
 	if err == nil {
 		err = e.tryAll(ctx)
 	}
-	answering := e.req.Phase() == router.PhaseAnswering
+	answering := e.req.Phase() == router.PhaseResponding
 	end := e.req.Finish(err == nil)
 	e.s.stats.ends[end].Inc()
-	if e.claimed && end == router.EndNotRun {
+	if e.claimed && end == router.OutcomeNotRun {
 		e.s.release(e.key, e.req.ID)
 	}
 	e.note(end, err)
@@ -65,7 +65,7 @@
 		log = e.s.log.Warn().Err(err)
 	}
 	log.Str("request", string(e.req.ID)).Str("workspace", string(e.workspace.Name)).Str("end", string(end)).
-		Int("tries", e.req.Tries()).Dur("took", time.Since(e.started)).Msg("request-ended")
+		Int("tries", e.req.Attempts()).Dur("took", time.Since(e.started)).Msg("request-ended")
 	switch {
 	case err == nil:
 	case answering:
@@ -78,8 +78,8 @@
 }
 
 // note puts the request's end on the trail.
-func (e *exchange) note(end router.End, err error) {
-	e.entry.Outcome, e.entry.Attempts, e.entry.Elapsed = string(end), e.req.Tries(), time.Since(e.started)
+func (e *exchange) note(end router.Outcome, err error) {
+	e.entry.Outcome, e.entry.Attempts, e.entry.Elapsed = string(end), e.req.Attempts(), time.Since(e.started)
 	if err != nil {
 		e.entry.Reason = err.Error()
 	}
@@ -97,15 +97,15 @@
 // error of the last.
 func (e *exchange) tryAll(ctx context.Context) error {
 	var last error
-	for e.req.MayRetry() && e.req.Tries() < maxTries && ctx.Err() == nil {
+	for e.req.MayRetry() && e.req.Attempts() < maxTries && ctx.Err() == nil {
 		target, err := e.pick(time.Now())
 		if err != nil {
 			return errors.Join(err, last)
 		}
-		if e.req.Tries() > 0 && !e.s.budget.Spend() {
+		if e.req.Attempts() > 0 && !e.s.budget.Withdraw() {
 			return fmt.Errorf("%w: too many requests are tried again already: %w", ErrUpstream, last)
 		}
-		if e.req.Tries() > 0 {
+		if e.req.Attempts() > 0 {
 			e.s.stats.retries.Inc()
 		}
 		if last = e.try(ctx, target); last == nil {
@@ -138,7 +138,7 @@
 	case err == nil:
 		e.s.suspects.Clear(target.Addr)
 	case errors.Is(err, upstream.ErrNotServing) && ctx.Err() == nil:
-		e.s.suspects.Note(target.Addr, time.Now())
+		e.s.suspects.Add(target.Addr, time.Now())
 		e.s.log.Info().Str("request", string(e.req.ID)).Stringer("upstream", target.Addr).Err(err).Msg("upstream-suspected")
 	}
 }
@@ -169,7 +169,7 @@
 // writeHead writes the place where the request ran and the answer's head,
 // and notes that the answer has begun.
 func (e *exchange) writeHead(target router.Target, answer *upstream.Answer) error {
-	if err := e.req.Answer(); err != nil {
+	if err := e.req.Respond(); err != nil {
 		return err
 	}
 	h := e.w.Header()
--- a/api/operators.go
+++ b/api/operators.go
@@ -134,7 +134,7 @@
 	if p.status == http.StatusInternalServerError {
 		p.status = http.StatusBadRequest
 	}
-	detail := detailOf(err, router.EndNone)
+	detail := detailOf(err, router.OutcomeNone)
 	writeJSON(w, p.status, AskAnswer{Error: &detail})
 }
 
--- a/api/server.go
+++ b/api/server.go
@@ -37,10 +37,10 @@
 	daemon   *daemon.Daemon
 	upstream *upstream.Client
 	flights  *flights
-	limits   *router.Limits
+	limits   *router.ConcurrencyLimits
 	admitted *router.Admission
-	prefixes *router.Prefixes
-	budget   router.Budget
+	prefixes *router.RecentPrefixes
+	budget   router.RetryBudget
 	suspects router.Suspects
 	stopping atomic.Bool
 	stats    *stats
@@ -51,7 +51,7 @@
 
 // stats are the metrics of requests.
 type stats struct {
-	ends       map[router.End]*metrics.Counter
+	ends       map[router.Outcome]*metrics.Counter
 	refused    *metrics.Counter
 	retries    *metrics.Counter
 	firstToken *metrics.Histogram
@@ -60,12 +60,12 @@
 func newStats(set *metrics.Set, count func() int) *stats {
 	set.NewGauge("lupinkeel_requests_in_flight", func() float64 { return float64(count()) })
 	s := &stats{
-		ends:       map[router.End]*metrics.Counter{},
+		ends:       map[router.Outcome]*metrics.Counter{},
 		refused:    set.NewCounter("lupinkeel_requests_refused_total"),
 		retries:    set.NewCounter("lupinkeel_request_retries_total"),
 		firstToken: set.NewHistogram("lupinkeel_first_token_seconds"),
 	}
-	for _, end := range []router.End{router.EndWhole, router.EndNotRun, router.EndMayHaveRun} {
+	for _, end := range []router.Outcome{router.OutcomeComplete, router.OutcomeNotRun, router.OutcomeMayHaveRun} {
 		s.ends[end] = set.NewCounter(fmt.Sprintf("lupinkeel_requests_total{end=%q}", end))
 	}
 	return s
@@ -75,7 +75,7 @@
 func New(cfg config.Serve, log zerolog.Logger, d *daemon.Daemon) (*Server, error) {
 	s := &Server{
 		cfg: cfg, log: log.With().Str("daemon", string(cfg.ID)).Logger(), daemon: d,
-		upstream: upstream.NewClient(dial.Dialer{Source: cfg.Source}), flights: newFlights(), limits: router.NewLimits(), admitted: router.NewAdmission(), prefixes: router.NewPrefixes(),
+		upstream: upstream.NewClient(dial.Dialer{Source: cfg.Source}), flights: newFlights(), limits: router.NewConcurrencyLimits(), admitted: router.NewAdmission(), prefixes: router.NewRecentPrefixes(),
 	}
 	s.stats = newStats(d.Metrics(), s.flights.count)
 	var err error
@@ -170,9 +170,9 @@
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case s.stopping.Load():
-		writeProblem(w, ErrStopping, router.EndNone)
+		writeProblem(w, ErrStopping, router.OutcomeNone)
 	case !s.daemon.View().Current(time.Now()):
-		writeProblem(w, ErrNotCurrent, router.EndNone)
+		writeProblem(w, ErrNotCurrent, router.OutcomeNone)
 	default:
 		w.WriteHeader(http.StatusNoContent)
 	}
--- a/api/service.go
+++ b/api/service.go
@@ -31,7 +31,7 @@
 		}
 		return upstream.Call{
 			Addr: t.Addr, Method: r.Method, Path: path, Header: passOn(r.Header), Body: e.body,
-			Request: e.req.ID, Fresh: !e.req.Repeatable,
+			Request: e.req.ID, Fresh: !e.req.Idempotent,
 		}
 	}
 	e.answer = e.answerWhole
--- a/commands/load.go
+++ b/commands/load.go
@@ -40,7 +40,7 @@
 	}
 	report, err := load.Run(c.Context, opts, func(r load.Report) {
 		fmt.Fprintf(c.App.ErrWriter, "%4.0f s  sent %d  whole %d  first token p95 %.1f ms\n",
-			r.Seconds, r.Sent, r.Ends[router.EndWhole], r.FirstToken.P95)
+			r.Seconds, r.Sent, r.Ends[router.OutcomeComplete], r.FirstToken.P95)
 	})
 	if err != nil {
 		return err
@@ -54,8 +54,8 @@
 
 func printLoadReport(w io.Writer, r load.Report) {
 	var rows [][]string
-	for _, end := range []router.End{
-		router.EndWhole, router.EndNotRun, router.EndMayHaveRun, load.EndBroken, load.EndShort, load.EndDoubled, load.EndSilent,
+	for _, end := range []router.Outcome{
+		router.OutcomeComplete, router.OutcomeNotRun, router.OutcomeMayHaveRun, load.EndBroken, load.EndShort, load.EndDoubled, load.EndSilent,
 	} {
 		rows = append(rows, []string{string(end), fmt.Sprint(r.Ends[end])})
 	}
--- a/daemon/owner.go
+++ b/daemon/owner.go
@@ -377,8 +377,8 @@
 	out := make(map[models.GroupID]int, len(gates))
 	for id, gate := range gates {
 		if slots := gate.Load.Slots; slots > 0 {
-			total := int(router.QueueFactor * float64(slots))
-			out[id] = max(1, router.Allotment(total, o.d.cfg.ID, serving, string(id)))
+			total := int(router.MaxInFlightFactor * float64(slots))
+			out[id] = max(1, router.LimitShare(total, o.d.cfg.ID, serving, string(id)))
 		}
 	}
 	return out
--- a/load/load.go
+++ b/load/load.go
@@ -57,20 +57,20 @@
 // Ends of a request as its caller sees it, beside those of router.End.
 const (
 	// EndBroken: the stream broke off, or ended in an error event.
-	EndBroken router.End = "broken"
+	EndBroken router.Outcome = "broken"
 	// EndShort: the stream ended cleanly without its end mark.
-	EndShort router.End = "short"
+	EndShort router.Outcome = "short"
 	// EndDoubled: events came after the end mark.
-	EndDoubled router.End = "doubled"
+	EndDoubled router.Outcome = "doubled"
 	// EndSilent: there was no answer at all.
-	EndSilent router.End = "silent"
+	EndSilent router.Outcome = "silent"
 )
 
 // Report is what a load showed.
 type Report struct {
-	Sent   int                `json:"sent"`
-	Ends   map[router.End]int `json:"ends"`
-	Tokens int                `json:"tokens"`
+	Sent   int                    `json:"sent"`
+	Ends   map[router.Outcome]int `json:"ends"`
+	Tokens int                    `json:"tokens"`
 	// Seconds is how long it took until the last answer, Sending how long
 	// requests were sent.
 	Seconds float64 `json:"seconds"`
@@ -114,7 +114,7 @@
 	report := r.report()
 	// What was sent in time may end much later: it counts for the time
 	// that it took.
-	report.Goodput = float64(report.Ends[router.EndWhole]) / report.Seconds
+	report.Goodput = float64(report.Ends[router.OutcomeComplete]) / report.Seconds
 	report.Sending = sending.Seconds()
 	return report, nil
 }
@@ -151,7 +151,7 @@
 	rng        *rand.Rand
 	sent       int
 	tokens     int
-	ends       map[router.End]int
+	ends       map[router.Outcome]int
 	firstToken latency.Times
 	interToken latency.Times
 	refusal    latency.Times
@@ -161,7 +161,7 @@
 
 func newRunner(opts Options) *runner {
 	return &runner{
-		opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 0)), ends: map[router.End]int{},
+		opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 0)), ends: map[router.Outcome]int{},
 		http:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdle, DisableCompression: true}},
 		firstToken: latency.New(),
 		interToken: latency.New(),
@@ -230,7 +230,7 @@
 
 // result is what one request showed.
 type result struct {
-	end        router.End
+	end        router.Outcome
 	firstToken time.Duration
 	gaps       []time.Duration
 	took       time.Duration
@@ -240,7 +240,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ends[res.end]++
-	if res.end == router.EndNotRun {
+	if res.end == router.OutcomeNotRun {
 		r.refusal.Add(res.took)
 		return
 	}
@@ -256,7 +256,7 @@
 func (r *runner) report() Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ends := map[router.End]int{}
+	ends := map[router.Outcome]int{}
 	for end, n := range r.ends {
 		ends[end] = n
 	}
@@ -290,8 +290,8 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, resp.Body)
-		end := router.End(resp.Header.Get(api.HeaderEnd))
-		if end == router.EndNone {
+		end := router.Outcome(resp.Header.Get(api.HeaderEnd))
+		if end == router.OutcomeNone {
 			end = EndBroken
 		}
 		return result{end: end, took: time.Since(started)}
@@ -307,13 +307,13 @@
 	for lines.Scan() {
 		line := lines.Text()
 		switch {
-		case res.end == router.EndWhole && line != "":
+		case res.end == router.OutcomeComplete && line != "":
 			res.end = EndDoubled
 		case strings.HasPrefix(line, "event: error"):
 			res.end = EndBroken
 			return res
 		case line == "data: [DONE]":
-			res.end = router.EndWhole
+			res.end = router.OutcomeComplete
 		case strings.HasPrefix(line, "data: ") && strings.Contains(line, `"content"`):
 			now := time.Now()
 			if res.firstToken == 0 {
--- a/measure/requests.go
+++ b/measure/requests.go
@@ -101,7 +101,7 @@
 
 func (f RequestFigures) row() []string {
 	r := f.Report
-	whole, notRun := r.Ends[router.EndWhole], r.Ends[router.EndNotRun]
+	whole, notRun := r.Ends[router.OutcomeComplete], r.Ends[router.OutcomeNotRun]
 	return []string{
 		f.System, fmt.Sprintf("%.1f", f.Factor), fmt.Sprintf("%.0f", f.Offered), fmt.Sprintf("%.0f", r.Goodput),
 		fmt.Sprint(whole), fmt.Sprint(notRun), fmt.Sprint(r.Sent - whole - notRun),
--- a/router/admit.go
+++ b/router/admit.go
@@ -16,7 +16,7 @@
 // group, relative to the number that it runs concurrently. It is above 1 so that the group
 // never idles, and low so that requests don't queue for long. The sum over all daemons
 // respects it even if the groups' load reports are stale.
-const QueueFactor = 1.5
+const MaxInFlightFactor = 1.5
 
 const (
 	// unreservedFraction is the fraction of a daemon's capacity that any workspace may use.
@@ -48,7 +48,7 @@
 
 // Enter admits a request, or returns ErrOverloaded without waiting. A capacity below 0 is
 // unknown and sets no limit. An admitted request must be ended by Leave.
-func (a *Admission) Enter(m models.ModelName, w models.Workspace, capacity, priority int) error {
+func (a *Admission) Acquire(m models.ModelName, w models.Workspace, capacity, priority int) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	p := a.pools[m]
@@ -96,7 +96,7 @@
 }
 
 // Leave ends a request that Enter admitted.
-func (a *Admission) Leave(m models.ModelName, w models.WorkspaceName) {
+func (a *Admission) Release(m models.ModelName, w models.WorkspaceName) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	p := a.pools[m]
--- a/router/admit_test.go
+++ b/router/admit_test.go
@@ -12,7 +12,7 @@
 func admitMany(a *router.Admission, w models.Workspace, capacity, priority, n int) int {
 	entered := 0
 	for range n {
-		if a.Enter("m", w, capacity, priority) == nil {
+		if a.Acquire("m", w, capacity, priority) == nil {
 			entered++
 		}
 	}
@@ -29,12 +29,12 @@
 	c.Assert(admitMany(a, flood, 100, 9, 1000), qt.Equals, 69)
 	c.Assert(admitMany(a, quiet, 100, 9, 1000), qt.Equals, 30)
 	for range 69 {
-		a.Leave("m", flood.Name)
+		a.Release("m", flood.Name)
 		c.Assert(admitMany(a, flood, 100, 9, 1)+admitMany(a, quiet, 100, 9, 1) <= 1, qt.IsTrue)
 	}
 	// As requests of the flood end, the quiet workspace reaches its half of the capacity.
 	c.Assert(admitMany(a, quiet, 100, 9, 1000) <= 1, qt.IsTrue)
-	c.Assert(a.Enter("m", flood, 100, 9), qt.ErrorIs, router.ErrOverloaded)
+	c.Assert(a.Acquire("m", flood, 100, 9), qt.ErrorIs, router.ErrOverloaded)
 }
 
 func TestAdmissionByPriority(t *testing.T) {
@@ -43,7 +43,7 @@
 	w := models.Workspace{Name: "w", Share: 1}
 	c.Assert(admitMany(a, w, 100, 0, 1000), qt.Equals, 80)
 	c.Assert(admitMany(a, w, 100, 9, 1000), qt.Equals, 20)
-	c.Assert(a.Enter("m", w, 100, 9), qt.ErrorIs, router.ErrOverloaded)
-	c.Assert(a.Enter("other", w, 100, 0), qt.IsNil)
-	c.Assert(a.Enter("m", w, -1, 0), qt.IsNil)
+	c.Assert(a.Acquire("m", w, 100, 9), qt.ErrorIs, router.ErrOverloaded)
+	c.Assert(a.Acquire("other", w, 100, 0), qt.IsNil)
+	c.Assert(a.Acquire("m", w, -1, 0), qt.IsNil)
 }
--- a/router/choose.go
+++ b/router/choose.go
@@ -65,8 +65,8 @@
 type Prompt struct {
 	// Prefix is a hash of the beginning of the prompt. Seen is set if a recent prompt had the
 	// same prefix.
-	Prefix uint64
-	Seen   bool
+	Prefix     uint64
+	SeenBefore bool
 }
 
 // candidate is a group that can take the request now.
@@ -94,7 +94,7 @@
 	}
 	lowest := slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.utilization, b.utilization) }).utilization
 	slack := 0.0
-	if p.Seen {
+	if p.SeenBefore {
 		slack = affinityUtilizationSlack
 	}
 	var best models.Group
--- a/router/choose_test.go
+++ b/router/choose_test.go
@@ -48,7 +48,7 @@
 			open := now.Add(time.Duration(rapid.IntRange(-1, 1).Draw(t, "open")) * time.Second)
 			table.Gates[id] = planner.Gate{OpenUntil: open}
 		}
-		prompt := router.Prompt{Prefix: rapid.Uint64().Draw(t, "prefix"), Seen: rapid.Bool().Draw(t, "seen")}
+		prompt := router.Prompt{Prefix: rapid.Uint64().Draw(t, "prefix"), SeenBefore: rapid.Bool().Draw(t, "seen")}
 		target, err := table.ChooseGroup(w, "m", prompt, now, idle, nil)
 		if err != nil {
 			return
@@ -76,7 +76,7 @@
 		table.Gates[id] = planner.Gate{OpenUntil: now.Add(time.Second), Load: types.Load{Slots: 8}}
 		table.Capacity[id] = 12
 	}
-	prompt := router.Prompt{Prefix: 7, Seen: true}
+	prompt := router.Prompt{Prefix: 7, SeenBefore: true}
 	first, err := table.ChooseGroup(w, "m", prompt, now, idle, nil)
 	c.Assert(err, qt.IsNil)
 	inFlightAtFirst := func(n int) router.InFlightFunc {
--- a/router/limit.go
+++ b/router/limit.go
@@ -18,7 +18,7 @@
 // hashing order for key, which is the same for all daemons.
 //
 // See ExampleAllotment.
-func Allotment(limit int, self models.DaemonID, serving []models.DaemonID, key string) int {
+func LimitShare(limit int, self models.DaemonID, serving []models.DaemonID, key string) int {
 	daemons := 1
 	for _, d := range serving {
 		if d != self {
@@ -33,17 +33,19 @@
 }
 
 // Limits enforces the concurrency limits of workspaces at one daemon.
-type Limits struct {
+type ConcurrencyLimits struct {
 	mu       sync.Mutex
 	inFlight map[models.WorkspaceName]int
 }
 
 // NewLimits returns Limits without requests in flight.
-func NewLimits() *Limits { return &Limits{inFlight: map[models.WorkspaceName]int{}} }
+func NewConcurrencyLimits() *ConcurrencyLimits {
+	return &ConcurrencyLimits{inFlight: map[models.WorkspaceName]int{}}
+}
 
 // Take admits a request, or returns ErrOverLimit without waiting. w.Concurrent is 0 for no
 // limit; allotment is this daemon's share of it. An admitted request must be ended by Give.
-func (l *Limits) Take(w models.Workspace, allotment int) error {
+func (l *ConcurrencyLimits) Acquire(w models.Workspace, allotment int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if w.Concurrent > 0 && l.inFlight[w.Name] >= allotment {
@@ -54,7 +56,7 @@
 }
 
 // Give ends a request that Take admitted.
-func (l *Limits) Give(w models.WorkspaceName) {
+func (l *ConcurrencyLimits) Release(w models.WorkspaceName) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.inFlight[w]--; l.inFlight[w] == 0 {
@@ -72,21 +74,21 @@
 
 // Budget limits retries to a tenth of the requests, so that failing upstreams don't make a
 // daemon multiply its load. The zero value is a full budget.
-type Budget struct {
+type RetryBudget struct {
 	mu sync.Mutex
 	// spent is how many retries the budget is below retryBurst.
 	spent float64
 }
 
 // Earn adds the budget for one request.
-func (b *Budget) Earn() {
+func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(0, b.spent-retryRatio)
 }
 
 // Spend takes one retry from the budget. It returns false if there is none left.
-func (b *Budget) Spend() bool {
+func (b *RetryBudget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent > retryBurst-1 {
--- a/router/limit_test.go
+++ b/router/limit_test.go
@@ -11,11 +11,11 @@
 	"github.com/lupinkeel/lupinkeel/router"
 )
 
-func ExampleAllotment() {
+func ExampleLimitShare() {
 	serving := []models.DaemonID{"d1", "d2", "d3"}
 	total := 0
 	for _, d := range serving {
-		total += router.Allotment(10, d, serving, "lab")
+		total += router.LimitShare(10, d, serving, "lab")
 	}
 	fmt.Println(total)
 	// Output: 10
@@ -31,7 +31,7 @@
 		limit := rapid.IntRange(0, 200).Draw(t, "limit")
 		total := 0
 		for _, d := range serving {
-			total += router.Allotment(limit, d, serving, "lab")
+			total += router.LimitShare(limit, d, serving, "lab")
 		}
 		if total != limit {
 			t.Fatalf("%d daemons share %d as %d", len(serving), limit, total)
@@ -42,27 +42,27 @@
 func TestLimits(t *testing.T) {
 	c := qt.New(t)
 	w := models.Workspace{Name: "lab", Concurrent: 6}
-	l := router.NewLimits()
-	c.Assert(l.Take(w, 2), qt.IsNil)
-	c.Assert(l.Take(w, 2), qt.IsNil)
-	c.Assert(l.Take(w, 2), qt.ErrorIs, router.ErrOverLimit)
-	l.Give(w.Name)
-	c.Assert(l.Take(w, 2), qt.IsNil)
-	c.Assert(l.Take(models.Workspace{Name: "free"}, 0), qt.IsNil)
+	l := router.NewConcurrencyLimits()
+	c.Assert(l.Acquire(w, 2), qt.IsNil)
+	c.Assert(l.Acquire(w, 2), qt.IsNil)
+	c.Assert(l.Acquire(w, 2), qt.ErrorIs, router.ErrOverLimit)
+	l.Release(w.Name)
+	c.Assert(l.Acquire(w, 2), qt.IsNil)
+	c.Assert(l.Acquire(models.Workspace{Name: "free"}, 0), qt.IsNil)
 }
 
 func TestRetryBudget(t *testing.T) {
 	c := qt.New(t)
-	b := &router.Budget{}
+	b := &router.RetryBudget{}
 	const first = 10
 	for range first {
-		c.Assert(b.Spend(), qt.IsTrue)
+		c.Assert(b.Withdraw(), qt.IsTrue)
 	}
-	c.Assert(b.Spend(), qt.IsFalse)
+	c.Assert(b.Withdraw(), qt.IsFalse)
 	retries := 0
 	for range 1000 {
-		b.Earn()
-		if b.Spend() {
+		b.Deposit()
+		if b.Withdraw() {
 			retries++
 		}
 	}
@@ -73,26 +73,26 @@
 // TestRequestOutcomes takes requests through sequences of steps and checks their outcomes.
 func TestRequestOutcomes(t *testing.T) {
 	type step func(*router.Request) error
-	send, notRun, failed, answer := (*router.Request).Send, (*router.Request).NotRun, (*router.Request).Failed, (*router.Request).Answer
+	send, notRun, failed, answer := (*router.Request).Send, (*router.Request).NotRun, (*router.Request).Failed, (*router.Request).Respond
 	for _, test := range []struct {
 		name       string
 		repeatable bool
 		steps      []step
 		complete   bool
-		want       router.End
+		want       router.Outcome
 	}{
-		{"never sent", true, nil, false, router.EndNotRun},
-		{"complete", true, []step{send, answer}, true, router.EndWhole},
-		{"broke off", true, []step{send, answer}, false, router.EndMayHaveRun},
-		{"refused with proof", false, []step{send, notRun}, false, router.EndNotRun},
-		{"refused, then complete", false, []step{send, notRun, send, answer}, true, router.EndWhole},
-		{"failed once, refused once", true, []step{send, failed, send, notRun}, false, router.EndMayHaveRun},
-		{"failed, not repeatable", false, []step{send, failed}, false, router.EndMayHaveRun},
-		{"key held by another request", false, []step{(*router.Request).HeldElsewhere}, false, router.EndMayHaveRun},
+		{"never sent", true, nil, false, router.OutcomeNotRun},
+		{"complete", true, []step{send, answer}, true, router.OutcomeComplete},
+		{"broke off", true, []step{send, answer}, false, router.OutcomeMayHaveRun},
+		{"refused with proof", false, []step{send, notRun}, false, router.OutcomeNotRun},
+		{"refused, then complete", false, []step{send, notRun, send, answer}, true, router.OutcomeComplete},
+		{"failed once, refused once", true, []step{send, failed, send, notRun}, false, router.OutcomeMayHaveRun},
+		{"failed, not repeatable", false, []step{send, failed}, false, router.OutcomeMayHaveRun},
+		{"key held by another request", false, []step{(*router.Request).KeyInUse}, false, router.OutcomeMayHaveRun},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			r := &router.Request{ID: "r", Repeatable: test.repeatable}
+			r := &router.Request{ID: "r", Idempotent: test.repeatable}
 			for _, s := range test.steps {
 				c.Assert(s(r), qt.IsNil)
 			}
--- a/router/prefixes.go
+++ b/router/prefixes.go
@@ -7,17 +7,17 @@
 
 // Prefixes is the set of recently seen prompt prefixes. A prefix that is not in the set is
 // not worth routing by, because no engine is likely to have it cached.
-type Prefixes struct {
+type RecentPrefixes struct {
 	mu    sync.Mutex
 	seen  map[uint64]struct{}
 	order []uint64
 }
 
 // NewPrefixes returns an empty set.
-func NewPrefixes() *Prefixes { return &Prefixes{seen: map[uint64]struct{}{}} }
+func NewRecentPrefixes() *RecentPrefixes { return &RecentPrefixes{seen: map[uint64]struct{}{}} }
 
 // Seen adds a prefix to the set and reports whether the set already had it.
-func (p *Prefixes) Seen(prefix uint64) bool {
+func (p *RecentPrefixes) Seen(prefix uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, seen := p.seen[prefix]; seen {
--- a/router/request.go
+++ b/router/request.go
@@ -20,24 +20,24 @@
 	// PhaseSent: an upstream may have started to run the request.
 	PhaseSent
 	// PhaseAnswering: a part of the answer has been sent to the caller.
-	PhaseAnswering
+	PhaseResponding
 	// PhaseDone: the request has an outcome.
 	PhaseDone
 )
 
 // End is the outcome of a request.
-type End string
+type Outcome string
 
 // The outcomes of a request. EndNone means that it has none yet.
 const (
-	EndNone End = ""
+	OutcomeNone Outcome = ""
 	// EndWhole: the caller received the complete answer.
-	EndWhole End = "whole"
+	OutcomeComplete Outcome = "whole"
 	// EndNotRun: no upstream has run the request, and none will.
-	EndNotRun End = "not-run"
+	OutcomeNotRun Outcome = "not-run"
 	// EndMayHaveRun: the caller received no complete answer, and an upstream may have run
 	// the request.
-	EndMayHaveRun End = "may-have-run"
+	OutcomeMayHaveRun Outcome = "may-have-run"
 )
 
 // ErrPhase is returned for a step that is not allowed in the request's phase.
@@ -47,10 +47,10 @@
 type Request struct {
 	ID models.RequestID
 	// Repeatable is set if the request is idempotent: running it twice does no harm.
-	Repeatable bool
+	Idempotent bool
 
 	phase Phase
-	end   End
+	end   Outcome
 	tries int
 	// mayHaveRun is set once an attempt may have run, even if a later attempt didn't.
 	mayHaveRun bool
@@ -60,10 +60,10 @@
 func (r *Request) Phase() Phase { return r.phase }
 
 // End returns the outcome of the request.
-func (r *Request) End() End { return r.end }
+func (r *Request) Outcome() Outcome { return r.end }
 
 // Tries returns how many times the request has been sent.
-func (r *Request) Tries() int { return r.tries }
+func (r *Request) Attempts() int { return r.tries }
 
 // Send records that the request is about to be sent to an upstream.
 func (r *Request) Send() error {
@@ -93,7 +93,7 @@
 		return r.phaseError("fail")
 	}
 	r.mayHaveRun = true
-	if r.Repeatable {
+	if r.Idempotent {
 		r.phase = PhaseQueued
 	}
 	return nil
@@ -101,7 +101,7 @@
 
 // HeldElsewhere records that another request with the same idempotency key may be running or
 // may have run, so that this request must not be sent.
-func (r *Request) HeldElsewhere() error {
+func (r *Request) KeyInUse() error {
 	if r.phase != PhaseQueued {
 		return r.phaseError("hold")
 	}
@@ -111,11 +111,11 @@
 }
 
 // Answer records that the first part of the answer is about to be sent to the caller.
-func (r *Request) Answer() error {
+func (r *Request) Respond() error {
 	if r.phase != PhaseSent {
 		return r.phaseError("answer")
 	}
-	r.phase = PhaseAnswering
+	r.phase = PhaseResponding
 	return nil
 }
 
@@ -124,16 +124,16 @@
 
 // Finish sets the outcome of the request and returns it. complete tells whether the caller
 // received the complete answer.
-func (r *Request) Finish(complete bool) End {
+func (r *Request) Finish(complete bool) Outcome {
 	switch {
 	case r.phase == PhaseDone:
 		return r.end
-	case complete && r.phase == PhaseAnswering:
-		r.end = EndWhole
+	case complete && r.phase == PhaseResponding:
+		r.end = OutcomeComplete
 	case r.phase == PhaseQueued && !r.mayHaveRun:
-		r.end = EndNotRun
+		r.end = OutcomeNotRun
 	default:
-		r.end = EndMayHaveRun
+		r.end = OutcomeMayHaveRun
 	}
 	r.phase = PhaseDone
 	return r.end
--- a/router/suspects.go
+++ b/router/suspects.go
@@ -20,7 +20,7 @@
 }
 
 // Note adds an upstream to the set.
-func (s *Suspects) Note(addr netip.AddrPort, now time.Time) {
+func (s *Suspects) Add(addr netip.AddrPort, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.expiry == nil {
--- a/router/suspects_test.go
+++ b/router/suspects_test.go
@@ -16,8 +16,8 @@
 	a, b := netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
 	c.Assert(s.List(now), qt.HasLen, 0)
 
-	s.Note(a, now)
-	s.Note(b, now)
+	s.Add(a, now)
+	s.Add(b, now)
 	c.Assert(s.List(now), qt.HasLen, 2)
 
 	s.Clear(a)
