--- a/api/operators.go
+++ b/api/operators.go
@@ -21,7 +21,7 @@
 
 // AskAnswer is what an operator's command gives.
 type AskAnswer struct {
-	query.Answer
+	query.Result
 	// Change is set for a command that changes something.
 	Change *ChangeResult `json:"change,omitempty"`
 	// Error is set for a command that could not be carried out.
@@ -189,14 +189,14 @@
 	case commands[0].Why != nil && commands[0].Why.What == "request":
 		return a.whyRequest(ctx, commands[0].Why.Name)
 	default:
-		answer, err := query.Ask(a.facts(), commands[0])
-		return AskAnswer{Answer: answer}, err
+		answer, err := query.Evaluate(a.facts(), commands[0])
+		return AskAnswer{Result: answer}, err
 	}
 }
 
-func (a asker) facts() query.Facts {
+func (a asker) facts() query.View {
 	now := time.Now()
-	f := query.Facts{
+	f := query.View{
 		Now: now, Self: a.s.cfg.ID, State: a.view.State, Instances: a.view.Instances,
 		Evidence: a.view.Evidence, Gates: a.view.Table.Gates,
 		Rules: planner.DefaultRules(a.s.cfg.ReplaceAfter, a.s.cfg.GateBound),
@@ -229,7 +229,7 @@
 	if err != nil {
 		return AskAnswer{}, err
 	}
-	return AskAnswer{Answer: query.WhereRequest(entry)}, nil
+	return AskAnswer{Result: query.WhereRequest(entry)}, nil
 }
 
 // whyRequest tells in a sentence why a request ended as it did.
@@ -238,7 +238,7 @@
 	if err != nil {
 		return AskAnswer{}, err
 	}
-	return AskAnswer{Answer: query.WhyRequest(entry)}, nil
+	return AskAnswer{Result: query.WhyRequest(entry)}, nil
 }
 
 func (a asker) compile(changes []*query.Change) (state.ChangeConfig, error) {
@@ -279,7 +279,7 @@
 	}
 	answer := query.Preview(a.facts(), next)
 	answer.Text = query.Diff(a.view.State, next)
-	return AskAnswer{Answer: answer, Change: &ChangeResult{Result: ChangePlanned, Of: len(a.view.State.Daemons)}}, nil
+	return AskAnswer{Result: answer, Change: &ChangeResult{Result: ChangePlanned, Of: len(a.view.State.Daemons)}}, nil
 }
 
 // nothing answers changes that leave everything as it is.
@@ -287,7 +287,7 @@
 	offset := a.view.State.ConfigOffset
 	have, of := a.view.InForce(a.s.cfg.ID, offset)
 	return AskAnswer{
-		Answer: query.Answer{Text: "Nothing to change."},
+		Result: query.Result{Text: "Nothing to change."},
 		Change: &ChangeResult{Result: ChangeAccepted, Offset: offset, InForce: have, Of: of},
 	}
 }
--- a/query/answer.go
+++ b/query/answer.go
@@ -15,7 +15,7 @@
 )
 
 // Facts is the data that queries are evaluated on: a snapshot of what one daemon knows.
-type Facts struct {
+type View struct {
 	Now       time.Time
 	Self      models.DaemonID
 	State     *state.State
@@ -36,7 +36,7 @@
 }
 
 // Answer is the result of a query: a table or a text.
-type Answer struct {
+type Result struct {
 	Columns []string   `json:"columns,omitempty"`
 	Rows    [][]string `json:"rows,omitempty"`
 	// Text is an explanation, or the configuration as commands.
@@ -50,7 +50,7 @@
 )
 
 // tables holds the function that computes each table, by name.
-var tables = map[string]func(Facts) Answer{
+var tables = map[string]func(View) Result{
 	"groups":     showGroups,
 	"instances":  showInstances,
 	"models":     showModels,
@@ -67,29 +67,29 @@
 func Tables() []string { return append(sortedKeys(tables), "config") }
 
 // Ask evaluates a query. It returns ErrSyntax for a change.
-func Ask(f Facts, c *Command) (Answer, error) {
+func Evaluate(f View, c *Command) (Result, error) {
 	switch {
 	case c.Show != nil && c.Show.What == "config":
-		return Answer{Text: Print(f.State)}, nil
+		return Result{Text: Print(f.State)}, nil
 	case c.Show != nil:
 		return show(f, c.Show)
 	case c.Why != nil:
 		return why(f, c.Why)
 	default:
-		return Answer{}, fmt.Errorf("%w: this is no question", ErrSyntax)
+		return Result{}, fmt.Errorf("%w: this is no question", ErrSyntax)
 	}
 }
 
-func show(f Facts, s *Show) (Answer, error) {
+func show(f View, s *Show) (Result, error) {
 	table, ok := tables[s.What]
 	if !ok {
-		return Answer{}, fmt.Errorf("%w: %s; there are %s", ErrUnknownTable, s.What, strings.Join(Tables(), ", "))
+		return Result{}, fmt.Errorf("%w: %s; there are %s", ErrUnknownTable, s.What, strings.Join(Tables(), ", "))
 	}
 	answer := table(f)
 	for _, c := range s.Conds {
 		column := slices.Index(answer.Columns, c.Field)
 		if column < 0 {
-			return Answer{}, fmt.Errorf("%w: %s at line %d, column %d; %s has %s",
+			return Result{}, fmt.Errorf("%w: %s at line %d, column %d; %s has %s",
 				ErrUnknownColumn, c.Field, c.Pos.Line, c.Pos.Column, s.What, strings.Join(answer.Columns, ", "))
 		}
 		answer.Rows = slices.DeleteFunc(answer.Rows, func(row []string) bool { return !matches(row[column], c) })
@@ -120,8 +120,8 @@
 	}
 }
 
-func showGroups(f Facts) Answer {
-	answer := Answer{Columns: []string{"group", "model", "version", "zone", "domain", "members", "fence", "serving", "running", "why"}}
+func showGroups(f View) Result {
+	answer := Result{Columns: []string{"group", "model", "version", "zone", "domain", "members", "fence", "serving", "running", "why"}}
 	for _, id := range sortedKeys(f.State.Groups) {
 		g := f.State.Groups[id]
 		gate := f.Gates[id]
@@ -149,7 +149,7 @@
 	return "no"
 }
 
-func closedReason(f Facts, gate planner.Gate) string {
+func closedReason(f View, gate planner.Gate) string {
 	switch {
 	case gate.Open(f.Now):
 		return ""
@@ -160,8 +160,8 @@
 	}
 }
 
-func showInstances(f Facts) Answer {
-	answer := Answer{Columns: []string{"instance", "kind", "zone", "domain", "accelerators", "group", "phase", "state", "addr"}}
+func showInstances(f View) Result {
+	answer := Result{Columns: []string{"instance", "kind", "zone", "domain", "accelerators", "group", "phase", "state", "addr"}}
 	for _, id := range sortedKeys(f.Instances) {
 		i := f.Instances[id]
 		e := f.Evidence[id]
@@ -174,7 +174,7 @@
 	return answer
 }
 
-func instanceState(f Facts, i models.Instance, e planner.Evidence) string {
+func instanceState(f View, i models.Instance, e planner.Evidence) string {
 	_, drained := f.State.Drained[i.ID]
 	switch {
 	case drained:
@@ -192,8 +192,8 @@
 	}
 }
 
-func showModels(f Facts) Answer {
-	answer := Answer{Columns: []string{"model", "version", "members", "replicas", "groups", "serving", "zones", "domains", "revision"}}
+func showModels(f View) Result {
+	answer := Result{Columns: []string{"model", "version", "members", "replicas", "groups", "serving", "zones", "domains", "revision"}}
 	for _, name := range sortedKeys(f.State.Models) {
 		m := f.State.Models[name]
 		groups, serving := 0, 0
@@ -214,8 +214,8 @@
 	return answer
 }
 
-func showWorkspaces(f Facts) Answer {
-	answer := Answer{Columns: []string{"workspace", "models", "services", "zones", "domains", "share", "concurrent", "tokens", "revision"}}
+func showWorkspaces(f View) Result {
+	answer := Result{Columns: []string{"workspace", "models", "services", "zones", "domains", "share", "concurrent", "tokens", "revision"}}
 	for _, name := range sortedKeys(f.State.Workspaces) {
 		w := f.State.Workspaces[name]
 		rules := make([]string, 0, len(w.Models))
@@ -230,8 +230,8 @@
 	return answer
 }
 
-func showServices(f Facts) Answer {
-	answer := Answer{Columns: []string{"service", "instances", "zones", "domains", "revision"}}
+func showServices(f View) Result {
+	answer := Result{Columns: []string{"service", "instances", "zones", "domains", "revision"}}
 	for _, name := range sortedKeys(f.State.Services) {
 		v := f.State.Services[name]
 		instances := 0
@@ -247,8 +247,8 @@
 	return answer
 }
 
-func showOperators(f Facts) Answer {
-	answer := Answer{Columns: []string{"operator", "right", "tokens", "revision"}}
+func showOperators(f View) Result {
+	answer := Result{Columns: []string{"operator", "right", "tokens", "revision"}}
 	for _, name := range sortedKeys(f.State.Operators) {
 		o := f.State.Operators[name]
 		answer.Rows = append(answer.Rows, []string{string(name), string(o.Right), fmt.Sprint(len(o.Tokens)), fmt.Sprint(o.Revision)})
@@ -256,8 +256,8 @@
 	return answer
 }
 
-func showDaemons(f Facts) Answer {
-	answer := Answer{Columns: []string{"daemon", "zone", "peer", "on-roster", "serving", "applied", "config", "log-age", "heard"}}
+func showDaemons(f View) Result {
+	answer := Result{Columns: []string{"daemon", "zone", "peer", "on-roster", "serving", "applied", "config", "log-age", "heard"}}
 	for _, d := range f.Daemons {
 		s := d.Status
 		logAge := "never"
@@ -275,19 +275,19 @@
 
 // showState shows the offset up to which this daemon has applied the log. Daemons at the
 // same offset have the same digest.
-func showState(f Facts) Answer {
+func showState(f View) Result {
 	digest, err := f.State.Digest()
 	if err != nil {
 		digest = err.Error()
 	}
-	return Answer{
+	return Result{
 		Columns: []string{"daemon", "applied", "config", "digest"},
 		Rows:    [][]string{{string(f.Self), fmt.Sprint(f.State.Applied), fmt.Sprint(f.State.ConfigOffset), digest}},
 	}
 }
 
-func showAudit(f Facts) Answer {
-	answer := Answer{Columns: []string{"offset", "at", "operator", "daemon", "result", "change", "note"}}
+func showAudit(f View) Result {
+	answer := Result{Columns: []string{"offset", "at", "operator", "daemon", "result", "change", "note"}}
 	for _, e := range f.State.Audit {
 		result := "accepted"
 		if e.RejectionReason != "" {
@@ -300,8 +300,8 @@
 	return answer
 }
 
-func showStranded(f Facts) Answer {
-	answer := Answer{Columns: []string{"instance", "zone", "domain", "accelerators", "why"}}
+func showStranded(f View) Result {
+	answer := Result{Columns: []string{"instance", "zone", "domain", "accelerators", "why"}}
 	for _, id := range sortedKeys(f.Instances) {
 		i := f.Instances[id]
 		if i.Kind != models.KindEngine {
@@ -316,7 +316,7 @@
 
 // strandedReason returns why the instance's accelerators are stranded, or "" if the
 // instance's group serves.
-func strandedReason(f Facts, i models.Instance) string {
+func strandedReason(f View, i models.Instance) string {
 	group, owned := f.State.Owner(i.ID)
 	switch {
 	case owned && f.Gates[group].Open(f.Now):
@@ -335,44 +335,44 @@
 	return planner.ExplainFree(f.input(), i)
 }
 
-func (f Facts) input() planner.Input {
+func (f View) input() planner.Input {
 	return planner.Input{State: f.State, Instances: f.Instances, Evidence: f.Evidence, Now: f.Now, Rules: f.Rules}
 }
 
-func why(f Facts, w *Why) (Answer, error) {
+func why(f View, w *Why) (Result, error) {
 	switch w.What {
 	case "group":
 		g, ok := f.State.Groups[models.GroupID(w.Name)]
 		if !ok {
-			return Answer{}, fmt.Errorf("%w: group %q", ErrNotFound, w.Name)
+			return Result{}, fmt.Errorf("%w: group %q", ErrNotFound, w.Name)
 		}
 		gate := f.Gates[g.ID]
 		if gate.Open(f.Now) {
-			return Answer{Text: fmt.Sprintf("Group %s serves: all of its %d members are in place.", g.ID, len(g.Members))}, nil
+			return Result{Text: fmt.Sprintf("Group %s serves: all of its %d members are in place.", g.ID, len(g.Members))}, nil
 		}
-		return Answer{Text: fmt.Sprintf("Group %s does not serve: %s.", g.ID, closedReason(f, gate))}, nil
+		return Result{Text: fmt.Sprintf("Group %s does not serve: %s.", g.ID, closedReason(f, gate))}, nil
 	case "instance":
 		i, ok := f.Instances[models.InstanceID(w.Name)]
 		if !ok {
-			return Answer{}, fmt.Errorf("%w: instance %q", ErrNotFound, w.Name)
+			return Result{}, fmt.Errorf("%w: instance %q", ErrNotFound, w.Name)
 		}
 		if reason := strandedReason(f, i); reason != "" {
-			return Answer{Text: fmt.Sprintf("Instance %s serves nobody: %s.", i.ID, reason)}, nil
+			return Result{Text: fmt.Sprintf("Instance %s serves nobody: %s.", i.ID, reason)}, nil
 		}
 		group, _ := f.State.Owner(i.ID)
-		return Answer{Text: fmt.Sprintf("Instance %s serves in group %s.", i.ID, group)}, nil
+		return Result{Text: fmt.Sprintf("Instance %s serves in group %s.", i.ID, group)}, nil
 	case "stranded":
 		return strandedSummary(f), nil
 	default:
-		return Answer{}, fmt.Errorf("%w: %s %q", ErrNotFound, w.What, w.Name)
+		return Result{}, fmt.Errorf("%w: %s %q", ErrNotFound, w.What, w.Name)
 	}
 }
 
 // strandedSummary returns the number of stranded accelerators by reason.
-func strandedSummary(f Facts) Answer {
+func strandedSummary(f View) Result {
 	rows := showStranded(f).Rows
 	if len(rows) == 0 {
-		return Answer{Text: "No accelerator is stranded."}
+		return Result{Text: "No accelerator is stranded."}
 	}
 	const accelerators, reason = 3, 4
 	total := 0
@@ -386,5 +386,5 @@
 	for _, r := range sortedKeys(byReason) {
 		parts = append(parts, fmt.Sprintf("%d because %s", byReason[r], r))
 	}
-	return Answer{Text: fmt.Sprintf("%d accelerators are stranded: %s.", total, strings.Join(parts, "; "))}
+	return Result{Text: fmt.Sprintf("%d accelerators are stranded: %s.", total, strings.Join(parts, "; "))}
 }
--- a/query/fuzz_test.go
+++ b/query/fuzz_test.go
@@ -46,7 +46,7 @@
 			if c.Change != nil {
 				_, _ = query.Compile(s, []*query.Change{c.Change})
 			} else {
-				_, _ = query.Ask(query.Facts{State: s}, c)
+				_, _ = query.Evaluate(query.View{State: s}, c)
 			}
 		}
 		if after, _ := s.Digest(); after != before {
--- a/query/preview.go
+++ b/query/preview.go
@@ -8,8 +8,8 @@
 )
 
 // Preview returns the changes that the planner's next round would propose in the given state.
-func Preview(f Facts, next *state.State) Answer {
-	answer := Answer{Columns: []string{"step", "group", "domain", "reason"}}
+func Preview(f View, next *state.State) Result {
+	answer := Result{Columns: []string{"step", "group", "domain", "reason"}}
 	in := f.input()
 	in.State = next
 	for _, p := range planner.Plan(in) {
--- a/query/trail.go
+++ b/query/trail.go
@@ -20,8 +20,8 @@
 }
 
 // WhereRequest returns a table that shows where a request ran.
-func WhereRequest(e models.TrailEntry) Answer {
-	return Answer{
+func WhereRequest(e models.TrailEntry) Result {
+	return Result{
 		Columns: []string{"request", "end", "workspace", "wanted", "version", "group", "instances", "zone", "domain", "daemon", "started", "took", "tries"},
 		Rows: [][]string{{
 			string(e.Request), outcomeOf(e), string(e.Workspace), e.ModelOrService, string(e.Version), string(e.Group), instanceList(e),
@@ -40,7 +40,7 @@
 }
 
 // WhyRequest returns a text that explains the outcome of a request.
-func WhyRequest(e models.TrailEntry) Answer {
+func WhyRequest(e models.TrailEntry) Result {
 	place := "It was sent nowhere"
 	if len(e.Instances) > 0 {
 		place = fmt.Sprintf("It was sent to %s in zone %s, fabric domain %s", instanceList(e), e.Zone, e.Domain)
@@ -49,5 +49,5 @@
 	if e.Reason != "" {
 		text += " The reason: " + e.Reason + "."
 	}
-	return Answer{Text: text}
+	return Result{Text: text}
 }
