--- a/cluster/asks.go
+++ b/cluster/asks.go
@@ -123,7 +123,7 @@
 	case order.Kind == types.GroupOpen:
 		return service.Engine.FormTime + reportMargin, true
 	case order.Kind == types.GroupJoin && i.LoadedModel == model.Name:
-		return fleet.Rejoin + reportMargin, true
+		return fleet.RejoinTime + reportMargin, true
 	case order.Kind == types.GroupJoin && slices.Contains(i.StagedModels, model.Name):
 		return model.WarmLoadTime + reportMargin, true
 	}
@@ -136,7 +136,7 @@
 	if o.fleet.planner == nil {
 		return false
 	}
-	switch o.fleet.planner.Expects(k.ID) {
+	switch o.fleet.planner.OrderInProgress(k.ID) {
 	case types.GroupJoin:
 		return k.Group.State == models.MemberJoining && joinedWarm(k.UpstreamInstance)
 	case types.GroupOpen:
--- a/cluster/demand.go
+++ b/cluster/demand.go
@@ -98,7 +98,7 @@
 const supplyEvery = 2 * time.Second
 
 // logSupply tells what each model has and needs.
-func (o *owner) logSupply(engine *models.EngineProfile, w fleet.World) {
+func (o *owner) logSupply(engine *models.EngineProfile, w fleet.Snapshot) {
 	if w.Now.Sub(o.fleet.supplyLogged) < supplyEvery {
 		return
 	}
@@ -106,10 +106,10 @@
 	groups := o.fleet.serving(w.Now)
 	work := o.work()
 	for _, m := range engine.Models {
-		busy := int(w.Busy[m.Name])
+		busy := int(w.InFlight[m.Name])
 		o.n.log.Info().Str("model", string(m.Name)).Int("groups", len(groups[m.Name])).Int("size", m.GroupSize).Int("in-flight", busy).
 			Float64("demand", w.Demand[m.Name]).Float64("work", work[m.Name]).Int("instances", len(w.Instances)).
-			Int("lost", len(w.Lost)).Msg("supply")
+			Int("lost", len(w.Unreachable)).Msg("supply")
 	}
 	c := o.fleet.planner.Counts()
 	o.n.log.Info().Int("forming", c.Forming).Int("ending", c.Ending).Int("staging", c.Staging).Int("loading", c.Loading).
--- a/cluster/planning.go
+++ b/cluster/planning.go
@@ -183,28 +183,28 @@
 }
 
 // world is what the planner is told of one service's instances.
-func (o *owner) world(name models.ServiceName, engine *models.EngineProfile, now time.Time) fleet.World {
+func (o *owner) world(name models.ServiceName, engine *models.EngineProfile, now time.Time) fleet.Snapshot {
 	busy, withheld := o.busy(engine, now)
-	w := fleet.World{
-		Now: now, Profile: engine, Demand: o.demand(engine), Busy: busy, Withheld: withheld,
-		Instances: map[models.InstanceID]models.UpstreamInstance{}, Lost: map[models.InstanceID]bool{},
-		Unproven: map[models.InstanceID]bool{}, Unlisted: map[models.InstanceID]bool{},
+	w := fleet.Snapshot{
+		Now: now, Profile: engine, Demand: o.demand(engine), InFlight: busy, LimitedSlots: withheld,
+		Instances: map[models.InstanceID]models.UpstreamInstance{}, Unreachable: map[models.InstanceID]bool{},
+		Unverified: map[models.InstanceID]bool{}, Unlisted: map[models.InstanceID]bool{},
 	}
 	// Demand has just noted whether there is traffic.
-	w.Traffic = o.fleet.traffic
+	w.HasTraffic = o.fleet.traffic
 	for id, i := range o.fleet.instances {
 		if i.Service != name {
 			continue
 		}
 		w.Instances[id] = i.UpstreamInstance
 		if !i.lost.IsZero() {
-			w.Lost[id] = true
+			w.Unreachable[id] = true
 		}
 		if i.unlisted {
 			w.Unlisted[id] = true
 		}
 		if o.fleet.unproven(i) {
-			w.Unproven[id] = true
+			w.Unverified[id] = true
 		}
 	}
 	return w
@@ -232,7 +232,7 @@
 	o.fleet.calls.Note(m.took)
 	o.giveOrders()
 	if p := o.fleet.planner; p != nil && fleet.TermOf(m.order.Fence) == o.fleet.heldTerm {
-		p.Note(m.order, m.outcome, m.at)
+		p.RecordOutcome(m.order, m.outcome, m.at)
 	}
 	k := o.fleet.instances[m.order.Instance]
 	if k == nil || k.CompareIncarnation(m.order.Born) != models.SameIncarnation {
--- a/fleet/convert.go
+++ b/fleet/convert.go
@@ -58,7 +58,7 @@
 // startConversion starts the worthwhile conversion that leaves the lowest congestion over all
 // models, if there is one.
 func (r *round) startConversion() {
-	if r.converting != nil || !r.Traffic || r.Now.Sub(r.converted) < minConversionInterval {
+	if r.converting != nil || !r.HasTraffic || r.Now.Sub(r.converted) < minConversionInterval {
 		return
 	}
 	free := r.freeInstances()
@@ -206,7 +206,7 @@
 		d := donor{group: g}
 		for rank := range len(g.Members) {
 			id, present := g.Members[rank]
-			if present && r.usable(id) && !r.Unproven[id] && slices.Contains(r.Instances[id].StagedModels, to) {
+			if present && r.usable(id) && !r.Unverified[id] && slices.Contains(r.Instances[id].StagedModels, to) {
 				d.candidates = append(d.candidates, id)
 			}
 		}
--- a/fleet/ending.go
+++ b/fleet/ending.go
@@ -77,7 +77,7 @@
 // usableHead reports whether the head can be ordered to close.
 func (r *round) usableHead(head models.InstanceID, key models.GroupKey) bool {
 	i, present := r.Instances[head]
-	return present && !r.Lost[head] && i.Group.Key == key
+	return present && !r.Unreachable[head] && i.Group.Key == key
 }
 
 // orderMembersToLeave orders the members of a group without a reachable head to leave it. If the
--- a/fleet/evaluate.go
+++ b/fleet/evaluate.go
@@ -59,7 +59,7 @@
 // chooseAction returns the action for a group; known is false if the model is not configured any
 // more.
 func (r *round) chooseAction(g *Group, profile models.ModelProfile, known bool) groupAction {
-	if g.Head == "" || r.Lost[g.Head] {
+	if g.Head == "" || r.Unreachable[g.Head] {
 		return actionReleaseMembers
 	}
 	if g.State == models.MemberBroken {
@@ -68,7 +68,7 @@
 	complete := known && g.complete(profile.GroupSize)
 	draining := false
 	for _, id := range g.Members {
-		complete = complete && !r.Lost[id]
+		complete = complete && !r.Unreachable[id]
 		draining = draining || r.Instances[id].Draining
 	}
 	serving := g.State == models.MemberOpen || g.State == models.MemberClosing
--- a/fleet/form.go
+++ b/fleet/form.go
@@ -20,7 +20,7 @@
 
 // formGroups forms groups of free instances, the model with the lowest supply for its demand first.
 func (r *round) formGroups() {
-	if !r.Traffic {
+	if !r.HasTraffic {
 		r.updateLayout()
 	}
 	cache := newCandidateCache(r.freeInstances())
@@ -78,7 +78,7 @@
 	out := map[models.Domain][]models.InstanceID{}
 	for _, id := range slices.Sorted(maps.Keys(r.Instances)) {
 		_, backingOff := r.backoffUntil[id]
-		if !r.usable(id) || r.Unproven[id] || r.reserved[id] || backingOff || !r.released(id) {
+		if !r.usable(id) || r.Unverified[id] || r.reserved[id] || backingOff || !r.released(id) {
 			continue
 		}
 		out[r.Instances[id].Domain] = append(out[r.Instances[id].Domain], id)
@@ -162,7 +162,7 @@
 		return c, true
 	}
 	planned := r.layout[domain][model.Name] * model.GroupSize
-	return c, !r.Traffic && r.assignedByDomain[domain][model.Name] < planned && r.mayStartLoads(len(c.loading))
+	return c, !r.HasTraffic && r.assignedByDomain[domain][model.Name] < planned && r.mayStartLoads(len(c.loading))
 }
 
 // joinTime is how long the instance takes to join a group of the model.
@@ -170,7 +170,7 @@
 	i := r.Instances[id]
 	switch {
 	case i.LoadedModel == model.Name:
-		return Rejoin
+		return RejoinTime
 	case slices.Contains(i.StagedModels, model.Name):
 		return model.WarmLoadTime
 	default:
@@ -180,7 +180,7 @@
 
 // mayStartLoads reports whether n loads may start now.
 func (r *round) mayStartLoads(n int) bool {
-	if !r.Traffic {
+	if !r.HasTraffic {
 		// Before traffic, loads don't slow each other down: 44 concurrent loads took no longer
 		// each.
 		return true
--- a/fleet/layout.go
+++ b/fleet/layout.go
@@ -45,7 +45,7 @@
 	if r.layout != nil && in.equal(r.layoutBasis) {
 		return
 	}
-	r.layout, r.layoutBasis = r.World.computeLayout(in), in
+	r.layout, r.layoutBasis = r.Snapshot.computeLayout(in), in
 }
 
 // layoutInput returns the present sizes and zones of the domains and the demand of the models.
@@ -64,7 +64,7 @@
 }
 
 // computeLayout computes a layout for the given domains and demand.
-func (w World) computeLayout(in layoutInput) layout {
+func (w Snapshot) computeLayout(in layoutInput) layout {
 	if len(in.sizes) == 0 {
 		return layout{}
 	}
@@ -76,7 +76,7 @@
 
 // hasSpares reports whether the largest domain has instances left over when filled with the largest
 // groups.
-func (w World) hasSpares(in layoutInput) bool {
+func (w Snapshot) hasSpares(in layoutInput) bool {
 	largest := 0
 	for _, size := range in.sizes {
 		largest = max(largest, size)
@@ -87,7 +87,7 @@
 
 // dedicateDomains assigns each domain to one model, always to the model with the fewest instances
 // for its demand.
-func (w World) dedicateDomains(in layoutInput) layout {
+func (w Snapshot) dedicateDomains(in layoutInput) layout {
 	out, supplied := layout{}, supply{}
 	room := maps.Clone(in.sizes)
 	for len(room) > 0 {
@@ -105,7 +105,7 @@
 
 // spreadGroups computes the layout that is best after every domain has lost an instance, unless a
 // model would have no group in it.
-func (w World) spreadGroups(in layoutInput) layout {
+func (w Snapshot) spreadGroups(in layoutInput) layout {
 	reduced := in
 	reduced.sizes = map[models.Domain]int{}
 	for domain, size := range in.sizes {
@@ -123,7 +123,7 @@
 
 // optimizeFill searches for the number of groups of each model with the lowest congestion. It
 // starts with numbers proportional to the demand and changes them one group at a time.
-func (w World) optimizeFill(in layoutInput) layout {
+func (w Snapshot) optimizeFill(in layoutInput) layout {
 	totalInstances, totalDemand := 0, 0.0
 	for _, size := range in.sizes {
 		totalInstances += size
@@ -165,7 +165,7 @@
 
 // fillDomains places the given number of groups of each model, and as many groups of the smallest
 // model as fit. It returns the layout and its congestion.
-func (w World) fillDomains(in layoutInput, counts map[models.ModelName]int) (layout, float64) {
+func (w Snapshot) fillDomains(in layoutInput, counts map[models.ModelName]int) (layout, float64) {
 	room, out, supplied := maps.Clone(in.sizes), layout{}, supply{}
 	for domain := range room {
 		out[domain] = map[models.ModelName]int{}
--- a/fleet/planner.go
+++ b/fleet/planner.go
@@ -30,7 +30,7 @@
 	deadlineFactor = 2
 	// Rejoin is how long an instance takes to join a group of the model that it ran last, as
 	// specified by the engines' vendors.
-	Rejoin = 200 * time.Millisecond
+	RejoinTime = 200 * time.Millisecond
 	// cutRetryInterval is how soon a head that began to close receives the order again: its answer
 	// tells when it has closed.
 	cutRetryInterval = 30 * time.Millisecond
@@ -44,34 +44,34 @@
 )
 
 // World is the planner's input: the known state at one moment.
-type World struct {
+type Snapshot struct {
 	Now     time.Time
 	Profile *models.EngineProfile
 	// Instances holds the instances of the model service that have an entry in the store.
 	Instances map[models.InstanceID]models.UpstreamInstance
 	// Lost holds instances that have an entry but do not answer.
-	Lost map[models.InstanceID]bool
+	Unreachable map[models.InstanceID]bool
 	// Unlisted holds members of groups that have no entry any more. Their groups may go on, but
 	// they join no new groups.
 	Unlisted map[models.InstanceID]bool
 	// Unproven holds instances that the planner has not queried in its own term. Their known state
 	// may be older than the last orders of the previous planner, so they join no new groups.
-	Unproven map[models.InstanceID]bool
+	Unverified map[models.InstanceID]bool
 	// Demand is the fraction of all instances that each model needs.
 	Demand map[models.ModelName]float64
 	// Busy is the number of requests in flight in each model's groups.
-	Busy map[models.ModelName]float64
+	InFlight map[models.ModelName]float64
 	// Withheld is the number of slots of each model's groups that can't be used because their heads
 	// announce rate limits.
-	Withheld map[models.ModelName]float64
+	LimitedSlots map[models.ModelName]float64
 	// Traffic is set once requests have arrived. Until then loads are cheap.
-	Traffic bool
+	HasTraffic bool
 }
 
 // usable reports whether an instance may be a member of a group.
-func (w World) usable(id models.InstanceID) bool {
+func (w Snapshot) usable(id models.InstanceID) bool {
 	i, present := w.Instances[id]
-	return present && !w.Lost[id] && !w.Unlisted[id] && !i.Draining
+	return present && !w.Unreachable[id] && !w.Unlisted[id] && !i.Draining
 }
 
 // maxOrders is the number of fences and epochs of a term, less a reserve for the orders of one
@@ -167,11 +167,11 @@
 }
 
 // Step runs one planning round and returns the orders that are due.
-func (p *Planner) Step(w World) []types.GroupOrder {
+func (p *Planner) Step(w Snapshot) []types.GroupOrder {
 	if w.Profile == nil || len(w.Profile.Models) == 0 {
 		return nil
 	}
-	r := &round{Planner: p, World: w, groups: Groups(w.Instances), reserved: map[models.InstanceID]bool{}, assigned: supply{}, assignedByDomain: map[models.Domain]supply{}}
+	r := &round{Planner: p, Snapshot: w, groups: Groups(w.Instances), reserved: map[models.InstanceID]bool{}, assigned: supply{}, assignedByDomain: map[models.Domain]supply{}}
 	r.arrivals.observe(w.Instances, w.Now)
 	r.detectRestarts()
 	r.pruneState()
@@ -192,7 +192,7 @@
 }
 
 // Expects returns the kind of the order that the instance is executing, empty if there is none.
-func (p *Planner) Expects(id models.InstanceID) types.GroupOrderKind {
+func (p *Planner) OrderInProgress(id models.InstanceID) types.GroupOrderKind {
 	if s := p.sent[id]; s != nil && s.outcome == types.OrderBegun {
 		return s.order.Kind
 	}
@@ -210,7 +210,7 @@
 func (p *Planner) Counts() Counts { return p.counts }
 
 // Note records the outcome of an order.
-func (p *Planner) Note(o types.GroupOrder, outcome types.OrderOutcome, now time.Time) {
+func (p *Planner) RecordOutcome(o types.GroupOrder, outcome types.OrderOutcome, now time.Time) {
 	if (models.UpstreamInstance{StartedAt: p.startTimes[o.Instance]}).CompareIncarnation(o.Born) != models.SameIncarnation {
 		// The instance has restarted since the order.
 		return
--- a/fleet/planner_test.go
+++ b/fleet/planner_test.go
@@ -14,7 +14,7 @@
 // daemon.
 func TestNoModels(t *testing.T) {
 	p := NewPlanner(1, time.Now())
-	orders := p.Step(World{
+	orders := p.Step(Snapshot{
 		Now: time.Now(), Profile: &models.EngineProfile{Slots: 1},
 		Instances: map[models.InstanceID]models.UpstreamInstance{"i-1": {ID: "i-1", Domain: "a"}},
 	})
@@ -25,7 +25,7 @@
 // when the system starts.
 func TestNoInstances(t *testing.T) {
 	p := NewPlanner(1, time.Now())
-	qt.Assert(t, p.Step(World{Now: time.Now(), Profile: testProfile()}), qt.HasLen, 0)
+	qt.Assert(t, p.Step(Snapshot{Now: time.Now(), Profile: testProfile()}), qt.HasLen, 0)
 }
 
 // TestTermEnds checks that a planner is superseded before its fences reach those of the next term.
@@ -42,16 +42,16 @@
 // Instances that were cut off from the store had joined a group of the previous planner that the
 // new planner did not know of, and were assigned to a second group.
 func TestUnprovenInstances(t *testing.T) {
-	w := World{Now: time.Now(), Profile: testProfile(), Instances: map[models.InstanceID]models.UpstreamInstance{}, Unproven: map[models.InstanceID]bool{}}
+	w := Snapshot{Now: time.Now(), Profile: testProfile(), Instances: map[models.InstanceID]models.UpstreamInstance{}, Unverified: map[models.InstanceID]bool{}}
 	for _, id := range []models.InstanceID{"i-1", "i-2", "i-3", "i-4"} {
 		w.Instances[id] = models.UpstreamInstance{ID: id, Domain: "a"}
-		w.Unproven[id] = true
+		w.Unverified[id] = true
 	}
 	p := NewPlanner(1, w.Now)
 	for _, o := range p.Step(w) {
 		qt.Assert(t, o.Kind, qt.Not(qt.Equals), types.GroupJoin)
 	}
-	clear(w.Unproven)
+	clear(w.Unverified)
 	w.Now = w.Now.Add(time.Second)
 	qt.Assert(t, p.Step(w), qt.Not(qt.HasLen), 0)
 }
@@ -60,14 +60,14 @@
 // member joins no other group.
 func TestUnlistedMember(t *testing.T) {
 	key := models.GroupKey{Name: "small.1", Epoch: 1}
-	w := World{Now: time.Now(), Profile: testProfile(), Traffic: true, Unlisted: map[models.InstanceID]bool{"i-2": true}}
+	w := Snapshot{Now: time.Now(), Profile: testProfile(), HasTraffic: true, Unlisted: map[models.InstanceID]bool{"i-2": true}}
 	w.Instances = map[models.InstanceID]models.UpstreamInstance{
 		"i-1": {ID: "i-1", Domain: "a", LoadedModel: "small", StagedModels: []models.ModelName{"small", "big"}, Group: models.Membership{Key: key, State: models.MemberOpen}},
 		"i-2": {ID: "i-2", Domain: "a", LoadedModel: "small", StagedModels: []models.ModelName{"small"}, Group: models.Membership{Key: key, Rank: 1, State: models.MemberReady}},
 	}
 	p := NewPlanner(1, w.Now)
 	qt.Assert(t, p.Step(w), qt.HasLen, 0)
-	w.Lost = map[models.InstanceID]bool{"i-2": true}
+	w.Unreachable = map[models.InstanceID]bool{"i-2": true}
 	orders := p.Step(w)
 	qt.Assert(t, orders, qt.HasLen, 1)
 	qt.Assert(t, orders[0].Kind, qt.Equals, types.GroupCut)
@@ -79,7 +79,7 @@
 // Without that, an instance was in two groups just after another daemon had become the planner.
 func TestAdoptedGroupMayOpen(t *testing.T) {
 	key := models.GroupKey{Name: "small.1", Epoch: 1}
-	w := World{Now: time.Now(), Profile: testProfile(), Traffic: true, Lost: map[models.InstanceID]bool{}}
+	w := Snapshot{Now: time.Now(), Profile: testProfile(), HasTraffic: true, Unreachable: map[models.InstanceID]bool{}}
 	w.Instances = map[models.InstanceID]models.UpstreamInstance{}
 	for _, id := range []models.InstanceID{"i-1", "i-2"} {
 		w.Instances[id] = models.UpstreamInstance{ID: id, Domain: "a", LoadedModel: "small", StagedModels: []models.ModelName{"small"}}
@@ -93,9 +93,9 @@
 	for _, o := range p.Step(w) {
 		qt.Assert(t, o.Kind, qt.Equals, types.GroupJoin)
 		qt.Assert(t, o.Group, qt.Equals, key)
-		p.Note(o, types.OrderDone, w.Now)
+		p.RecordOutcome(o, types.OrderDone, w.Now)
 	}
-	w.Lost["i-2"] = true
+	w.Unreachable["i-2"] = true
 	w.Now = w.Now.Add(time.Second)
 	orders := p.Step(w)
 	qt.Assert(t, orders, qt.HasLen, 1)
--- a/fleet/round.go
+++ b/fleet/round.go
@@ -12,7 +12,7 @@
 // round is the state of one call of Step.
 type round struct {
 	*Planner
-	World
+	Snapshot
 	groups map[models.GroupKey]*Group
 	orders []types.GroupOrder
 	// reserved holds the instances that are in a group or assigned to one, and can't be used
--- a/fleet/sim_test.go
+++ b/fleet/sim_test.go
@@ -106,15 +106,15 @@
 	}
 }
 
-func (s *sim) world() World {
-	w := World{
+func (s *sim) world() Snapshot {
+	w := Snapshot{
 		Now: s.now, Profile: s.profile, Instances: map[models.InstanceID]models.UpstreamInstance{},
-		Lost: map[models.InstanceID]bool{}, Demand: s.demand, Busy: s.busy, Traffic: s.traffic,
+		Unreachable: map[models.InstanceID]bool{}, Demand: s.demand, InFlight: s.busy, HasTraffic: s.traffic,
 	}
 	for id, i := range s.instances {
 		w.Instances[id] = i.UpstreamInstance
 		if i.dead || i.cut || s.suspected[id] {
-			w.Lost[id] = true
+			w.Unreachable[id] = true
 		}
 	}
 	return w
@@ -125,7 +125,7 @@
 	if s.rand.Float64() < s.lateFraction {
 		d.unanswered = true
 		d.at = s.now.Add(2*time.Second + time.Duration(s.rand.Int64N(int64(10*time.Second))))
-		p.Note(o, types.OrderUnknown, s.now)
+		p.RecordOutcome(o, types.OrderUnknown, s.now)
 	}
 	s.inFlight = append(s.inFlight, d)
 }
@@ -144,7 +144,7 @@
 			outcome = s.execute(i, d.order)
 		}
 		if !d.unanswered {
-			d.planner.Note(d.order, outcome, s.now)
+			d.planner.RecordOutcome(d.order, outcome, s.now)
 		}
 	}
 }
@@ -287,7 +287,7 @@
 	s.memberLists[o.Group] = o.Members
 	switch {
 	case i.LoadedModel == model.Name:
-		i.readyAt = s.now.Add(Rejoin)
+		i.readyAt = s.now.Add(RejoinTime)
 	case slices.Contains(i.StagedModels, model.Name):
 		i.readyAt = s.now.Add(model.WarmLoadTime)
 	default:
--- a/fleet/staging.go
+++ b/fleet/staging.go
@@ -73,7 +73,7 @@
 func (r *round) stageSpares(free map[models.Domain][]models.InstanceID) bool {
 	var options []loadOption
 	for domain, ids := range free {
-		if r.Traffic || r.layout != nil {
+		if r.HasTraffic || r.layout != nil {
 			options = append(options, r.loadOptions(domain, ids)...)
 		}
 	}
@@ -132,7 +132,7 @@
 // dedicates the domain to. Members left of its broken groups form new groups only together. Empty
 // instances get its weights too, unless it can yield the domain to an overloaded model.
 func (r *round) dominantModel(domain models.Domain) models.ModelName {
-	if groups := r.layout[domain]; !r.Traffic && len(groups) == 1 {
+	if groups := r.layout[domain]; !r.HasTraffic && len(groups) == 1 {
 		for name := range groups {
 			return name
 		}
@@ -161,7 +161,7 @@
 
 // canYield reports whether the model has low utilization while another model has high utilization.
 func (r *round) canYield(m models.ModelProfile) bool {
-	if !r.Traffic || r.utilization(m, r.assigned[m.Name]) > lowUtilization {
+	if !r.HasTraffic || r.utilization(m, r.assigned[m.Name]) > lowUtilization {
 		return false
 	}
 	return slices.ContainsFunc(r.Profile.Models, func(o models.ModelProfile) bool {
@@ -270,7 +270,7 @@
 // mayPrestage reports whether the weight store has capacity for a load that no group is waiting
 // for.
 func (r *round) mayPrestage() bool {
-	if !r.Traffic {
+	if !r.HasTraffic {
 		return r.loading < r.Profile.MaxConcurrentLoads+extraLoadsBeforeTraffic
 	}
 	return r.loading < r.Profile.MaxConcurrentLoads-reservedLoads && r.mayStartLoads(1)
--- a/fleet/supply.go
+++ b/fleet/supply.go
@@ -14,11 +14,11 @@
 type supply map[models.ModelName]int
 
 // demandOf returns the fraction of all instances that the model needs.
-func (w World) demandOf(m models.ModelProfile) float64 { return max(minDemand, w.Demand[m.Name]) }
+func (w Snapshot) demandOf(m models.ModelProfile) float64 { return max(minDemand, w.Demand[m.Name]) }
 
 // marginalGain is the gain from one more instance: the decrease in the waiting time of a request,
 // times the number of requests.
-func (w World) marginalGain(m models.ModelProfile, s supply) float64 {
+func (w Snapshot) marginalGain(m models.ModelProfile, s supply) float64 {
 	ratio := w.demandOf(m) / effectiveSupply(m, s)
 	return ratio * ratio
 }
@@ -26,7 +26,7 @@
 // congestion is a measure of how badly all models together are supplied. The waiting time of a
 // model's requests grows with its demand over its supply, so each model adds its demand times that
 // ratio.
-func (w World) congestion(s supply) float64 {
+func (w Snapshot) congestion(s supply) float64 {
 	sum := 0.0
 	for _, m := range w.Profile.Models {
 		sum += w.demandOf(m) * w.demandOf(m) / effectiveSupply(m, s)
@@ -45,13 +45,13 @@
 
 // utilization is the fraction of the model's slots that are busy if its groups have this many
 // instances.
-func (w World) utilization(m models.ModelProfile, instances int) float64 {
-	slots := float64(instances/m.GroupSize*w.Profile.Slots) - w.Withheld[m.Name]
-	return w.Busy[m.Name] / max(1, slots)
+func (w Snapshot) utilization(m models.ModelProfile, instances int) float64 {
+	slots := float64(instances/m.GroupSize*w.Profile.Slots) - w.LimitedSlots[m.Name]
+	return w.InFlight[m.Name] / max(1, slots)
 }
 
 // bySize lists the models by group size, largest first.
-func (w World) bySize() []models.ModelProfile {
+func (w Snapshot) bySize() []models.ModelProfile {
 	out := slices.Clone(w.Profile.Models)
 	slices.SortStableFunc(out, func(a, b models.ModelProfile) int { return b.GroupSize - a.GroupSize })
 	return out
--- a/fleet/supply_test.go
+++ b/fleet/supply_test.go
@@ -13,10 +13,10 @@
 func TestWithheldSlotsAreNotIdle(t *testing.T) {
 	c := qt.New(t)
 	m := models.ModelProfile{Name: "m", GroupSize: 2}
-	w := World{Profile: &models.EngineProfile{Slots: 10, Models: []models.ModelProfile{m}}, Busy: map[models.ModelName]float64{"m": 12}}
+	w := Snapshot{Profile: &models.EngineProfile{Slots: 10, Models: []models.ModelProfile{m}}, InFlight: map[models.ModelName]float64{"m": 12}}
 	c.Assert(w.utilization(m, 8), qt.Equals, 0.3)
-	w.Withheld = map[models.ModelName]float64{"m": 25}
+	w.LimitedSlots = map[models.ModelName]float64{"m": 25}
 	c.Assert(w.utilization(m, 8), qt.Equals, 0.8)
-	w.Withheld["m"] = 50
+	w.LimitedSlots["m"] = 50
 	c.Assert(w.utilization(m, 8), qt.Equals, 12.0)
 }
