--- a/cluster/arrange.go
+++ b/cluster/arrange.go
@@ -70,17 +70,17 @@
 		o.peers.metAt = time.Now()
 	}
 	o.peers.entries[id] = peerAddr{addr: addr, zone: entry.Zone, incarnation: entry.Incarnation, unpacks: entry.Unpacks}
-	o.peers.roster.Enter(membership.Daemon{ID: id, Zone: entry.Zone, Power: entry.Power})
+	o.peers.roster.Add(membership.Daemon{ID: id, Zone: entry.Zone, CPUCores: entry.Power})
 	o.peers.stale = true
 	return nil
 }
 
 // membership is what a heartbeat tells of its sender's part among the daemons.
-func (b Heartbeat) membership() membership.Beat {
-	return membership.Beat{
-		Daemon: membership.Daemon{ID: b.From, Zone: b.Zone, Power: b.Power}, Every: cmp.Or(b.Every, heartbeatEvery),
-		Relies: b.Relies, RelaysFirst: b.RelaysFirst, Size: b.Size,
-		Grants: b.Grants, Granters: b.Granters,
+func (b Heartbeat) membership() membership.Heartbeat {
+	return membership.Heartbeat{
+		Daemon: membership.Daemon{ID: b.From, Zone: b.Zone, CPUCores: b.Power}, Interval: cmp.Or(b.Every, heartbeatEvery),
+		UsesRelay: b.Relies, UsesLoads: b.RelaysFirst, Size: b.Size,
+		Votes: b.Grants, Granters: b.Granters,
 	}
 }
 
@@ -90,11 +90,11 @@
 	if !p.stale && now.Sub(p.arrangedAt) < arrangeEvery {
 		return
 	}
-	a := p.roster.Arrange(now)
-	if a.First != p.arranged.First || a.Relay != p.arranged.Relay || a.Mesh != p.arranged.Mesh {
-		o.n.log.Info().Str("first", string(a.First)).Bool("relay", a.Relay).Bool("mesh", a.Mesh).Int("daemons", a.Size).Msg("arranged")
+	a := p.roster.Topology(now)
+	if a.LoadRelay != p.arranged.LoadRelay || a.IsRelay != p.arranged.IsRelay || a.IsMesh != p.arranged.IsMesh {
+		o.n.log.Info().Str("first", string(a.LoadRelay)).Bool("relay", a.IsRelay).Bool("mesh", a.IsMesh).Int("daemons", a.Size).Msg("arranged")
 	}
-	if a.First != p.arranged.First {
+	if a.LoadRelay != p.arranged.LoadRelay {
 		o.n.peerLoads.dropSums()
 	}
 	p.arranged, p.arrangedAt, p.stale, o.viewStale = a, now, false, true
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -20,7 +20,7 @@
 	o.ctx = b.Context()
 	o.config.routing = &models.Routing{Services: map[models.ServiceName]models.UpstreamService{"s": {Engine: &models.EngineProfile{}}}}
 	for i := range 295 {
-		o.peers.roster.Enter(membership.Daemon{ID: models.DaemonID(fmt.Sprintf("d-%d", i)), Zone: models.Zone(fmt.Sprintf("z%d", i%5)), Power: 0.2})
+		o.peers.roster.Add(membership.Daemon{ID: models.DaemonID(fmt.Sprintf("d-%d", i)), Zone: models.Zone(fmt.Sprintf("z%d", i%5)), CPUCores: 0.2})
 	}
 	now := time.Now()
 	for i := range instances {
--- a/cluster/config.go
+++ b/cluster/config.go
@@ -53,7 +53,7 @@
 	}
 	o.config = configState{routing: routing, data: data, proven: asked}
 	o.fleet.services, o.fleetStale = routing.Services, true
-	if o.peers.arranged.Relay {
+	if o.peers.arranged.IsRelay {
 		// Those who rely on this daemon are to ask for it at once.
 		o.publish()
 		o.n.links.beat("")
@@ -89,7 +89,7 @@
 	}
 	// Where others read the store for this daemon there is nothing to wait for.
 	patience := behindFor
-	if !o.peers.arranged.Mesh && !o.peers.arranged.Relay {
+	if !o.peers.arranged.IsMesh && !o.peers.arranged.IsRelay {
 		patience = 0
 	}
 	if now.Sub(o.peers.behind) >= patience && !slices.Contains(newer, o.peers.wants) {
--- a/cluster/link.go
+++ b/cluster/link.go
@@ -181,11 +181,11 @@
 }
 
 // tellsLoads reports whether a daemon is told of this one's loads.
-func (n *Node) tellsLoads(l membership.Link) bool { return l.RelaysFirst || n.View().mesh() }
+func (n *Node) tellsLoads(l membership.Link) bool { return l.UsesLoads || n.View().mesh() }
 
 // beatEvery is how often a daemon is told of this one.
 func (n *Node) beatEvery(l membership.Link) time.Duration {
-	if l.Often || n.planning.Load() {
+	if l.Frequent || n.planning.Load() {
 		return heartbeatEvery
 	}
 	return sparseEvery
--- a/cluster/links.go
+++ b/cluster/links.go
@@ -84,10 +84,10 @@
 }
 
 // arrange has links to these daemons and no others.
-func (l *links) arrange(ctx context.Context, a *membership.Arrangement, targets map[models.DaemonID]target) {
+func (l *links) arrange(ctx context.Context, a *membership.Topology, targets map[models.DaemonID]target) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.relay, l.first, l.mesh = a.Relay, a.First == l.n.cfg.ID, a.Mesh
+	l.relay, l.first, l.mesh = a.IsRelay, a.LoadRelay == l.n.cfg.ID, a.IsMesh
 	for id, end := range l.known {
 		if _, wanted := targets[id]; !wanted {
 			end.stop()
@@ -129,7 +129,7 @@
 	if before.link != t.link || end.attrs.Load() == nil {
 		link := t.link
 		end.attrs.Store(&link)
-		end.synced = end.synced && before.link.Totals == t.link.Totals
+		end.synced = end.synced && before.link.SendsTotals == t.link.SendsTotals
 		// The other one is to know at once what it is to this daemon.
 		signal(end.beat)
 	}
@@ -160,7 +160,7 @@
 		return
 	}
 	for _, end := range l.known {
-		if !news.Spread || end.link.RelaysFirst {
+		if !news.Spread || end.link.UsesLoads {
 			end.offer(f)
 		}
 	}
@@ -182,7 +182,7 @@
 		return
 	}
 	for id, end := range l.known {
-		if id != from && (end.link.Member || (across && end.link.Across)) {
+		if id != from && (end.link.Forwards || (across && end.link.CrossZone)) {
 			end.offer(f)
 		}
 	}
@@ -221,7 +221,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, end := range l.known {
-		if l.mesh || end.link.RelaysFirst {
+		if l.mesh || end.link.UsesLoads {
 			signal(end.woken)
 		}
 	}
@@ -255,9 +255,9 @@
 	defer l.mu.Unlock()
 	for _, end := range l.known {
 		switch {
-		case end.link.Totals:
+		case end.link.SendsTotals:
 			members = append(members, end)
-		case l.first && end.link.Across:
+		case l.first && end.link.CrossZone:
 			relays = append(relays, end)
 		}
 	}
--- a/cluster/missed.go
+++ b/cluster/missed.go
@@ -36,11 +36,11 @@
 		return ""
 	}
 	a := o.peers.arranged
-	if !o.isBehind(a.First, now) {
-		return a.First
+	if !o.isBehind(a.LoadRelay, now) {
+		return a.LoadRelay
 	}
 	for id, link := range a.Links {
-		if link.Relies && !o.isBehind(id, now) {
+		if link.UsesRelay && !o.isBehind(id, now) {
 			return id
 		}
 	}
--- a/cluster/news_test.go
+++ b/cluster/news_test.go
@@ -108,7 +108,7 @@
 	c.Assert(missed(), qt.IsFalse)
 	tell(8, false, instance("i-2", true, 0))
 	c.Assert(missed(), qt.IsTrue)
-	c.Assert(o.n.heartbeat(o.peers.arranged.First, membership.Link{RelaysFirst: true}).Missed, qt.IsTrue)
+	c.Assert(o.n.heartbeat(o.peers.arranged.LoadRelay, membership.Link{UsesLoads: true}).Missed, qt.IsTrue)
 	tell(6, true, instance("i-2", false, time.Second))
 	c.Assert(missed(), qt.IsTrue, qt.Commentf("the relay does not know the seventh either"))
 	tell(7, true, instance("i-2", false, time.Second))
@@ -216,10 +216,10 @@
 	t.Cleanup(func() { c.Check(o.n.links.wait(), qt.IsNil) })
 	crowd(o, few+1, 7)
 	c.Assert(o.n.relies(), qt.IsTrue)
-	first := o.peers.arranged.First
+	first := o.peers.arranged.LoadRelay
 	var second models.DaemonID
 	for id, link := range o.peers.arranged.Links {
-		if link.Relies && id != first {
+		if link.UsesRelay && id != first {
 			second = id
 		}
 	}
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -161,7 +161,7 @@
 	})
 	n.stats.set.NewGauge("lupinkeel_daemons", func() float64 { return float64(n.View().Daemons) })
 	n.stats.set.NewGauge("lupinkeel_relay", func() float64 {
-		if a := n.View().Arranged; a != nil && a.Relay {
+		if a := n.View().Arranged; a != nil && a.IsRelay {
 			return 1
 		}
 		return 0
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -16,7 +16,7 @@
 	// they are reached.
 	roster     *membership.Roster
 	entries    map[models.DaemonID]peerAddr
-	arranged   *membership.Arrangement
+	arranged   *membership.Topology
 	arrangedAt time.Time
 	stale      bool
 	// term is the newest term that any daemon tells of, feedTerm and feed
@@ -56,10 +56,10 @@
 }
 
 func newPeersState(cfg Settings) peersState {
-	self := membership.Daemon{ID: cfg.ID, Zone: cfg.Zone, Power: cfg.Power}
+	self := membership.Daemon{ID: cfg.ID, Zone: cfg.Zone, CPUCores: cfg.Power}
 	roster := membership.NewRoster(self, membership.DefaultPolicy())
 	return peersState{
-		seen: map[models.DaemonID]seenPeer{}, entries: map[models.DaemonID]peerAddr{}, roster: roster, arranged: roster.Arrange(time.Now()),
+		seen: map[models.DaemonID]seenPeer{}, entries: map[models.DaemonID]peerAddr{}, roster: roster, arranged: roster.Topology(time.Now()),
 	}
 }
 
@@ -80,7 +80,7 @@
 			o.n.log.Error().Err(err).Str("peer", string(b.From)).Msg("heartbeat-unreadable")
 		}
 	}
-	o.peers.stale = o.peers.roster.Hear(b.membership(), m.at) || o.peers.stale
+	o.peers.stale = o.peers.roster.RecordHeartbeat(b.membership(), m.at) || o.peers.stale
 	o.peers.seen[b.From] = seenPeer{beat: b, at: m.at}
 	if b.Plans && b.Term >= o.peers.term && m.at.After(o.peers.planned) {
 		o.peers.planned = m.at
@@ -114,7 +114,7 @@
 
 // dropSilent forgets the daemons whose heartbeats no longer come.
 func (o *owner) dropSilent(now time.Time) {
-	for _, id := range o.peers.roster.Notice(now) {
+	for _, id := range o.peers.roster.MarkSilent(now) {
 		o.n.log.Warn().Str("peer", string(id)).Dur("silent", now.Sub(o.peers.seen[id].at)).Msg("peer-silent")
 		delete(o.peers.seen, id)
 		o.n.peerLoads.drop(id)
@@ -130,18 +130,18 @@
 		From: n.cfg.ID, Incarnation: n.started, Addr: n.cfg.Peer.String(), Zone: n.cfg.Zone, Term: v.Term,
 		Plans: n.planning.Load(),
 		Power: n.cfg.Power, Unpacks: true, Wants: v.wants, Work: map[models.ModelName]float32{}, Stalled: v.stalled,
-		Relies: l.Relies, RelaysFirst: l.RelaysFirst, Size: v.Daemons,
+		Relies: l.UsesRelay, RelaysFirst: l.UsesLoads, Size: v.Daemons,
 		Missed: n.missed.pending() && n.asks(to, l), EntriesAge: n.entriesAge(), Era: n.era.Load(),
 	}
 	if every := n.beatEvery(l); every != heartbeatEvery {
 		b.Every = every
 	}
-	if l.Across {
+	if l.CrossZone {
 		b.ZoneWork = v.zoneWork
 	}
 	if n.limits.Any() {
 		b.Grants = v.votes[to]
-		if l.Member {
+		if l.Forwards {
 			b.Granters = v.Arranged.Granters
 		}
 	}
@@ -158,5 +158,5 @@
 // start, the one whose word of loads is used.
 func (n *Node) asks(to models.DaemonID, l membership.Link) bool {
 	asked := *n.asked.Load()
-	return to == asked || (asked == anyRelay && l.RelaysFirst)
+	return to == asked || (asked == anyRelay && l.UsesLoads)
 }
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -12,7 +12,7 @@
 )
 
 // few is up to how many daemons each tells every other one.
-var few = membership.DefaultPolicy().Few
+var few = membership.DefaultPolicy().MaxMeshSize
 
 // TestSparseBeats checks that daemons which tell of themselves less often are not
 // dropped in between: with one more than few, the two ends once disagreed on how
@@ -33,7 +33,7 @@
 }
 
 // silentBeats is after how many heartbeats that did not come a daemon is dropped.
-var silentBeats = time.Duration(membership.DefaultPolicy().Beats)
+var silentBeats = time.Duration(membership.DefaultPolicy().MaxMissedHeartbeats)
 
 // TestPassOn checks whom a relay passes news on to: to its zone what other zones
 // tell, and everywhere what a daemon of its zone tells that is no relay; never back.
@@ -50,7 +50,7 @@
 	}
 	o.arrange(time.Now())
 	o.publish()
-	c.Assert(o.peers.arranged.Relay, qt.IsTrue)
+	c.Assert(o.peers.arranged.IsRelay, qt.IsTrue)
 	told := func() (zones map[models.Zone]int) {
 		zones = map[models.Zone]int{}
 		for id, end := range o.n.links.known {
--- a/cluster/planning_test.go
+++ b/cluster/planning_test.go
@@ -76,12 +76,12 @@
 		o := newTestOwner(t)
 		t.Cleanup(func() { c.Check(o.n.links.wait(), qt.IsNil) })
 		o.n.cfg.Power = 1
-		o.peers.roster = membership.NewRoster(membership.Daemon{ID: "d1", Zone: "z", Power: 1}, membership.DefaultPolicy())
+		o.peers.roster = membership.NewRoster(membership.Daemon{ID: "d1", Zone: "z", CPUCores: 1}, membership.DefaultPolicy())
 		started := time.Unix(0, o.n.started)
 		for n := range test.daemons {
 			c.Assert(o.enter(models.DaemonID(fmt.Sprint("e", n)), rosterEntry{Zone: "z", Addr: "127.0.0.1:1", Incarnation: 1, Power: 0.1}), qt.IsNil)
 		}
-		o.peers.arranged = o.peers.roster.Arrange(started)
+		o.peers.arranged = o.peers.roster.Topology(started)
 		o.peers.metAt = started.Add(meetOthers)
 		now := started.Add(meetOthers + time.Millisecond)
 		c.Check(o.candidate(now), qt.Equals, test.asks, qt.Commentf("%d daemons", test.daemons))
--- a/cluster/proof.go
+++ b/cluster/proof.go
@@ -40,7 +40,7 @@
 // as it hears of them: where there are many daemons, the relays read.
 func (n *Node) relies() bool {
 	v := n.View()
-	return !v.mesh() && !v.Arranged.Relay
+	return !v.mesh() && !v.Arranged.IsRelay
 }
 
 // followConfig reads the configuration from the store.
--- a/cluster/proof_test.go
+++ b/cluster/proof_test.go
@@ -59,7 +59,7 @@
 	c.Assert(o.n.readsForOthers(), qt.IsTrue)
 
 	o.n.cfg.Power = 2
-	o.peers.roster = membership.NewRoster(membership.Daemon{ID: "d1", Power: 2}, membership.DefaultPolicy())
+	o.peers.roster = membership.NewRoster(membership.Daemon{ID: "d1", CPUCores: 2}, membership.DefaultPolicy())
 	crowd(o, few+1, 7)
 	c.Assert(o.n.relies(), qt.IsFalse, qt.Commentf("it may plan"))
 }
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -216,7 +216,7 @@
 func (t *teller) tellFound() error {
 	v := t.n.View()
 	which := tellOwn
-	if !t.toldFound || (!v.mesh() && v.Arranged.Relay) {
+	if !t.toldFound || (!v.mesh() && v.Arranged.IsRelay) {
 		which = tellAll
 	}
 	crashes, lastCrash := t.n.quarantine.since(t.crashes, t.link.id, which)
--- a/cluster/standing.go
+++ b/cluster/standing.go
@@ -74,7 +74,7 @@
 // hundreds one after the other, and as long as they come each daemon takes another one
 // for the first in standing, so that three of them planned one after the other.
 func (o *owner) quiet(now time.Time) time.Duration {
-	if o.peers.arranged.Mesh {
+	if o.peers.arranged.IsMesh {
 		return o.silence(now)
 	}
 	return min(o.silence(now), now.Sub(o.peers.metAt))
@@ -112,16 +112,16 @@
 // them that have more processor. Where there are many daemons only relays may
 // plan: they hear of each other, and news of a planner goes out by them.
 func (o *owner) rank() (before, stronger int, stands bool) {
-	self := membership.Daemon{ID: o.n.cfg.ID, Zone: o.n.cfg.Zone, Power: o.n.cfg.Power}
-	for _, d := range o.peers.arranged.Planners {
+	self := membership.Daemon{ID: o.n.cfg.ID, Zone: o.n.cfg.Zone, CPUCores: o.n.cfg.Power}
+	for _, d := range o.peers.arranged.PlannerCandidates {
 		if d.ID == self.ID {
 			stands = true
 			continue
 		}
-		if d.Before(self) {
+		if d.RanksBefore(self) {
 			before++
 		}
-		if d.Power > self.Power {
+		if d.CPUCores > self.CPUCores {
 			stronger++
 		}
 	}
--- a/cluster/standing_test.go
+++ b/cluster/standing_test.go
@@ -33,9 +33,9 @@
 		for i, p := range powers {
 			id := models.DaemonID(fmt.Sprintf("d-%d", i))
 			o.peers.seen[id] = seenPeer{beat: Heartbeat{From: id, Power: p}, at: time.Now()}
-			o.peers.roster.Hear(o.peers.seen[id].beat.membership(), time.Now())
+			o.peers.roster.RecordHeartbeat(o.peers.seen[id].beat.membership(), time.Now())
 		}
-		o.peers.arranged = o.peers.roster.Arrange(time.Now())
+		o.peers.arranged = o.peers.roster.Topology(time.Now())
 		o.peers.term = term
 	}
 	planned := func(ago time.Duration) { o.peers.planned = time.Now().Add(-ago) }
@@ -108,9 +108,9 @@
 		o.peers = newPeersState(o.n.cfg)
 		for i := range 3 * few {
 			zone := models.Zone("abc"[i%3 : i%3+1])
-			o.peers.roster.Enter(membership.Daemon{ID: models.DaemonID(fmt.Sprintf("d-%d", i)), Zone: zone, Power: 0.4})
+			o.peers.roster.Add(membership.Daemon{ID: models.DaemonID(fmt.Sprintf("d-%d", i)), Zone: zone, CPUCores: 0.4})
 		}
-		o.peers.arranged = o.peers.roster.Arrange(time.Now())
+		o.peers.arranged = o.peers.roster.Topology(time.Now())
 		c.Check(o.mayPlan(), qt.Equals, test.may)
 		o.n.started = time.Now().Add(-time.Minute).UnixNano()
 		o.peers.planned = time.Now().Add(-time.Minute)
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -29,7 +29,7 @@
 	// to leave: where they are and what they are of does not change.
 	All map[models.InstanceID]models.UpstreamInstance
 	// Arranged is whom this node tells what.
-	Arranged *membership.Arrangement
+	Arranged *membership.Topology
 
 	// config is the routing as the store holds it, stalled what this node
 	// itself found to stand still.
@@ -66,7 +66,7 @@
 }
 
 // mesh tells that each daemon tells every other one of itself.
-func (v *View) mesh() bool { return v.Arranged == nil || v.Arranged.Mesh }
+func (v *View) mesh() bool { return v.Arranged == nil || v.Arranged.IsMesh }
 
 // Sharers is how many daemons choose among the same groups by the same word of
 // loads, this one among them.
@@ -74,7 +74,7 @@
 	if v.mesh() {
 		return 1
 	}
-	return v.Arranged.Zone
+	return v.Arranged.ZoneSize
 }
 
 // LoadsAge is about how old what is known of other daemons' loads is.
--- a/cluster/work.go
+++ b/cluster/work.go
@@ -13,11 +13,11 @@
 // zones ask is told by the first relay of each that is heard.
 func (o *owner) work() map[models.ModelName]float64 {
 	sum := o.zoneWork()
-	if o.peers.arranged.Mesh {
+	if o.peers.arranged.IsMesh {
 		return sum
 	}
 	told := map[models.Zone]bool{}
-	for _, d := range o.peers.arranged.Planners {
+	for _, d := range o.peers.arranged.PlannerCandidates {
 		p, seen := o.peers.seen[d.ID]
 		if d.Zone == o.n.cfg.Zone || !seen || told[d.Zone] || len(p.beat.ZoneWork) == 0 {
 			continue
@@ -36,7 +36,7 @@
 		sum = map[models.ModelName]float64{}
 	}
 	for _, p := range o.peers.seen {
-		if o.peers.arranged.Mesh || p.beat.Zone == o.n.cfg.Zone {
+		if o.peers.arranged.IsMesh || p.beat.Zone == o.n.cfg.Zone {
 			addWork(sum, p.beat.Work)
 		}
 	}
@@ -51,7 +51,7 @@
 
 // shownZoneWork is what this daemon tells of its zone, as a relay.
 func (o *owner) shownZoneWork() map[models.ModelName]float32 {
-	if o.peers.arranged.Mesh || !o.peers.arranged.Relay {
+	if o.peers.arranged.IsMesh || !o.peers.arranged.IsRelay {
 		return nil
 	}
 	out := map[models.ModelName]float32{}
--- a/membership/arrange.go
+++ b/membership/arrange.go
@@ -8,22 +8,22 @@
 )
 
 // Arrangement is the communication topology as one daemon sees it. It is immutable.
-type Arrangement struct {
+type Topology struct {
 	// Size is the number of daemons, this daemon included.
 	Size int
 	// Zone is the number of known daemons in this daemon's zone, itself included.
-	Zone int
+	ZoneSize int
 	// Mesh reports a full mesh: every daemon sends heartbeats to every other one, and there are no
 	// relays.
-	Mesh bool
+	IsMesh bool
 	// Relay reports whether this daemon is a relay of its zone.
-	Relay bool
+	IsRelay bool
 	// First is the relay of the zone whose load totals this daemon uses; it may be this daemon
 	// itself. It is empty in a mesh.
-	First models.DaemonID
+	LoadRelay models.DaemonID
 	// Planners holds the daemons that are candidates for planner, in order of rank: all live
 	// daemons in a mesh, otherwise the relays of all zones.
-	Planners []Daemon
+	PlannerCandidates []Daemon
 	// Granters holds the daemons that grant permits for rate-limited instances, by availability
 	// zone of the instances.
 	Granters map[models.Zone]models.DaemonID
@@ -38,32 +38,32 @@
 // Link describes what one daemon sends to another.
 type Link struct {
 	// Often selects the short heartbeat interval, since the receiver relies on the heartbeats.
-	Often bool
+	Frequent bool
 	// Relies is set if this daemon uses the receiver as a relay. RelaysFirst is set if it also uses
 	// the receiver's load totals, and reports its own load to it.
-	Relies, RelaysFirst bool
+	UsesRelay, UsesLoads bool
 	// Member is set if this daemon forwards broadcasts to the receiver: the receiver is in the same
 	// zone, and this daemon is a relay of the zone or used as one by the receiver.
-	Member bool
+	Forwards bool
 	// Totals is set if the receiver uses this daemon's load totals.
-	Totals bool
+	SendsTotals bool
 	// Across is set if the receiver is in another zone, as a relay or as a daemon that uses this
 	// daemon as one.
-	Across bool
+	CrossZone bool
 }
 
 // Arrange returns the present topology.
-func (r *Roster) Arrange(now time.Time) *Arrangement {
-	a := &Arrangement{Size: r.clusterSize(), Zone: r.zoneSize(), Links: map[models.DaemonID]Link{}}
+func (r *Roster) Topology(now time.Time) *Topology {
+	a := &Topology{Size: r.clusterSize(), ZoneSize: r.zoneSize(), Links: map[models.DaemonID]Link{}}
 	relays := map[models.Zone][]Daemon{}
-	if a.Mesh = a.Size <= r.policy.Few; a.Mesh {
+	if a.IsMesh = a.Size <= r.policy.MaxMeshSize; a.IsMesh {
 		r.linkAll(a)
 	} else {
 		relays = r.selectRelays(now)
 		r.linkRelays(a, relays)
 	}
-	slices.SortFunc(a.Planners, func(x, y Daemon) int {
-		if x.Before(y) {
+	slices.SortFunc(a.PlannerCandidates, func(x, y Daemon) int {
+		if x.RanksBefore(y) {
 			return -1
 		}
 		return 1
@@ -105,12 +105,12 @@
 }
 
 // linkAll links this daemon to all others.
-func (r *Roster) linkAll(a *Arrangement) {
-	a.Planners = append(a.Planners, r.self)
+func (r *Roster) linkAll(a *Topology) {
+	a.PlannerCandidates = append(a.PlannerCandidates, r.self)
 	for id, m := range r.members {
-		a.Links[id] = Link{Often: true}
+		a.Links[id] = Link{Frequent: true}
 		if !m.lastHeard.IsZero() {
-			a.Planners = append(a.Planners, m.Daemon)
+			a.PlannerCandidates = append(a.PlannerCandidates, m.Daemon)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	var out []Daemon
 	for _, d := range daemons {
 		at := len(out)
-		for at > 0 && d.Before(out[at-1]) {
+		for at > 0 && d.RanksBefore(out[at-1]) {
 			at--
 		}
 		if at < n {
@@ -157,29 +157,29 @@
 
 // linkRelays links this daemon to the relays of its zone and to the daemons that use it as a relay.
 // If it is a relay itself, it also links to its zone and to the relays of the other zones.
-func (r *Roster) linkRelays(a *Arrangement, relays map[models.Zone][]Daemon) {
+func (r *Roster) linkRelays(a *Topology, relays map[models.Zone][]Daemon) {
 	own := relays[r.self.Zone]
-	a.First = own[0].ID
+	a.LoadRelay = own[0].ID
 	for _, zoneRelays := range relays {
-		a.Planners = append(a.Planners, zoneRelays...)
+		a.PlannerCandidates = append(a.PlannerCandidates, zoneRelays...)
 	}
 	for _, d := range own {
 		if d.ID == r.self.ID {
-			a.Relay = true
+			a.IsRelay = true
 			continue
 		}
-		a.Links[d.ID] = Link{Relies: true, RelaysFirst: d.ID == a.First}
+		a.Links[d.ID] = Link{UsesRelay: true, UsesLoads: d.ID == a.LoadRelay}
 	}
 	for id, m := range r.members {
 		own := m.Zone == r.self.Zone
-		if !m.Relies && (!own || !a.Relay) {
+		if !m.UsesRelay && (!own || !a.IsRelay) {
 			continue
 		}
 		link := a.Links[id]
-		link.Often, link.Member, link.Across, link.Totals = true, own, !own, m.RelaysFirst
+		link.Frequent, link.Forwards, link.CrossZone, link.SendsTotals = true, own, !own, m.UsesLoads
 		a.Links[id] = link
 	}
-	if !a.Relay {
+	if !a.IsRelay {
 		return
 	}
 	for zone, zoneRelays := range relays {
@@ -187,7 +187,7 @@
 			continue
 		}
 		for _, d := range zoneRelays {
-			a.Links[d.ID] = Link{Often: true, Relies: true, Across: true}
+			a.Links[d.ID] = Link{Frequent: true, UsesRelay: true, CrossZone: true}
 		}
 	}
 }
--- a/membership/granters.go
+++ b/membership/granters.go
@@ -18,7 +18,7 @@
 
 // Granter returns the daemon that grants permits for the instances of a zone, empty if none is
 // known.
-func (a *Arrangement) Granter(zone models.Zone) models.DaemonID {
+func (a *Topology) Granter(zone models.Zone) models.DaemonID {
 	if id, known := a.Granters[zone]; known {
 		return id
 	}
@@ -26,7 +26,7 @@
 }
 
 // ShareOf returns the share for the instances of a zone.
-func (a *Arrangement) ShareOf(shares map[models.Zone]float64, zone models.Zone) float64 {
+func (a *Topology) ShareOf(shares map[models.Zone]float64, zone models.Zone) float64 {
 	if _, known := a.Granters[zone]; known {
 		return shares[zone]
 	}
@@ -36,12 +36,12 @@
 // addGranters determines the granters. In a mesh, the granter of a zone is its highest-ranked live
 // daemon; with relays, its highest-ranked live relay. Only relays receive heartbeats from relays of
 // other zones. They pass the granters on to the daemons that use them as relays.
-func (r *Roster) addGranters(a *Arrangement, relays map[models.Zone][]Daemon) {
+func (r *Roster) addGranters(a *Topology, relays map[models.Zone][]Daemon) {
 	a.Granters = map[models.Zone]models.DaemonID{}
 	a.voteRelay, _ = r.firstLive(relays[r.self.Zone])
 	switch {
-	case a.Mesh:
-		for _, d := range a.Planners {
+	case a.IsMesh:
+		for _, d := range a.PlannerCandidates {
 			// Planners are in order of rank.
 			if _, known := a.Granters[d.Zone]; !known {
 				a.Granters[d.Zone] = d.ID
@@ -94,20 +94,20 @@
 
 // voteValid reports whether the vote in the member's last heartbeat is still valid.
 func (m *member) voteValid(now time.Time) bool {
-	lifetime := max(minVoteLifetime, time.Duration(voteLifetimeIntervals*float64(m.Every)))
+	lifetime := max(minVoteLifetime, time.Duration(voteLifetimeIntervals*float64(m.Interval)))
 	return !m.lastHeard.IsZero() && now.Sub(m.lastHeard) <= lifetime
 }
 
 // Votes returns the number of votes that this daemon has for another daemon as a granter, by zone
 // of the instances. With relays, one relay of each zone also casts the votes of the daemons of its
 // zone that ask it.
-func (r *Roster) Votes(a *Arrangement, to models.DaemonID) map[models.Zone]int {
+func (r *Roster) Votes(a *Topology, to models.DaemonID) map[models.Zone]int {
 	weight := 1
 	switch {
-	case a.Mesh || to == a.voteRelay:
+	case a.IsMesh || to == a.voteRelay:
 	case a.voteRelay == r.self.ID:
 		for _, m := range r.members {
-			if !m.lastHeard.IsZero() && m.Zone == r.self.Zone && m.Grants[m.Zone] > 0 {
+			if !m.lastHeard.IsZero() && m.Zone == r.self.Zone && m.Votes[m.Zone] > 0 {
 				weight++
 			}
 		}
@@ -128,7 +128,7 @@
 // With fewer votes, it grants half of the fraction of its votes, since the others may vote for a
 // daemon that this one does not hear. All granters together never grant more than 1.25 times a
 // rate.
-func (r *Roster) Shares(a *Arrangement, now time.Time) map[models.Zone]float64 {
+func (r *Roster) Shares(a *Topology, now time.Time) map[models.Zone]float64 {
 	total := len(r.members) + 1
 	for _, m := range r.members {
 		// Sizes reported by daemons that are silent now count too.
@@ -142,7 +142,7 @@
 		votes := 1
 		for _, m := range r.members {
 			if m.voteValid(now) {
-				votes += m.Grants[zone]
+				votes += m.Votes[zone]
 			}
 		}
 		shares[zone] = 1
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -22,14 +22,14 @@
 // Policy holds the parameters of the topology.
 type Policy struct {
 	// Few is the maximum number of daemons, this daemon included, that form a full mesh.
-	Few int
+	MaxMeshSize int
 	// RelaysPerZone is the number of relays of an availability zone.
 	RelaysPerZone int
 	// FirstHeartbeatTimeout is how long this daemon waits for the first heartbeat of a daemon that
 	// should send heartbeats to it.
 	FirstHeartbeatTimeout time.Duration
 	// Beats is the number of consecutive heartbeats that a live daemon may miss.
-	Beats int
+	MaxMissedHeartbeats int
 	// SilentBackoff is how long a daemon that became silent is skipped.
 	SilentBackoff time.Duration
 }
@@ -39,13 +39,13 @@
 	return Policy{
 		// A full mesh of 9 daemons takes 0.043 of a core per daemon, requests included. 295 daemons
 		// take 0.070 in a full mesh and 0.016 with relays.
-		Few: 20,
+		MaxMeshSize: 20,
 		// With two relays, the other one takes over without a gap in the broadcasts if one is lost.
 		// A third relay would send every broadcast to each daemon once more.
 		RelaysPerZone: 2,
 		// As long as Beats heartbeats of a relay.
 		FirstHeartbeatTimeout: 1200 * time.Millisecond,
-		Beats:                 4,
+		MaxMissedHeartbeats:   4,
 		// Longer than a daemon takes to restart, which is 0.6 to 4 s.
 		SilentBackoff: 6 * time.Second,
 	}
@@ -56,14 +56,14 @@
 	ID   models.DaemonID
 	Zone models.Zone
 	// Power is the fraction of a core that the daemon may use.
-	Power float64
+	CPUCores float64
 }
 
 // Before reports whether a daemon ranks higher than another: the one with more CPU, or with equal
 // CPU by a hash of the IDs.
-func (d Daemon) Before(o Daemon) bool {
-	if d.Power != o.Power {
-		return d.Power > o.Power
+func (d Daemon) RanksBefore(o Daemon) bool {
+	if d.CPUCores != o.CPUCores {
+		return d.CPUCores > o.CPUCores
 	}
 	if a, b := hashOf(d.ID), hashOf(o.ID); a != b {
 		return a < b
@@ -78,18 +78,18 @@
 }
 
 // Beat holds the fields of a heartbeat that the topology depends on.
-type Beat struct {
+type Heartbeat struct {
 	Daemon
 	// Every is the sender's heartbeat interval for this daemon.
-	Every time.Duration
+	Interval time.Duration
 	// Relies is set if the sender uses this daemon as a relay, RelaysFirst if it uses this daemon's
 	// load totals.
-	Relies, RelaysFirst bool
+	UsesRelay, UsesLoads bool
 	// Size is the number of daemons that the sender knows, itself included.
 	Size int
 	// Grants is the sender's number of votes for this daemon as a granter of permits, by zone of
 	// the instances.
-	Grants map[models.Zone]int
+	Votes map[models.Zone]int
 	// Granters holds the granters that the sender knows. Only relays fill it in.
 	Granters map[models.Zone]models.DaemonID
 }
@@ -103,7 +103,7 @@
 
 // member is the state of another daemon.
 type member struct {
-	Beat
+	Heartbeat
 	// lastHeard is when its last heartbeat arrived, zero if it is silent.
 	lastHeard time.Time
 	// expectedSince is when it was first expected to send heartbeats to this daemon, zero if none
@@ -119,7 +119,7 @@
 }
 
 // Enter adds a daemon or updates its description.
-func (r *Roster) Enter(d Daemon) {
+func (r *Roster) Add(d Daemon) {
 	if d.ID == r.self.ID {
 		return
 	}
@@ -127,35 +127,35 @@
 		m.Daemon = d
 		return
 	}
-	r.members[d.ID] = &member{Beat: Beat{Daemon: d}}
+	r.members[d.ID] = &member{Heartbeat: Heartbeat{Daemon: d}}
 }
 
 // Hear records a heartbeat. It reports whether the topology may change.
-func (r *Roster) Hear(b Beat, at time.Time) bool {
+func (r *Roster) RecordHeartbeat(b Heartbeat, at time.Time) bool {
 	if b.ID == r.self.ID {
 		return false
 	}
-	r.Enter(b.Daemon)
+	r.Add(b.Daemon)
 	m := r.members[b.ID]
-	changed := m.lastHeard.IsZero() || m.Relies != b.Relies || m.RelaysFirst != b.RelaysFirst || m.Size != b.Size ||
+	changed := m.lastHeard.IsZero() || m.UsesRelay != b.UsesRelay || m.UsesLoads != b.UsesLoads || m.Size != b.Size ||
 		!maps.Equal(m.Granters, b.Granters)
-	m.Beat, m.lastHeard, m.skipUntil = b, at, time.Time{}
+	m.Heartbeat, m.lastHeard, m.skipUntil = b, at, time.Time{}
 	return changed
 }
 
 // Notice marks daemons as silent whose heartbeats are overdue, and returns those that were live
 // before.
-func (r *Roster) Notice(now time.Time) []models.DaemonID {
+func (r *Roster) MarkSilent(now time.Time) []models.DaemonID {
 	var silent []models.DaemonID
 	for id, m := range r.members {
 		switch {
-		case !m.lastHeard.IsZero() && now.Sub(m.lastHeard) > time.Duration(r.policy.Beats)*m.Every:
+		case !m.lastHeard.IsZero() && now.Sub(m.lastHeard) > time.Duration(r.policy.MaxMissedHeartbeats)*m.Interval:
 			silent = append(silent, id)
 		case !m.lastHeard.IsZero(), m.expectedSince.IsZero(), now.Sub(m.expectedSince) <= r.policy.FirstHeartbeatTimeout:
 			continue
 		}
 		m.lastHeard, m.expectedSince = time.Time{}, time.Time{}
-		m.Relies, m.RelaysFirst, m.Grants, m.Granters = false, false, nil, nil
+		m.UsesRelay, m.UsesLoads, m.Votes, m.Granters = false, false, nil, nil
 		m.skipUntil = now.Add(r.policy.SilentBackoff)
 	}
 	return silent
--- a/membership/script_test.go
+++ b/membership/script_test.go
@@ -27,7 +27,7 @@
 type daemon struct {
 	membership.Daemon
 	roster      *membership.Roster
-	arrangement *membership.Arrangement
+	arrangement *membership.Topology
 	up          bool
 	// arrangedAt is when the topology was last computed; stale is set by a heartbeat that may
 	// change it.
@@ -145,7 +145,7 @@
 		if i < strong {
 			power = 0.8
 		}
-		d := &daemon{Daemon: membership.Daemon{ID: models.DaemonID(fmt.Sprintf("%s-%d", zone, i)), Zone: zone, Power: power}}
+		d := &daemon{Daemon: membership.Daemon{ID: models.DaemonID(fmt.Sprintf("%s-%d", zone, i)), Zone: zone, CPUCores: power}}
 		s.daemons, s.byID[d.ID] = append(s.daemons, d), d
 	}
 }
@@ -161,10 +161,10 @@
 		d.roster = membership.NewRoster(d.Daemon, membership.DefaultPolicy())
 		for n, other := range s.daemons {
 			if n < i || s.registered[other.ID] {
-				d.roster.Enter(other.Daemon)
+				d.roster.Add(other.Daemon)
 			}
 		}
-		d.arrangement, d.arrangedAt = d.roster.Arrange(s.now), s.now
+		d.arrangement, d.arrangedAt = d.roster.Topology(s.now), s.now
 	}
 	for _, d := range s.daemons {
 		if s.registered != nil {
@@ -185,7 +185,7 @@
 	for range s.number(args[1]) {
 		var first *daemon
 		for _, d := range s.daemons {
-			if d.up && d.Zone == models.Zone(args[0]) && (first == nil || d.Before(first.Daemon)) {
+			if d.up && d.Zone == models.Zone(args[0]) && (first == nil || d.RanksBefore(first.Daemon)) {
 				first = d
 			}
 		}
@@ -204,7 +204,7 @@
 	for _, d := range s.daemons {
 		for id, link := range d.links() {
 			every := 1200 * time.Millisecond
-			if link.Often {
+			if link.Frequent {
 				every = 300 * time.Millisecond
 			}
 			to := s.byID[id]
@@ -212,9 +212,9 @@
 				continue
 			}
 			d.lastSent[id] = s.now
-			changed := to.roster.Hear(membership.Beat{
-				Daemon: d.Daemon, Every: every, Relies: link.Relies, RelaysFirst: link.RelaysFirst, Size: d.arrangement.Size,
-				Grants: d.roster.Votes(d.arrangement, id), Granters: d.arrangement.Granters,
+			changed := to.roster.RecordHeartbeat(membership.Heartbeat{
+				Daemon: d.Daemon, Interval: every, UsesRelay: link.UsesRelay, UsesLoads: link.UsesLoads, Size: d.arrangement.Size,
+				Votes: d.roster.Votes(d.arrangement, id), Granters: d.arrangement.Granters,
 			}, s.now)
 			to.stale = to.stale || changed
 		}
@@ -289,11 +289,11 @@
 
 // rearrange computes the topology again if it may have changed or arrangeInterval is over.
 func (d *daemon) rearrange(now time.Time) {
-	silent := d.roster.Notice(now)
+	silent := d.roster.MarkSilent(now)
 	if len(silent) == 0 && !d.stale && now.Sub(d.arrangedAt) < arrangeInterval {
 		return
 	}
-	d.arrangement, d.arrangedAt, d.stale = d.roster.Arrange(now), now, false
+	d.arrangement, d.arrangedAt, d.stale = d.roster.Topology(now), now, false
 }
 
 func (d *daemon) links() map[models.DaemonID]membership.Link {
@@ -331,9 +331,9 @@
 // broadcast forwards a message as daemons do: from a daemon that is not a relay to the relay that
 // it uses, and from relays to their zones and to the other relays.
 func (s *simulation) broadcast(from *daemon, heard map[models.DaemonID]bool) {
-	relayed := from.arrangement.Mesh || from.arrangement.Relay
+	relayed := from.arrangement.IsMesh || from.arrangement.IsRelay
 	for id, link := range from.links() {
-		if to := s.byID[id]; s.reaches(from, to) && (relayed || link.RelaysFirst) {
+		if to := s.byID[id]; s.reaches(from, to) && (relayed || link.UsesLoads) {
 			heard[id] = true
 			s.forward(from, to, !relayed, heard)
 		}
@@ -341,11 +341,11 @@
 }
 
 func (s *simulation) forward(from, by *daemon, allZones bool, heard map[models.DaemonID]bool) {
-	if by.arrangement.Mesh || (from.Zone == by.Zone && !allZones) {
+	if by.arrangement.IsMesh || (from.Zone == by.Zone && !allZones) {
 		return
 	}
 	for id, link := range by.links() {
-		if to := s.byID[id]; s.reaches(by, to) && (link.Member || (allZones && link.Across)) {
+		if to := s.byID[id]; s.reaches(by, to) && (link.Forwards || (allZones && link.CrossZone)) {
 			heard[id] = true
 			s.forward(by, to, false, heard)
 		}
@@ -357,15 +357,15 @@
 func (s *simulation) checkLoads() {
 	first := map[models.Zone]models.DaemonID{}
 	for _, d := range s.daemons {
-		if !d.up || d.arrangement.Mesh {
+		if !d.up || d.arrangement.IsMesh {
 			continue
 		}
 		if of, known := first[d.Zone]; known {
-			s.c.Check(d.arrangement.First, qt.Equals, of, qt.Commentf("%s", d.ID))
+			s.c.Check(d.arrangement.LoadRelay, qt.Equals, of, qt.Commentf("%s", d.ID))
 			continue
 		}
-		first[d.Zone] = d.arrangement.First
-		s.c.Check(s.byID[d.arrangement.First].up, qt.IsTrue, qt.Commentf("%s uses the load totals of %s", d.ID, d.arrangement.First))
+		first[d.Zone] = d.arrangement.LoadRelay
+		s.c.Check(s.byID[d.arrangement.LoadRelay].up, qt.IsTrue, qt.Commentf("%s uses the load totals of %s", d.ID, d.arrangement.LoadRelay))
 	}
 }
 
@@ -376,7 +376,7 @@
 		if !d.up {
 			continue
 		}
-		for _, p := range d.arrangement.Planners {
+		for _, p := range d.arrangement.PlannerCandidates {
 			if p.ID == d.ID {
 				n++
 			}
