--- a/cluster/limits.go
+++ b/cluster/limits.go
@@ -36,18 +36,18 @@
 	set.NewGauge("lupinkeel_limited_instances", func() float64 {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return float64(l.limits.InForce())
+		return float64(l.limits.CountActive())
 	})
 	return l
 }
 
 // Heard notes what an answer told of its instance's limit.
-func (l *Limits) Heard(s ratelimit.Sighting) {
+func (l *Limits) Heard(s ratelimit.Observation) {
 	if s.Rate == models.NoRateLimit && !l.Any() {
 		return
 	}
 	// The steady clock is read for what is added: the time of day may go back.
-	s.By, s.Number = l.self, l.began.UnixNano()+int64(time.Since(l.began))
+	s.Receiver, s.Seq = l.self, l.began.UnixNano()+int64(time.Since(l.began))
 	if l.add(s, "") {
 		l.found()
 	}
@@ -69,22 +69,22 @@
 
 // add takes in a sighting, tells in the log what it changed, and reports whether there is
 // something to tell others.
-func (l *Limits) add(s ratelimit.Sighting, from ratelimit.Source) bool {
+func (l *Limits) add(s ratelimit.Observation, from ratelimit.Source) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	before := l.limits.Named(s.Instance)
-	change, tell := l.limits.Note(s, from)
+	before := l.limits.Announced(s.Instance)
+	change, tell := l.limits.Add(s, from)
 	l.known.Store(!l.limits.Empty())
 	if change == ratelimit.Unchanged {
 		return tell
 	}
 	l.changes.Inc()
-	event := l.log.Info().Str("instance", string(s.Instance)).Str("from", string(from)).Dur("age", time.Since(s.Heard))
+	event := l.log.Info().Str("instance", string(s.Instance)).Str("from", string(from)).Dur("age", time.Since(s.ReceivedAt))
 	switch change {
 	case ratelimit.Begun:
 		event.Float64("rate", s.Rate).Msg("limit-begun")
 	case ratelimit.Changed:
-		event.Float64("rate", l.limits.Named(s.Instance)).Float64("before", before).Msg("limit-changed")
+		event.Float64("rate", l.limits.Announced(s.Instance)).Float64("before", before).Msg("limit-changed")
 	default:
 		event.Float64("before", before).Msg("limit-ended")
 	}
@@ -121,9 +121,9 @@
 }
 
 // sighting is what the news tell, received at some time.
-func (n LimitNews) sighting(at time.Time) ratelimit.Sighting {
-	return ratelimit.Sighting{
-		Instance: n.Instance, Born: n.Born, Rate: n.Rate, Asked: at.Add(-n.Asked), Heard: at.Add(-n.Heard), By: n.By, Number: n.Number,
+func (n LimitNews) sighting(at time.Time) ratelimit.Observation {
+	return ratelimit.Observation{
+		Instance: n.Instance, StartedAt: n.Born, Rate: n.Rate, SentAt: at.Add(-n.Asked), ReceivedAt: at.Add(-n.Heard), Receiver: n.By, Seq: n.Number,
 	}
 }
 
@@ -142,7 +142,7 @@
 	out := make([]LimitNews, len(sightings))
 	for n, s := range sightings {
 		out[n] = LimitNews{
-			Instance: s.Instance, Born: s.Born, Rate: s.Rate, Asked: now.Sub(s.Asked), Heard: now.Sub(s.Heard), By: s.By, Number: s.Number,
+			Instance: s.Instance, Born: s.StartedAt, Rate: s.Rate, Asked: now.Sub(s.SentAt), Heard: now.Sub(s.ReceivedAt), By: s.Receiver, Number: s.Seq,
 		}
 	}
 	return out, last
--- a/cluster/limits_test.go
+++ b/cluster/limits_test.go
@@ -22,14 +22,14 @@
 			c := qt.New(t)
 			peers := startPeers(t, test.daemons, test.zones)
 			hear := func(p *peerNode, rate float64) {
-				p.limits.Heard(ratelimit.Sighting{Instance: "i1", Rate: rate, Asked: time.Now().Add(-time.Millisecond), Heard: time.Now()})
+				p.limits.Heard(ratelimit.Observation{Instance: "i1", Rate: rate, SentAt: time.Now().Add(-time.Millisecond), ReceivedAt: time.Now()})
 				time.Sleep(5 * time.Millisecond)
 			}
 			believes := func(rate float64) func(*peerNode) bool {
 				return func(p *peerNode) bool {
 					p.limits.mu.Lock()
 					defer p.limits.mu.Unlock()
-					return p.limits.limits.Named("i1") == rate
+					return p.limits.limits.Announced("i1") == rate
 				}
 			}
 			hear(peers[test.daemons-1], 2)
--- a/cluster/permits.go
+++ b/cluster/permits.go
@@ -41,9 +41,9 @@
 // permitAsk asks for a permit for instances of a zone, permitGrant answers it.
 type (
 	permitAsk struct {
-		Number uint64        `msgpack:"n"`
-		Zone   models.Zone   `msgpack:"z"`
-		Ask    ratelimit.Ask `msgpack:"a"`
+		Number uint64                  `msgpack:"n"`
+		Zone   models.Zone             `msgpack:"z"`
+		Ask    ratelimit.PermitRequest `msgpack:"a"`
 	}
 	permitGrant struct {
 		Number uint64          `msgpack:"n"`
@@ -105,7 +105,7 @@
 }
 
 // AskPermit asks for a permit to send a request to one of several instances of a zone.
-func (n *Node) AskPermit(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
+func (n *Node) AskPermit(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	grant, err := n.permits.ask(ctx, zone, ask)
 	switch {
 	case err != nil:
@@ -125,13 +125,13 @@
 	if rate == models.NoRateLimit {
 		return
 	}
-	_, err := p.ask(ctx, i.Zone, ratelimit.Ask{Charge: true, Wanted: []ratelimit.Wanted{{Instance: i.ID, Rate: rate}}})
+	_, err := p.ask(ctx, i.Zone, ratelimit.PermitRequest{Charge: true, Wanted: []ratelimit.Wanted{{Instance: i.ID, Rate: rate}}})
 	if err != nil {
 		p.n.log.Debug().Str("instance", string(i.ID)).Err(err).Msg("report-not-charged")
 	}
 }
 
-func (p *permits) ask(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
+func (p *permits) ask(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	v := p.n.View()
 	if v.Arranged == nil {
 		return ratelimit.Grant{}, ErrNoGranter
@@ -150,7 +150,7 @@
 }
 
 // grant grants a permit if this daemon's share of the instances' rates allows it.
-func (p *permits) grant(zone models.Zone, ask ratelimit.Ask) ratelimit.Grant {
+func (p *permits) grant(zone models.Zone, ask ratelimit.PermitRequest) ratelimit.Grant {
 	v, now := p.n.View(), time.Now()
 	share := 0.0
 	if v.Arranged != nil {
@@ -165,7 +165,7 @@
 	}
 	p.buckets.Lock()
 	defer p.buckets.Unlock()
-	grant := p.granter.Ask(ask, rate, now)
+	grant := p.granter.Decide(ask, rate, now)
 	if share < 1 {
 		// Heartbeats of those who ask this daemon may be on their way.
 		for n := range grant.Waits {
@@ -208,7 +208,7 @@
 }
 
 // ask asks and waits for the answer.
-func (c *granterConn) ask(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
+func (c *granterConn) ask(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	answer, err := c.send(ctx, zone, ask)
 	if err != nil {
 		return ratelimit.Grant{}, errors.Join(ErrNoGrant, err)
@@ -229,7 +229,7 @@
 
 // send sends an ask on the connection, which is made if there is none. The channel yields
 // the answer, or is closed if none comes.
-func (c *granterConn) send(ctx context.Context, zone models.Zone, ask ratelimit.Ask) (<-chan ratelimit.Grant, error) {
+func (c *granterConn) send(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (<-chan ratelimit.Grant, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if time.Now().Before(c.rests) {
--- a/cluster/permits_test.go
+++ b/cluster/permits_test.go
@@ -36,7 +36,7 @@
 // keepAsking asks until the context ends, as a gateway does that leaves the instance alone
 // when it is told to.
 func (a *askers) keepAsking(ctx context.Context, p *peerNode, pause time.Duration) error {
-	ask := ratelimit.Ask{Wanted: []ratelimit.Wanted{{Instance: "i1", Rate: a.rate}}}
+	ask := ratelimit.PermitRequest{Wanted: []ratelimit.Wanted{{Instance: "i1", Rate: a.rate}}}
 	for ctx.Err() == nil {
 		grant, err := p.AskPermit(ctx, a.zone, ask)
 		wait := pause
@@ -99,7 +99,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			peers := startPeers(t, test.daemons, test.zones)
-			peers[0].limits.Heard(ratelimit.Sighting{Instance: "i1", Rate: test.rate, Asked: time.Now(), Heard: time.Now()})
+			peers[0].limits.Heard(ratelimit.Observation{Instance: "i1", Rate: test.rate, SentAt: time.Now(), ReceivedAt: time.Now()})
 			granter := func() models.DaemonID { return peers[0].View().Arranged.Granter("z1") }
 			waitAll(c, peers, met, "agreed on who grants", func(p *peerNode) bool {
 				return p.View().granters != nil && p.View().Arranged.Granter("z1") == granter()
--- a/gateway/permit.go
+++ b/gateway/permit.go
@@ -50,7 +50,7 @@
 // excluded until they can.
 func (e *exchange) requestPermit(ctx context.Context, instances []models.UpstreamInstance) (int, permit, bool) {
 	now := time.Now()
-	ask := ratelimit.Ask{Rank: e.permitRank(now)}
+	ask := ratelimit.PermitRequest{Priority: e.permitRank(now)}
 	for _, i := range instances {
 		ask.Wanted = append(ask.Wanted, ratelimit.Wanted{Instance: i.ID, Rate: e.g.node.Limits().Rate(i, now)})
 	}
@@ -67,10 +67,10 @@
 			e.g.scheduler.exclude(instances[n].ID, now.Add(wait))
 		}
 	}
-	if !grant.Granted || grant.At >= len(instances) {
+	if !grant.Granted || grant.Index >= len(instances) {
 		return 0, permit{}, false
 	}
-	return grant.At, permit{instance: instances[grant.At].ID, granted: now}, true
+	return grant.Index, permit{instance: instances[grant.Index].ID, granted: now}, true
 }
 
 // permitRank returns the request's priority for permits: a request that is already late ranks below
--- a/gateway/permit_test.go
+++ b/gateway/permit_test.go
@@ -79,7 +79,7 @@
 // setLimit records a rate limit of an instance at the gateway.
 func (s *limitFixture) setLimit(id models.InstanceID) {
 	i := s.node.view.All[id]
-	s.node.limits.Heard(ratelimit.Sighting{Instance: id, Born: i.StartedAt, Rate: 2, Asked: time.Now(), Heard: time.Now()})
+	s.node.limits.Heard(ratelimit.Observation{Instance: id, StartedAt: i.StartedAt, Rate: 2, SentAt: time.Now(), ReceivedAt: time.Now()})
 }
 
 // TestLimitedInstanceNeedsPermit checks that a rate limit announced in a response applies from the
@@ -100,7 +100,7 @@
 	s.c.Assert(s.received, qt.DeepEquals, []string{"p2", "p2", "p2", "p2", "p2"})
 
 	asks := 0
-	s.node.permit = func(ask ratelimit.Ask) (ratelimit.Grant, error) {
+	s.node.permit = func(ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 		asks++
 		s.c.Check(ask.Wanted, qt.DeepEquals, []ratelimit.Wanted{{Instance: "p1", Rate: 2}})
 		return ratelimit.Grant{Granted: true, Waits: []time.Duration{0}}, nil
@@ -121,7 +121,7 @@
 	s.setLimit("p1")
 	s.setLimit("p2")
 	const wait = 1500 * time.Millisecond
-	s.node.permit = func(ask ratelimit.Ask) (ratelimit.Grant, error) {
+	s.node.permit = func(ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 		waits := make([]time.Duration, len(ask.Wanted))
 		for n := range waits {
 			waits[n] = wait
@@ -160,9 +160,9 @@
 	s.setLimit("p1")
 	s.setLimit("p2")
 	asks := 0
-	s.node.permit = func(ask ratelimit.Ask) (ratelimit.Grant, error) {
+	s.node.permit = func(ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 		if asks++; asks > 1 {
-			return ratelimit.Grant{Granted: true, At: len(ask.Wanted) - 1, Waits: make([]time.Duration, len(ask.Wanted))}, nil
+			return ratelimit.Grant{Granted: true, Index: len(ask.Wanted) - 1, Waits: make([]time.Duration, len(ask.Wanted))}, nil
 		}
 		return ratelimit.Grant{Waits: []time.Duration{10 * time.Millisecond, 15 * time.Millisecond}}, nil
 	}
--- a/gateway/script_test.go
+++ b/gateway/script_test.go
@@ -71,7 +71,7 @@
 	limits *cluster.Limits
 	// breakers are closed if nil.
 	breakers *cluster.Breakers
-	permit   func(ratelimit.Ask) (ratelimit.Grant, error)
+	permit   func(ratelimit.PermitRequest) (ratelimit.Grant, error)
 
 	mu      sync.Mutex
 	stalled []models.InstanceID
@@ -115,7 +115,7 @@
 }
 
 // AskPermit calls the test's permit function; without one there is no granter.
-func (f *fakeNode) AskPermit(_ context.Context, _ models.Zone, ask ratelimit.Ask) (ratelimit.Grant, error) {
+func (f *fakeNode) AskPermit(_ context.Context, _ models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	if f.permit == nil {
 		return ratelimit.Grant{}, cluster.ErrNoGranter
 	}
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -112,5 +112,5 @@
 		e.g.log.Warn().Str("instance", string(i.ID)).Str("request", string(e.head.ID)).Msg("limit-unreadable")
 		return
 	}
-	e.g.node.Limits().Heard(ratelimit.Sighting{Instance: i.ID, Born: i.StartedAt, Rate: rate, Asked: sentAt, Heard: time.Now()})
+	e.g.node.Limits().Heard(ratelimit.Observation{Instance: i.ID, StartedAt: i.StartedAt, Rate: rate, SentAt: sentAt, ReceivedAt: time.Now()})
 }
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -34,9 +34,9 @@
 }
 
 // Ask is a request for a permit to send one request to one of several instances.
-type Ask struct {
+type PermitRequest struct {
 	// Rank is the priority of the request, 0 is the most urgent.
-	Rank int `msgpack:"k"`
+	Priority int `msgpack:"k"`
 	// Wanted holds the instances in order of preference.
 	Wanted []Wanted `msgpack:"w"`
 	// Charge reports that something was sent to the first instance without a permit. It counts
@@ -48,7 +48,7 @@
 type Grant struct {
 	// Granted is set if the request may be sent to the instance with index At in Wanted.
 	Granted bool `msgpack:"g,omitempty"`
-	At      int  `msgpack:"a,omitempty"`
+	Index   int  `msgpack:"a,omitempty"`
 	// Waits holds for each wanted instance how long asking again is useless; zero for instances
 	// that were not checked.
 	Waits []time.Duration `msgpack:"w,omitempty"`
@@ -78,7 +78,7 @@
 
 // Ask grants a permit for the first of the wanted instances that may get another request now. The
 // function rate returns the rate at which this daemon may grant permits for an instance.
-func (g *Granter) Ask(ask Ask, rate func(Wanted) float64, now time.Time) Grant {
+func (g *Granter) Decide(ask PermitRequest, rate func(Wanted) float64, now time.Time) Grant {
 	waits := make([]time.Duration, len(ask.Wanted))
 	if ask.Charge && len(ask.Wanted) > 0 {
 		b := g.bucket(ask.Wanted[0].Instance, now)
@@ -89,15 +89,15 @@
 	for n, w := range ask.Wanted {
 		r := rate(w)
 		if r == models.NoRateLimit {
-			return Grant{Granted: true, At: n, Waits: waits}
+			return Grant{Granted: true, Index: n, Waits: waits}
 		}
 		if r <= 0 {
 			g.bucket(w.Instance, now).drain(0, now)
 			waits[n] = maxWait
 			continue
 		}
-		if waits[n] = g.bucket(w.Instance, now).take(ask.Rank, r, now); waits[n] == 0 {
-			return Grant{Granted: true, At: n, Waits: waits}
+		if waits[n] = g.bucket(w.Instance, now).take(ask.Priority, r, now); waits[n] == 0 {
+			return Grant{Granted: true, Index: n, Waits: waits}
 		}
 	}
 	return Grant{Waits: waits}
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -29,7 +29,7 @@
 				rate = rapid.SampledFrom([]float64{0, 0.3, 1.4, 5}).Draw(t, "rate")
 			}
 			rank := rapid.IntRange(0, 9).Draw(t, "rank")
-			got := g.Ask(Ask{Rank: rank, Wanted: wantOne("i")}, func(Wanted) float64 { return rate }, now)
+			got := g.Decide(PermitRequest{Priority: rank, Wanted: wantOne("i")}, func(Wanted) float64 { return rate }, now)
 			if !got.Granted {
 				if wait := got.Waits[0]; wait <= 0 || wait > maxWait+time.Millisecond {
 					t.Fatalf("the wait is %v", wait)
@@ -55,7 +55,9 @@
 	now := time.Unix(1_000_000, 0)
 	var g Granter
 	rate := func(Wanted) float64 { return 1 }
-	ask := func(rank int) bool { return g.Ask(Ask{Rank: rank, Wanted: wantOne("i")}, rate, now).Granted }
+	ask := func(rank int) bool {
+		return g.Decide(PermitRequest{Priority: rank, Wanted: wantOne("i")}, rate, now).Granted
+	}
 	granted := map[int]int{}
 	for range 400 {
 		now = now.Add(100 * time.Millisecond)
@@ -79,23 +81,23 @@
 	for n := range 100 {
 		now = now.Add(100 * time.Millisecond)
 		if n%20 == 0 {
-			g.Ask(Ask{Wanted: wantOne("i"), Charge: true}, rate, now)
+			g.Decide(PermitRequest{Wanted: wantOne("i"), Charge: true}, rate, now)
 		}
-		if g.Ask(Ask{Wanted: wantOne("i")}, rate, now).Granted {
+		if g.Decide(PermitRequest{Wanted: wantOne("i")}, rate, now).Granted {
 			granted++
 		}
 	}
 	c.Assert(granted >= 4 && granted <= 5, qt.IsTrue, qt.Commentf("%d", granted))
 }
 
-func ExampleGranter_Ask() {
+func ExampleGranter_Decide() {
 	var g Granter
 	now := time.Now()
-	ask := Ask{Wanted: []Wanted{{Instance: "fabric-a-1", Rate: 2}, {Instance: "fabric-a-2", Rate: 2}}}
+	ask := PermitRequest{Wanted: []Wanted{{Instance: "fabric-a-1", Rate: 2}, {Instance: "fabric-a-2", Rate: 2}}}
 	rate := func(w Wanted) float64 { return w.Rate }
-	fmt.Println(g.Ask(ask, rate, now).Granted)
-	later := g.Ask(ask, rate, now.Add(time.Second))
-	fmt.Println(later.Granted, ask.Wanted[later.At].Instance)
+	fmt.Println(g.Decide(ask, rate, now).Granted)
+	later := g.Decide(ask, rate, now.Add(time.Second))
+	fmt.Println(later.Granted, ask.Wanted[later.Index].Instance)
 	// Output:
 	// false
 	// true fabric-a-1
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -30,20 +30,20 @@
 )
 
 // Sighting is the limit that an instance announced in the header of one response.
-type Sighting struct {
+type Observation struct {
 	Instance models.InstanceID
 	// Born is when the instance started, to distinguish restarts under the same ID; zero if not
 	// known.
-	Born time.Time
+	StartedAt time.Time
 	// Rate is the limit in requests per second, models.NoLimit if the response had none.
 	Rate float64
 	// Asked is when the request was sent, Heard when the header of the response arrived. The
 	// instance announced the limit between the two.
-	Asked, Heard time.Time
+	SentAt, ReceivedAt time.Time
 	// By is the daemon that received the response, empty for this daemon. Number increases with
 	// each response that the daemon receives.
-	By     models.DaemonID
-	Number int64
+	Receiver models.DaemonID
+	Seq      int64
 }
 
 // Source is the daemon that a sighting came from, empty for this daemon.
@@ -96,29 +96,29 @@
 
 // Note adds a sighting. It returns the change of the limit, and whether there is something to
 // publish to peers.
-func (l *Limits) Note(s Sighting, source Source) (Change, bool) {
+func (l *Limits) Add(s Observation, source Source) (Change, bool) {
 	lim := l.limits[s.Instance]
-	if lim != nil && lim.instance.CompareIncarnation(s.Born) == models.EarlierIncarnation {
+	if lim != nil && lim.instance.CompareIncarnation(s.StartedAt) == models.EarlierIncarnation {
 		return Unchanged, false
 	}
 	if lim == nil && s.Rate == models.NoRateLimit {
 		return Unchanged, false
 	}
-	if lim == nil || lim.instance.CompareIncarnation(s.Born) == models.LaterIncarnation {
+	if lim == nil || lim.instance.CompareIncarnation(s.StartedAt) == models.LaterIncarnation {
 		lim = &limit{
-			instance: models.UpstreamInstance{ID: s.Instance, StartedAt: s.Born}, lastRate: models.NoRateLimit, lastNumbers: map[models.DaemonID]int64{},
+			instance: models.UpstreamInstance{ID: s.Instance, StartedAt: s.StartedAt}, lastRate: models.NoRateLimit, lastNumbers: map[models.DaemonID]int64{},
 		}
 		if l.limits == nil {
 			l.limits = map[models.InstanceID]*limit{}
 		}
 		l.limits[s.Instance] = lim
 	}
-	if s.Number > 0 && s.Number <= lim.lastNumbers[s.By] {
+	if s.Seq > 0 && s.Seq <= lim.lastNumbers[s.Receiver] {
 		return Unchanged, false
 	}
-	lim.lastNumbers[s.By] = s.Number
+	lim.lastNumbers[s.Receiver] = s.Seq
 	before, spans := lim.rate(), len(lim.spans)
-	newer := lim.merge(span{s.Rate, s.Asked, s.Heard, s.By, s.Number})
+	newer := lim.merge(span{s.Rate, s.SentAt, s.ReceivedAt, s.Receiver, s.Seq})
 	after := lim.rate()
 	publish := after != before || len(lim.spans) != spans
 	if !newer && source != "" {
@@ -229,7 +229,7 @@
 }
 
 // Named is the limit that an instance announces.
-func (l *Limits) Named(id models.InstanceID) float64 {
+func (l *Limits) Announced(id models.InstanceID) float64 {
 	if lim := l.limits[id]; lim != nil {
 		return lim.rate()
 	}
@@ -237,7 +237,7 @@
 }
 
 // InForce is the number of instances that announce a limit.
-func (l *Limits) InForce() int {
+func (l *Limits) CountActive() int {
 	n := 0
 	for _, lim := range l.limits {
 		if lim.rate() != models.NoRateLimit {
@@ -252,14 +252,14 @@
 
 // Since returns the sightings added after a version from the included sources, and the current
 // version.
-func (l *Limits) Since(seen uint64, include func(Source) bool) ([]Sighting, uint64) {
-	var out []Sighting
+func (l *Limits) Since(seen uint64, include func(Source) bool) ([]Observation, uint64) {
+	var out []Observation
 	for id, lim := range l.limits {
 		if lim.version <= seen || !include(lim.source) {
 			continue
 		}
 		for _, s := range lim.spans {
-			out = append(out, Sighting{Instance: id, Born: lim.instance.StartedAt, Rate: s.rate, Asked: s.asked, Heard: s.heard, By: s.by, Number: s.number})
+			out = append(out, Observation{Instance: id, StartedAt: lim.instance.StartedAt, Rate: s.rate, SentAt: s.asked, ReceivedAt: s.heard, Receiver: s.by, Seq: s.number})
 		}
 	}
 	return out, l.version
--- a/ratelimit/strategies_test.go
+++ b/ratelimit/strategies_test.go
@@ -91,7 +91,7 @@
 	})
 	for zone := range d.granters {
 		at := (daemon + zone) % 3
-		var ask Ask
+		var ask PermitRequest
 		var ids []int
 		for _, i := range order {
 			if i%3 == at && len(ids) < maxWanted && now.After(d.retryAt[[2]int{daemon, i}]) {
@@ -103,14 +103,14 @@
 			continue
 		}
 		d.asks++
-		grant := d.granters[at].Ask(ask, func(Wanted) float64 { return simRate }, now)
+		grant := d.granters[at].Decide(ask, func(Wanted) float64 { return simRate }, now)
 		for n, wait := range grant.Waits {
 			if wait > 0 {
 				d.retryAt[[2]int{daemon, ids[n]}] = now.Add(wait)
 			}
 		}
 		if grant.Granted {
-			return ids[grant.At], true
+			return ids[grant.Index], true
 		}
 	}
 	return 0, false
