--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -27,14 +27,14 @@
 	mu   sync.Mutex
 	list quarantine.List
 	// refused are the requests that must not be sent, as they were told last.
-	refused map[quarantine.Digest]quarantine.Standing
+	refused map[quarantine.Digest]quarantine.Status
 }
 
 // NewQuarantine returns an empty quarantine. The function is called when there is
 // something to tell other daemons.
 func NewQuarantine(found func(), set *metrics.Set, log zerolog.Logger) *Quarantine {
 	q := &Quarantine{
-		log: log, found: found, changed: make(chan quarantine.Digest, recordsLen), refused: map[quarantine.Digest]quarantine.Standing{},
+		log: log, found: found, changed: make(chan quarantine.Digest, recordsLen), refused: map[quarantine.Digest]quarantine.Status{},
 	}
 	set.NewGauge("lupinkeel_quarantined_requests", func() float64 {
 		q.mu.Lock()
@@ -74,10 +74,10 @@
 }
 
 // Standing is what is held against a request.
-func (q *Quarantine) Standing(d quarantine.Digest) quarantine.Standing {
+func (q *Quarantine) Standing(d quarantine.Digest) quarantine.Status {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.list.Standing(d)
+	return q.list.Status(d)
 }
 
 // HasCrashed reports whether this life of an instance is known to have crashed.
@@ -88,7 +88,7 @@
 }
 
 // Refused lists the requests that must not be sent.
-func (q *Quarantine) Refused() map[quarantine.Digest]quarantine.Standing {
+func (q *Quarantine) Refused() map[quarantine.Digest]quarantine.Status {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return maps.Clone(q.refused)
@@ -98,7 +98,7 @@
 func (q *Quarantine) Place(d quarantine.Digest, places int) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.list.Place(d, places)
+	return q.list.IsolationIndex(d, places)
 }
 
 // Holds reports whether anything is held against any request. Where nothing is, requests
@@ -151,7 +151,7 @@
 
 // newsOf is a crash as other daemons are told.
 func newsOf(c quarantine.Crash, now time.Time) CrashNews {
-	out := CrashNews{Instance: c.Instance, Born: c.Born, Age: now.Sub(c.At)}
+	out := CrashNews{Instance: c.Instance, Born: c.StartedAt, Age: now.Sub(c.At)}
 	for d, cleared := range c.Requests {
 		if cleared {
 			out.Cleared = append(out.Cleared, d)
@@ -164,7 +164,7 @@
 
 // crash is what the news tell, received at some time.
 func (c CrashNews) crash(at time.Time) quarantine.Crash {
-	out := quarantine.Crash{Instance: c.Instance, Born: c.Born, At: at.Add(-c.Age), Requests: map[quarantine.Digest]bool{}}
+	out := quarantine.Crash{Instance: c.Instance, StartedAt: c.Born, At: at.Add(-c.Age), Requests: map[quarantine.Digest]bool{}}
 	for _, d := range c.Requests {
 		out.Requests[d] = false
 	}
--- a/cluster/quarantine_store.go
+++ b/cluster/quarantine_store.go
@@ -36,7 +36,7 @@
 // recordOwn has a request's record written anew if this daemon found any of its crashes:
 // those few all do it, since any of them may be lost. The quarantine must be locked.
 func (q *Quarantine) recordOwn(d quarantine.Digest) {
-	if q.list.Own(d) {
+	if q.list.RecordedHere(d) {
 		q.record(d)
 	}
 }
@@ -58,8 +58,8 @@
 		return nil, nil
 	}
 	var out []storedCrash
-	for _, c := range q.list.Against(d) {
-		out = append(out, storedCrash{Instance: c.Instance, Born: c.Born, At: c.At})
+	for _, c := range q.list.CrashesOf(d) {
+		out = append(out, storedCrash{Instance: c.Instance, Born: c.StartedAt, At: c.At})
 	}
 	return pack.Marshal(out)
 }
@@ -80,7 +80,7 @@
 	for _, c := range crashes {
 		// The clocks of two daemons differ; what is to come has not been.
 		at := now.Add(-max(0, now.Sub(c.At)))
-		q.add(quarantine.Crash{Instance: c.Instance, Born: c.Born, At: at, Requests: map[quarantine.Digest]bool{d: false}}, fromStore)
+		q.add(quarantine.Crash{Instance: c.Instance, StartedAt: c.Born, At: at, Requests: map[quarantine.Digest]bool{d: false}}, fromStore)
 	}
 	if q.Standing(d).Crashes == 0 {
 		// All of it is too long ago: the record goes.
--- a/cluster/quarantine_test.go
+++ b/cluster/quarantine_test.go
@@ -152,7 +152,7 @@
 	now := time.Now()
 	guilty, other := quarantine.Request{Target: "/crashes"}.Digest(), quarantine.Request{Target: "/other"}.Digest()
 	crash := quarantine.Crash{
-		Instance: "i-1e5e60a8b1", Born: time.UnixMilli(1_780_000_000_000), At: now.Add(-time.Second),
+		Instance: "i-1e5e60a8b1", StartedAt: time.UnixMilli(1_780_000_000_000), At: now.Add(-time.Second),
 		Requests: map[quarantine.Digest]bool{guilty: false, other: true},
 	}
 	body, err := pack.Marshal(News{Crashes: []CrashNews{newsOf(crash, now)}})
@@ -162,7 +162,7 @@
 	var news News
 	c.Assert(pack.Unmarshal(body, &news), qt.IsNil)
 	got := news.Crashes[0].crash(now)
-	c.Assert(got.Born.Equal(crash.Born), qt.IsTrue)
-	got.Born = crash.Born
+	c.Assert(got.StartedAt.Equal(crash.StartedAt), qt.IsTrue)
+	got.StartedAt = crash.StartedAt
 	c.Assert(got, qt.DeepEquals, crash)
 }
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -141,7 +141,7 @@
 	for _, id := range []models.InstanceID{"i1", "i2"} {
 		s.node.quarantine.Crashed(quarantine.Crash{Instance: id, At: time.Now().Add(-time.Minute), Requests: map[quarantine.Digest]bool{d: false}})
 	}
-	s.c.Assert(s.node.quarantine.Standing(d).OnTrial(), qt.IsTrue)
+	s.c.Assert(s.node.quarantine.Standing(d).NeedsIsolation(), qt.IsTrue)
 	own := []string{"p1", "p2"}[s.node.quarantine.Place(d, 2)]
 	s.signal(models.InstanceID(own), time.Minute, false)
 	s.send("a")
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -114,7 +114,7 @@
 // report tells all daemons which requests a crashed instance was executing. The detector must be
 // locked.
 func (cd *crashDetector) report(c *disconnect, requests ...quarantine.Digest) {
-	crash := quarantine.Crash{Instance: c.instance.ID, Born: c.instance.StartedAt, At: c.at, Requests: map[quarantine.Digest]bool{}}
+	crash := quarantine.Crash{Instance: c.instance.ID, StartedAt: c.instance.StartedAt, At: c.at, Requests: map[quarantine.Digest]bool{}}
 	for _, d := range requests {
 		crash.Requests[d] = false
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -12,10 +12,10 @@
 )
 
 // standing returns the crashes that all daemons know the request to have caused.
-func (e *exchange) standing() quarantine.Standing {
+func (e *exchange) standing() quarantine.Status {
 	quarantined := e.g.node.Quarantine()
 	if !quarantined.Holds() {
-		return quarantine.Standing{}
+		return quarantine.Status{}
 	}
 	return quarantined.Standing(e.digest())
 }
@@ -37,7 +37,7 @@
 func (e *exchange) checkQuarantine() error {
 	e.awaitProbe()
 	s := e.standing()
-	suspect := s.Crashes > 0 && (!e.headSent || s.OnTrial())
+	suspect := s.Crashes > 0 && (!e.headSent || s.NeedsIsolation())
 	switch {
 	case s.Quarantined:
 		return errQuarantined
@@ -84,7 +84,7 @@
 // trialPlace returns the function that places a request on trial: the same instance at all daemons.
 // It is nil for requests that are not on trial.
 func (e *exchange) trialPlace() func(int) int {
-	if !e.standing().OnTrial() {
+	if !e.standing().NeedsIsolation() {
 		return nil
 	}
 	return func(places int) int { return e.g.node.Quarantine().Place(e.digest(), places) }
--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -22,7 +22,7 @@
 )
 
 // Standing is the evaluation of a request.
-type Standing struct {
+type Status struct {
 	// Crashes is the number of instances that crashed with the request, less the crashes attributed
 	// to other requests.
 	Crashes int
@@ -34,10 +34,10 @@
 
 // OnTrial reports whether one more crash may be decisive. Such a request is isolated: it runs on an
 // instance without other requests on trial.
-func (s Standing) OnTrial() bool { return !s.Quarantined && s.Crashes >= CrashLimit-1 }
+func (s Status) NeedsIsolation() bool { return !s.Quarantined && s.Crashes >= CrashLimit-1 }
 
 // Standing returns the evaluation of a request.
-func (l *List) Standing(d Digest) Standing {
+func (l *List) Status(d Digest) Status {
 	if s, known := l.standings[d]; known {
 		return s
 	}
@@ -48,10 +48,10 @@
 // trial get different places as long as there are enough, on all daemons that know the same
 // crashes. Otherwise, requests that share the few groups of a model would all be blamed for the
 // same crashes.
-func (l *List) Place(d Digest, places int) int {
+func (l *List) IsolationIndex(d Digest, places int) int {
 	before := 0
 	for other := range l.suspects {
-		if bytes.Compare(other[:], d[:]) < 0 && l.Standing(other).OnTrial() {
+		if bytes.Compare(other[:], d[:]) < 0 && l.Status(other).NeedsIsolation() {
 			before++
 		}
 	}
@@ -59,8 +59,8 @@
 }
 
 // Quarantined returns the requests that must not be sent.
-func (l *List) Quarantined() map[Digest]Standing {
-	out := map[Digest]Standing{}
+func (l *List) Quarantined() map[Digest]Status {
+	out := map[Digest]Status{}
 	for d, s := range l.standings {
 		if s.Quarantined {
 			out[d] = s
@@ -75,7 +75,7 @@
 // shared instances with a crashing request are cleared once that request is identified. While
 // another request was on nearly all of the same instances, neither is identified.
 func (l *List) evaluate(now time.Time) {
-	l.standings, l.attributed = map[Digest]Standing{}, map[*crash]bool{}
+	l.standings, l.attributed = map[Digest]Status{}, map[*crash]bool{}
 	candidates := map[Digest][]*crash{}
 	for d, crashes := range l.suspects {
 		if len(crashes) >= CrashLimit {
@@ -139,8 +139,8 @@
 	return most
 }
 
-func summarize(crashes []*crash) Standing {
-	s := Standing{Crashes: len(crashes)}
+func summarize(crashes []*crash) Status {
+	s := Status{Crashes: len(crashes)}
 	for _, c := range crashes {
 		if c.at.After(s.Last) {
 			s.Last = c.at
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -23,8 +23,8 @@
 	Instance models.InstanceID
 	// Born is when the instance started, to distinguish restarts under the same ID; zero if not
 	// known.
-	Born time.Time
-	At   time.Time
+	StartedAt time.Time
+	At        time.Time
 	// Requests maps each request to whether it is cleared because it has succeeded elsewhere.
 	Requests map[Digest]bool
 }
@@ -43,7 +43,7 @@
 	suspects map[Digest][]*crash
 	// standings holds the evaluation of the requests that were top suspects, attributed the crashes
 	// attributed to them.
-	standings  map[Digest]Standing
+	standings  map[Digest]Status
 	attributed map[*crash]bool
 }
 
@@ -73,7 +73,7 @@
 	known := l.find(c)
 	if known == nil {
 		known = &crash{
-			instance: models.UpstreamInstance{ID: c.Instance, StartedAt: c.Born}, at: c.At, requests: map[Digest]suspicion{},
+			instance: models.UpstreamInstance{ID: c.Instance, StartedAt: c.StartedAt}, at: c.At, requests: map[Digest]suspicion{},
 		}
 		l.crashes = append(l.crashes, known)
 	}
@@ -90,7 +90,7 @@
 // find returns the known crash of the same instance since the same start, or nil.
 func (l *List) find(c Crash) *crash {
 	for _, known := range l.crashes {
-		if known.instance.ID == c.Instance && known.instance.CompareIncarnation(c.Born) == models.SameIncarnation {
+		if known.instance.ID == c.Instance && known.instance.CompareIncarnation(c.StartedAt) == models.SameIncarnation {
 			return known
 		}
 	}
@@ -151,7 +151,7 @@
 func (l *List) Since(seen uint64, include func(Source) bool) ([]Crash, uint64) {
 	var out []Crash
 	for _, c := range l.crashes {
-		report := Crash{Instance: c.instance.ID, Born: c.instance.StartedAt, At: c.at, Requests: map[Digest]bool{}}
+		report := Crash{Instance: c.instance.ID, StartedAt: c.instance.StartedAt, At: c.at, Requests: map[Digest]bool{}}
 		for d, i := range c.requests {
 			if i.version > seen && include(i.source) {
 				report.Requests[d] = i.cleared
@@ -165,16 +165,16 @@
 }
 
 // Against returns the crashes that a request is a suspect of, each with this request only.
-func (l *List) Against(d Digest) []Crash {
+func (l *List) CrashesOf(d Digest) []Crash {
 	var out []Crash
 	for _, c := range l.suspects[d] {
-		out = append(out, Crash{Instance: c.instance.ID, Born: c.instance.StartedAt, At: c.at, Requests: map[Digest]bool{d: false}})
+		out = append(out, Crash{Instance: c.instance.ID, StartedAt: c.instance.StartedAt, At: c.at, Requests: map[Digest]bool{d: false}})
 	}
 	return out
 }
 
 // Own reports whether this daemon itself recorded anything about a request.
-func (l *List) Own(d Digest) bool {
+func (l *List) RecordedHere(d Digest) bool {
 	return slices.ContainsFunc(l.crashes, func(c *crash) bool {
 		i, present := c.requests[d]
 		return present && i.source == ""
@@ -183,7 +183,7 @@
 
 // HasCrashed reports whether the instance is known to have crashed since its last start.
 func (l *List) HasCrashed(i models.UpstreamInstance) bool {
-	return l.find(Crash{Instance: i.ID, Born: i.StartedAt}) != nil
+	return l.find(Crash{Instance: i.ID, StartedAt: i.StartedAt}) != nil
 }
 
 // Empty reports whether no crash is known.
--- a/quarantine/list_test.go
+++ b/quarantine/list_test.go
@@ -49,7 +49,7 @@
 		}
 		where := qt.Commentf("%s:%d: %s", file, n+1, line)
 		if fields[0] == "want" {
-			c.Assert(fields[1]+" "+formatStanding(l.Standing(digestOf(fields[1]))), qt.Equals, strings.Join(fields[1:], " "), where)
+			c.Assert(fields[1]+" "+formatStanding(l.Status(digestOf(fields[1]))), qt.Equals, strings.Join(fields[1:], " "), where)
 			continue
 		}
 		after, err := time.ParseDuration(fields[0])
@@ -76,12 +76,12 @@
 	return out
 }
 
-func formatStanding(s Standing) string {
+func formatStanding(s Status) string {
 	text := fmt.Sprint(s.Crashes)
 	switch {
 	case s.Quarantined:
 		text += " quarantined"
-	case s.OnTrial():
+	case s.NeedsIsolation():
 		text += " on-trial"
 	}
 	return text
@@ -129,11 +129,11 @@
 			second.Add(c, "z", now)
 		}
 		for _, name := range requests {
-			want := complete.Standing(digestOf(name))
-			if got := first.Standing(digestOf(name)); got != want {
+			want := complete.Status(digestOf(name))
+			if got := first.Status(digestOf(name)); got != want {
 				t.Fatalf("%s by reports: %+v, want %+v", name, got, want)
 			}
-			if got := second.Standing(digestOf(name)); got != want {
+			if got := second.Status(digestOf(name)); got != want {
 				t.Fatalf("%s by Since: %+v, want %+v", name, got, want)
 			}
 		}
@@ -161,7 +161,7 @@
 	for _, crash := range l.crashes {
 		c.Assert(len(crash.requests) <= maxRequestsPerCrash, qt.IsTrue)
 	}
-	c.Assert(l.Standing(digestOf("found")).Quarantined, qt.IsTrue)
+	c.Assert(l.Status(digestOf("found")).Quarantined, qt.IsTrue)
 }
 
 // simulation sends requests to groups, some of which crash.
@@ -226,7 +226,7 @@
 	s.now = s.now.Add(300 * time.Millisecond)
 	assigned := make([][]string, s.groups)
 	for _, name := range waiting {
-		standing := s.list.Standing(digestOf(name))
+		standing := s.list.Status(digestOf(name))
 		if standing.Quarantined {
 			if name != "guilty" {
 				s.refused++
@@ -234,8 +234,8 @@
 			continue
 		}
 		at := s.r.IntN(s.groups)
-		if standing.OnTrial() {
-			at = s.list.Place(digestOf(name), s.groups)
+		if standing.NeedsIsolation() {
+			at = s.list.IsolationIndex(digestOf(name), s.groups)
 		}
 		assigned[at] = append(assigned[at], name)
 	}
