--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -26,7 +26,7 @@
 	known := false
 	e.route, known = v.Routing.Match(e.r.Host, e.r.URL.EscapedPath())
 	if !known {
-		if !e.g.isCurrent(v, e.g.cfg.ConfigBound) {
+		if !e.g.isCurrent(v, e.g.cfg.MaxConfigAge) {
 			return errStaleConfig
 		}
 		return errNoRoute
@@ -53,7 +53,7 @@
 	if !v.Routing.RequiresKeys || e.route.AuthExempt {
 		return nil
 	}
-	if !e.g.isCurrent(v, e.g.cfg.KeysBound) {
+	if !e.g.isCurrent(v, e.g.cfg.MaxKeysProofAge) {
 		return errStaleConfig
 	}
 	holder, known := v.Routing.Keys[e.head.Key]
@@ -61,7 +61,7 @@
 	case known:
 		e.holder = holder
 		return nil
-	case e.g.isCurrent(v, e.g.cfg.ConfigBound):
+	case e.g.isCurrent(v, e.g.cfg.MaxConfigAge):
 		return errUnknownKey
 	default:
 		return errStaleConfig
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -29,18 +29,18 @@
 	Admin  netip.AddrPort
 	// KeysBound is the maximum age of the proof that the configuration is current, for a request
 	// that needs a key to be served.
-	KeysBound time.Duration
+	MaxKeysProofAge time.Duration
 	// ConfigBound is the maximum age of that proof for an unknown route or key to be refused as
 	// unknown.
-	ConfigBound time.Duration
-	RetryRatio  float64
-	RetrySlack  float64
-	RetryWindow time.Duration
+	MaxConfigAge time.Duration
+	RetryRatio   float64
+	RetrySlack   float64
+	RetryWindow  time.Duration
 	// StopGrace bounds the time that a planned stop takes.
 	StopGrace time.Duration
 	// Settle is the time after the start during which the gateway does not report stalled groups:
 	// it does not know yet which requests other daemons have there.
-	Settle time.Duration
+	StallReportDelay time.Duration
 }
 
 // dialTimeout bounds the time to connect to an upstream: two round trips between zones, far less
@@ -160,7 +160,7 @@
 		budget: newRetryBudget(cfg.RetryRatio, cfg.RetrySlack, cfg.RetryWindow), crashes: newCrashDetector(node, set, log),
 	}
 	g.scheduler.zone = cfg.Zone
-	g.stallReportsFrom = time.Now().Add(cfg.Settle)
+	g.stallReportsFrom = time.Now().Add(cfg.StallReportDelay)
 	g.conns = h1.NewPool(dialTimeout, g.connOpened)
 	return g
 }
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -44,7 +44,7 @@
 		{"no configuration", nil, 0, "/none/", "k1", http.StatusServiceUnavailable},
 	} {
 		view := &cluster.View{Routing: test.routing, Proven: time.Now().Add(-test.age), Daemons: 1}
-		g := New(Settings{KeysBound: 4 * time.Second, ConfigBound: 2 * time.Second, RetryWindow: time.Second},
+		g := New(Settings{MaxKeysProofAge: 4 * time.Second, MaxConfigAge: 2 * time.Second, RetryWindow: time.Second},
 			&fakeNode{view: view, clock: timer.New(time.Now())}, newScheduler(), metrics.NewSet(), zerolog.Nop())
 		r := httptest.NewRequest(http.MethodPost, test.path, nil)
 		r.Host = "api.example"
@@ -62,7 +62,7 @@
 func TestReady(t *testing.T) {
 	c := qt.New(t)
 	view := &cluster.View{Routing: &models.Routing{}, Proven: time.Now()}
-	g := New(Settings{KeysBound: 4 * time.Second, RetryWindow: time.Second}, &fakeNode{view: view, clock: timer.New(time.Now())}, newScheduler(), metrics.NewSet(), zerolog.Nop())
+	g := New(Settings{MaxKeysProofAge: 4 * time.Second, RetryWindow: time.Second}, &fakeNode{view: view, clock: timer.New(time.Now())}, newScheduler(), metrics.NewSet(), zerolog.Nop())
 	ready := func() int {
 		w := httptest.NewRecorder()
 		g.serveReady(w, httptest.NewRequest(http.MethodGet, "/-/ready", nil))
@@ -86,8 +86,8 @@
 	clock := timer.New(start)
 	c.Assert(clock.CountSuspensions(func() (time.Duration, error) { return time.Since(start) + suspended, nil }), qt.IsNil)
 	view := &cluster.View{Routing: &models.Routing{}, Proven: time.Now()}
-	g := New(Settings{KeysBound: 4 * time.Second, RetryWindow: time.Second}, &fakeNode{view: view, clock: clock}, newScheduler(), metrics.NewSet(), zerolog.Nop())
-	c.Assert(g.isCurrent(view, g.cfg.KeysBound), qt.IsTrue)
+	g := New(Settings{MaxKeysProofAge: 4 * time.Second, RetryWindow: time.Second}, &fakeNode{view: view, clock: clock}, newScheduler(), metrics.NewSet(), zerolog.Nop())
+	c.Assert(g.isCurrent(view, g.cfg.MaxKeysProofAge), qt.IsTrue)
 	suspended = 5 * time.Second
-	c.Assert(g.isCurrent(view, g.cfg.KeysBound), qt.IsFalse)
+	c.Assert(g.isCurrent(view, g.cfg.MaxKeysProofAge), qt.IsFalse)
 }
--- a/gateway/permit_test.go
+++ b/gateway/permit_test.go
@@ -56,7 +56,7 @@
 	}
 	s.node = newFakeNode(s.c, quarantineConfig, instances)
 	s.node.limits = emptyLimits()
-	g := New(Settings{KeysBound: time.Minute, ConfigBound: time.Minute, RetryWindow: time.Second}, s.node, newScheduler(), metrics.NewSet(), zerolog.Nop())
+	g := New(Settings{MaxKeysProofAge: time.Minute, MaxConfigAge: time.Minute, RetryWindow: time.Second}, s.node, newScheduler(), metrics.NewSet(), zerolog.Nop())
 	s.gateway = httptest.NewServer(http.HandlerFunc(g.serve))
 	t.Cleanup(s.gateway.Close)
 	return s
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -37,7 +37,7 @@
 	defer upstream.Close()
 	l := upstream.Listener.(*net.TCPListener)
 	node := newFakeNode(c, quarantineConfig, []*fakeInstance{{name: "p1", l: l}})
-	g := New(Settings{KeysBound: time.Minute, ConfigBound: time.Minute, RetryWindow: time.Second}, node, newScheduler(), metrics.NewSet(), zerolog.Nop())
+	g := New(Settings{MaxKeysProofAge: time.Minute, MaxConfigAge: time.Minute, RetryWindow: time.Second}, node, newScheduler(), metrics.NewSet(), zerolog.Nop())
 	front, admin := httptest.NewServer(http.HandlerFunc(g.serve)), httptest.NewServer(g.adminRoutes())
 	defer front.Close()
 	defer admin.Close()
--- a/gateway/script_test.go
+++ b/gateway/script_test.go
@@ -182,9 +182,9 @@
 		u.StartedAt = u.StartedAt.Add(time.Second)
 		node.view.All[u.ID] = u
 	}
-	cfg := Settings{KeysBound: time.Minute, ConfigBound: time.Minute, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second}
+	cfg := Settings{MaxKeysProofAge: time.Minute, MaxConfigAge: time.Minute, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second}
 	if settle, given := parts["settle"]; given {
-		cfg.Settle, err = time.ParseDuration(lines(settle)[0])
+		cfg.StallReportDelay, err = time.ParseDuration(lines(settle)[0])
 		c.Assert(err, qt.IsNil)
 	}
 	g := New(cfg, node, newScheduler(), metrics.NewSet(), zerolog.Nop())
