--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -16,7 +16,7 @@
 
 // Reasons why no request may be sent to an instance now.
 var (
-	ErrResting = errors.New("the instance asked for rest")
+	ErrBackingOff = errors.New("the instance asked for rest")
 	// ErrProbing: as many requests as may probe the instance after its backoff are in flight.
 	ErrProbing = errors.New("the instance is being tried after its rest")
 	ErrLeaving = errors.New("the instance is about to leave")
@@ -50,17 +50,17 @@
 	Instance models.InstanceID
 	// Born distinguishes incarnations of an instance with the same ID; it is zero if the start time
 	// is unknown.
-	Born time.Time
+	StartedAt time.Time
 	// Heard is when the head was received.
-	Heard time.Time
+	ReceivedAt time.Time
 	// Rest is the backoff that the instance asks of the daemon that it answered, 0 for none.
-	Rest time.Duration
+	Backoff time.Duration
 	// Leaving tells that the instance is about to leave.
 	Leaving bool
 }
 
 // IsEmpty reports whether the instance asked for nothing.
-func (s Signal) IsEmpty() bool { return s.Rest <= 0 && !s.Leaving }
+func (s Signal) IsEmpty() bool { return s.Backoff <= 0 && !s.Leaving }
 
 // Source is the daemon that received a signal from an instance; the empty one is this daemon.
 type Source = models.DaemonID
@@ -109,37 +109,37 @@
 // Change is what a signal changed.
 type Change struct {
 	// Began tells that a backoff began, Lengthened that it was extended.
-	Began, Lengthened bool
+	Started, Extended bool
 	// Leaving tells that the instance is newly known to leave.
 	Leaving bool
 	// Tell tells that the signal is to be broadcast.
-	Tell bool
+	Broadcast bool
 }
 
 // Note applies a signal that this daemon or another one received from an instance. A backoff binds
 // only the daemon that was asked for it; for others it only means that the instance is busy. Of two
 // backoffs the later end counts, in whichever order they are received.
-func (b *Breakers) Note(s Signal, from Source) Change {
+func (b *Breakers) Apply(s Signal, from Source) Change {
 	br := b.breakers[s.Instance]
-	if s.IsEmpty() || (br != nil && br.instance.CompareIncarnation(s.Born) == models.EarlierIncarnation) {
+	if s.IsEmpty() || (br != nil && br.instance.CompareIncarnation(s.StartedAt) == models.EarlierIncarnation) {
 		return Change{}
 	}
-	if br == nil || br.instance.CompareIncarnation(s.Born) == models.LaterIncarnation {
-		br = &breaker{instance: models.UpstreamInstance{ID: s.Instance, StartedAt: s.Born}}
+	if br == nil || br.instance.CompareIncarnation(s.StartedAt) == models.LaterIncarnation {
+		br = &breaker{instance: models.UpstreamInstance{ID: s.Instance, StartedAt: s.StartedAt}}
 		b.breakers[s.Instance] = br
 	}
 	var change Change
-	end := s.Heard.Add(s.Rest)
-	if from == "" && s.Rest > 0 && end.After(br.until) {
-		change.Began, change.Lengthened = !s.Heard.Before(br.until), s.Heard.Before(br.until)
-		br.open(s, end, b.jitter(s.Rest))
+	end := s.ReceivedAt.Add(s.Backoff)
+	if from == "" && s.Backoff > 0 && end.After(br.until) {
+		change.Started, change.Extended = !s.ReceivedAt.Before(br.until), s.ReceivedAt.Before(br.until)
+		br.open(s, end, b.jitter(s.Backoff))
 	}
-	if s.Rest > 0 && end.Sub(br.broadcastUntil) > time.Duration(broadcastFraction*float64(s.Rest)) {
-		br.broadcastUntil, br.broadcastBackoff, change.Tell = end, s.Rest, true
+	if s.Backoff > 0 && end.Sub(br.broadcastUntil) > time.Duration(broadcastFraction*float64(s.Backoff)) {
+		br.broadcastUntil, br.broadcastBackoff, change.Broadcast = end, s.Backoff, true
 		br.backoffChange = b.nextChange(from)
 	}
 	if s.Leaving && br.leaving.IsZero() {
-		br.leaving, change.Leaving, change.Tell = s.Heard, true, true
+		br.leaving, change.Leaving, change.Broadcast = s.ReceivedAt, true, true
 		br.leavingChange = b.nextChange(from)
 	}
 	return change
@@ -158,8 +158,8 @@
 
 // open starts or extends a backoff.
 func (br *breaker) open(s Signal, end time.Time, jitter time.Duration) {
-	if !s.Heard.Before(br.until) {
-		br.started, br.reportRequested = s.Heard, false
+	if !s.ReceivedAt.Before(br.until) {
+		br.started, br.reportRequested = s.ReceivedAt, false
 	}
 	br.endUnreported = true
 	br.until, br.probesFrom, br.probesSucceeded, br.rejections = end, end.Add(jitter), 0, 0
@@ -186,7 +186,7 @@
 	case !br.leaving.IsZero():
 		return ErrLeaving
 	case !br.isClosed() && now.Before(br.probesFrom):
-		return ErrResting
+		return ErrBackingOff
 	default:
 		return nil
 	}
@@ -222,19 +222,19 @@
 }
 
 // End is the result of an admitted request.
-type End int
+type Outcome int
 
 // Results of admitted requests.
 const (
 	// Unanswered does not tell whether the instance accepts requests. Taken and TurnedAway are
 	// requests that the instance executed and rejected.
-	Unanswered End = iota
-	Taken
-	TurnedAway
+	Unanswered Outcome = iota
+	Accepted
+	Rejected
 )
 
 // Settle records the result of an admitted request.
-func (b *Breakers) Settle(admission Admission, end End, now time.Time) {
+func (b *Breakers) Settle(admission Admission, end Outcome, now time.Time) {
 	br := admission.breaker
 	if br == nil {
 		return
@@ -243,9 +243,9 @@
 	switch {
 	case now.Before(br.probesFrom):
 		// The request was sent before the current backoff was known.
-	case end == Taken:
+	case end == Accepted:
 		br.probesSucceeded, br.rejections = br.probesSucceeded+1, 0
-	case end == TurnedAway:
+	case end == Rejected:
 		pause := min(maxRejectBackoff, initialRejectBackoff<<min(br.rejections, 10))
 		br.probesSucceeded, br.rejections = 0, br.rejections+1
 		br.probesFrom = now.Add(pause + b.jitter(pause))
@@ -268,7 +268,7 @@
 // gets none. It returns false for one that is leaving.
 func (b *Breakers) Next(i models.UpstreamInstance, now time.Time) (next, since time.Time, ok bool) {
 	switch b.Check(i, now) {
-	case ErrResting:
+	case ErrBackingOff:
 		br := b.find(i)
 		return br.probesFrom, br.started, true
 	case ErrProbing:
@@ -292,7 +292,7 @@
 	var out []Signal
 	for id, br := range b.breakers {
 		if !br.leaving.IsZero() {
-			out = append(out, Signal{Instance: id, Born: br.instance.StartedAt, Heard: br.leaving, Leaving: true})
+			out = append(out, Signal{Instance: id, StartedAt: br.instance.StartedAt, ReceivedAt: br.leaving, Leaving: true})
 		}
 	}
 	return out
@@ -305,17 +305,17 @@
 	isNew := func(n sourcedChange) bool { return n.number > seen && include(n.source) }
 	for id, br := range b.breakers {
 		if isNew(br.leavingChange) {
-			out = append(out, Signal{Instance: id, Born: br.instance.StartedAt, Heard: br.leaving, Leaving: true})
+			out = append(out, Signal{Instance: id, StartedAt: br.instance.StartedAt, ReceivedAt: br.leaving, Leaving: true})
 		}
 		if isNew(br.backoffChange) && now.Before(br.broadcastUntil) {
-			out = append(out, Signal{Instance: id, Born: br.instance.StartedAt, Heard: br.broadcastUntil.Add(-br.broadcastBackoff), Rest: br.broadcastBackoff})
+			out = append(out, Signal{Instance: id, StartedAt: br.instance.StartedAt, ReceivedAt: br.broadcastUntil.Add(-br.broadcastBackoff), Backoff: br.broadcastBackoff})
 		}
 	}
 	return out, b.lastChange
 }
 
 // Resting returns how many instances asked this daemon for a backoff that lasts.
-func (b *Breakers) Resting(now time.Time) int {
+func (b *Breakers) CountBackingOff(now time.Time) int {
 	n := 0
 	for _, br := range b.breakers {
 		if now.Before(br.until) {
--- a/breaker/compare_test.go
+++ b/breaker/compare_test.go
@@ -54,7 +54,7 @@
 		for len(inFlight) > 0 && !inFlight[0].arrives.After(now) {
 			for d, b := range breakers {
 				if d != inFlight[0].from {
-					b.Note(inFlight[0].signal, "other")
+					b.Apply(inFlight[0].signal, "other")
 				}
 			}
 			inFlight = inFlight[1:]
@@ -75,16 +75,16 @@
 			}
 			sends++
 			if float64(i.ID[0]-'A') >= rejectingFraction*float64(s.instances) {
-				breakers[d].Settle(admission, Taken, now)
+				breakers[d].Settle(admission, Accepted, now)
 				taken = true
 				continue
 			}
 			rejected++
-			signal := Signal{Instance: i.ID, Heard: now, Rest: s.backoff}
-			if change := breakers[d].Note(signal, ""); s.sharing && change.Tell {
+			signal := Signal{Instance: i.ID, ReceivedAt: now, Backoff: s.backoff}
+			if change := breakers[d].Apply(signal, ""); s.sharing && change.Broadcast {
 				inFlight = append(inFlight, broadcast{now.Add(s.lag), d, signal})
 			}
-			breakers[d].Settle(admission, TurnedAway, now)
+			breakers[d].Settle(admission, Rejected, now)
 		}
 	}
 	return float64(rejected) / float64(sends), float64(failed) / float64(requests)
--- a/breaker/property_test.go
+++ b/breaker/property_test.go
@@ -29,22 +29,22 @@
 				delay := time.Duration(rapid.IntRange(0, 400).Draw(t, "late")) * time.Millisecond
 				backoff := time.Duration(rapid.IntRange(1, 5000).Draw(t, "rest")) * time.Millisecond
 				received := now.Add(-delay)
-				b.Note(Signal{Instance: "i", Heard: received, Rest: backoff}, "")
+				b.Apply(Signal{Instance: "i", ReceivedAt: received, Backoff: backoff}, "")
 				if end := received.Add(backoff); end.After(until) {
 					until = end
 				}
 			case 2:
-				b.Note(Signal{Instance: "i", Heard: now, Rest: time.Second}, "d2")
+				b.Apply(Signal{Instance: "i", ReceivedAt: now, Backoff: time.Second}, "d2")
 			case 3:
 				if rapid.IntRange(0, 20).Draw(t, "leaves") == 0 {
 					leaves = true
-					b.Note(Signal{Instance: "i", Heard: now, Leaving: true}, Source(rapid.SampledFrom([]string{"", "d2"}).Draw(t, "from")))
+					b.Apply(Signal{Instance: "i", ReceivedAt: now, Leaving: true}, Source(rapid.SampledFrom([]string{"", "d2"}).Draw(t, "from")))
 				}
 			case 4:
 				b.Prune(func(models.InstanceID) bool { return true }, now)
 			case 5:
 				for _, p := range inFlight {
-					b.Settle(p, End(rapid.IntRange(0, 2).Draw(t, "end")), now)
+					b.Settle(p, Outcome(rapid.IntRange(0, 2).Draw(t, "end")), now)
 				}
 				inFlight = nil
 			default:
@@ -58,7 +58,7 @@
 			}
 		}
 		for _, p := range inFlight {
-			b.Settle(p, Taken, now)
+			b.Settle(p, Accepted, now)
 		}
 		if leaves {
 			return
@@ -69,7 +69,7 @@
 			if err != nil {
 				t.Fatalf("long after the backoff: %v", err)
 			}
-			b.Settle(p, Taken, now)
+			b.Settle(p, Accepted, now)
 		}
 		for range 20 {
 			if _, err := b.Admit(i, now); err != nil {
@@ -87,14 +87,14 @@
 		for range rapid.IntRange(1, 8).Draw(t, "words") {
 			received := epoch.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "heard")) * time.Millisecond)
 			signals = append(signals, Signal{
-				Instance: "i", Heard: received, Rest: time.Duration(rapid.IntRange(0, 3000).Draw(t, "rest")) * time.Millisecond,
+				Instance: "i", ReceivedAt: received, Backoff: time.Duration(rapid.IntRange(0, 3000).Draw(t, "rest")) * time.Millisecond,
 				Leaving: rapid.IntRange(0, 9).Draw(t, "leaving") == 0,
 			})
 		}
 		until := func(order []Signal) (time.Time, bool) {
 			b := New(rand.New(rand.NewPCG(1, 1)))
 			for _, w := range order {
-				b.Note(w, "")
+				b.Apply(w, "")
 			}
 			br := b.breakers["i"]
 			if br == nil {
@@ -116,7 +116,7 @@
 	now := time.Unix(0, 0)
 	b := New(rand.New(rand.NewPCG(1, 1)))
 	i := models.UpstreamInstance{ID: "i1"}
-	b.Note(Signal{Instance: i.ID, Heard: now, Rest: 3 * time.Second}, "")
+	b.Apply(Signal{Instance: i.ID, ReceivedAt: now, Backoff: 3 * time.Second}, "")
 	_, err := b.Admit(i, now.Add(2*time.Second))
 	fmt.Println(err)
 	later := now.Add(4 * time.Second)
@@ -124,7 +124,7 @@
 	fmt.Println(err)
 	_, err = b.Admit(i, later)
 	fmt.Println(err)
-	b.Settle(first, Taken, later)
+	b.Settle(first, Accepted, later)
 	fmt.Println(b.Check(i, later))
 	// Output:
 	// the instance asked for rest
--- a/breaker/script_test.go
+++ b/breaker/script_test.go
@@ -57,8 +57,8 @@
 
 var (
 	epoch    = time.Unix(1_000_000, 0)
-	errNames = map[error]string{nil: "ok", ErrResting: "resting", ErrProbing: "tried", ErrLeaving: "leaving"}
-	ends     = map[string]End{"taken": Taken, "turned-away": TurnedAway, "unanswered": Unanswered}
+	errNames = map[error]string{nil: "ok", ErrBackingOff: "resting", ErrProbing: "tried", ErrLeaving: "leaving"}
+	ends     = map[string]Outcome{"taken": Accepted, "turned-away": Rejected, "unanswered": Unanswered}
 )
 
 func (s *script) run(n int, line string) {
@@ -91,10 +91,10 @@
 
 func (s *script) signal(args []string) Signal {
 	i := s.instance(args[0])
-	signal := Signal{Instance: i.ID, Born: i.StartedAt, Heard: s.now}
+	signal := Signal{Instance: i.ID, StartedAt: i.StartedAt, ReceivedAt: s.now}
 	for _, a := range args[1:] {
 		if rest, found := strings.CutPrefix(a, "rest="); found {
-			signal.Rest = s.duration(rest)
+			signal.Backoff = s.duration(rest)
 		}
 		signal.Leaving = signal.Leaving || a == "leaving"
 	}
@@ -104,9 +104,9 @@
 func (s *script) step(verb string, args []string) string {
 	switch verb {
 	case "signal":
-		return changeString(s.b.Note(s.signal(args), ""))
+		return changeString(s.b.Apply(s.signal(args), ""))
 	case "remote":
-		return changeString(s.b.Note(s.signal(args[1:]), Source(args[0])))
+		return changeString(s.b.Apply(s.signal(args[1:]), Source(args[0])))
 	case "check":
 		return errNames[s.b.Check(s.instance(args[0]), s.now)]
 	case "busy":
@@ -148,7 +148,7 @@
 	for _, f := range []struct {
 		name string
 		is   bool
-	}{{"began", c.Began}, {"lengthened", c.Lengthened}, {"leaving", c.Leaving}, {"tell", c.Tell}} {
+	}{{"began", c.Started}, {"lengthened", c.Extended}, {"leaving", c.Leaving}, {"tell", c.Broadcast}} {
 		if f.is {
 			out = append(out, f.name)
 		}
@@ -164,7 +164,7 @@
 		return "never"
 	}
 	last := first
-	if br := s.b.find(i); errors.Is(s.b.Check(i, s.now), ErrResting) {
+	if br := s.b.find(i); errors.Is(s.b.Check(i, s.now), ErrBackingOff) {
 		spread := time.Duration(jitterFraction * float64(br.until.Sub(br.started)))
 		s.c.Assert(!first.Before(br.until) && first.Before(br.until.Add(spread)), qt.IsTrue)
 		first, last = br.until, br.until.Add(spread)
@@ -176,15 +176,15 @@
 	seen, err := strconv.ParseUint(change, 10, 64)
 	s.c.Assert(err, qt.IsNil)
 	signals, _ := s.b.Since(seen, func(from Source) bool { return from != "d2" }, s.now)
-	slices.SortFunc(signals, func(a, b Signal) int { return cmp.Compare(a.Rest, b.Rest) })
+	slices.SortFunc(signals, func(a, b Signal) int { return cmp.Compare(a.Backoff, b.Backoff) })
 	var out []string
 	for _, w := range signals {
 		text := string(w.Instance)
 		if w.Leaving {
 			text += " leaving"
 		}
-		if w.Rest > 0 {
-			text += " rest=" + w.Rest.String()
+		if w.Backoff > 0 {
+			text += " rest=" + w.Backoff.String()
 		}
 		out = append(out, text)
 	}
--- a/cluster/breakers.go
+++ b/cluster/breakers.go
@@ -38,7 +38,7 @@
 	set.NewGauge("lupinkeel_resting_instances", func() float64 {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return float64(b.breakers.Resting(time.Now()))
+		return float64(b.breakers.CountBackingOff(time.Now()))
 	})
 	return b
 }
@@ -52,7 +52,7 @@
 
 // HeardHead notes what the head of an answer told of its instance.
 func (b *Breakers) HeardHead(id models.InstanceID, born time.Time, told models.ResponseHead) {
-	b.Heard(breaker.Signal{Instance: id, Born: born, Heard: time.Now(), Rest: told.Backoff, Leaving: told.Leaving})
+	b.Heard(breaker.Signal{Instance: id, StartedAt: born, ReceivedAt: time.Now(), Backoff: told.Backoff, Leaving: told.Leaving})
 }
 
 // Note takes in a signal that a daemon heard, this one if none is named. It tells in the log
@@ -63,23 +63,23 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	change := b.breakers.Note(s, from)
+	change := b.breakers.Apply(s, from)
 	b.known.Store(!b.breakers.Empty())
 	event := func() *zerolog.Event {
-		return b.log.Info().Str("instance", string(s.Instance)).Str("from", string(from)).Dur("age", time.Since(s.Heard))
+		return b.log.Info().Str("instance", string(s.Instance)).Str("from", string(from)).Dur("age", time.Since(s.ReceivedAt))
 	}
 	switch {
-	case change.Began:
+	case change.Started:
 		b.rests.Inc()
-		event().Dur("for", s.Rest).Msg("rest-begun")
-	case change.Lengthened:
-		event().Dur("for", s.Rest).Msg("rest-lengthened")
+		event().Dur("for", s.Backoff).Msg("rest-begun")
+	case change.Extended:
+		event().Dur("for", s.Backoff).Msg("rest-lengthened")
 	}
 	if change.Leaving {
 		b.leavings.Inc()
 		event().Msg("leaving-heard")
 	}
-	return change.Tell
+	return change.Broadcast
 }
 
 // Any reports whether any instance asked for anything. Where none did, none need be looked
@@ -118,7 +118,7 @@
 }
 
 // Settle takes in what came of a request that was admitted.
-func (b *Breakers) Settle(p breaker.Admission, end breaker.End) {
+func (b *Breakers) Settle(p breaker.Admission, end breaker.Outcome) {
 	if p == (breaker.Admission{}) {
 		return
 	}
@@ -208,7 +208,7 @@
 	signals, last := b.breakers.Since(seen, tells, now)
 	out := make([]SignalNews, len(signals))
 	for n, s := range signals {
-		out[n] = SignalNews{Instance: s.Instance, Born: s.Born, Age: now.Sub(s.Heard), Rest: s.Rest, Leaving: s.Leaving}
+		out[n] = SignalNews{Instance: s.Instance, Born: s.StartedAt, Age: now.Sub(s.ReceivedAt), Rest: s.Backoff, Leaving: s.Leaving}
 	}
 	return out, last
 }
@@ -218,7 +218,7 @@
 	now, tell := time.Now(), false
 	for _, told := range news {
 		tell = n.breakers.Note(breaker.Signal{
-			Instance: told.Instance, Born: told.Born, Heard: now.Add(-told.Age), Rest: told.Rest, Leaving: told.Leaving,
+			Instance: told.Instance, StartedAt: told.Born, ReceivedAt: now.Add(-told.Age), Backoff: told.Rest, Leaving: told.Leaving,
 		}, from) || tell
 	}
 	if tell {
@@ -245,8 +245,8 @@
 func (o *owner) noteSaidLeaving(now time.Time) {
 	for _, w := range o.n.breakers.leaving() {
 		k, known := o.fleet.instances[w.Instance]
-		if known && k.CompareIncarnation(w.Born) == models.SameIncarnation && !k.Draining {
-			o.noteLeaving(k, true, now.Sub(w.Heard))
+		if known && k.CompareIncarnation(w.StartedAt) == models.SameIncarnation && !k.Draining {
+			o.noteLeaving(k, true, now.Sub(w.ReceivedAt))
 			o.fleetStale = true
 		}
 	}
--- a/cluster/breakers_test.go
+++ b/cluster/breakers_test.go
@@ -25,8 +25,8 @@
 			peers := startPeers(t, test.daemons, test.zones)
 			rests, leaves := models.UpstreamInstance{ID: "i1"}, models.UpstreamInstance{ID: "i2"}
 			heard := peers[test.daemons-1]
-			heard.breakers.Heard(breaker.Signal{Instance: rests.ID, Heard: time.Now(), Rest: time.Minute})
-			heard.breakers.Heard(breaker.Signal{Instance: leaves.ID, Heard: time.Now(), Leaving: true})
+			heard.breakers.Heard(breaker.Signal{Instance: rests.ID, ReceivedAt: time.Now(), Backoff: time.Minute})
+			heard.breakers.Heard(breaker.Signal{Instance: leaves.ID, ReceivedAt: time.Now(), Leaving: true})
 			knows := func(p *peerNode) bool {
 				return errors.Is(p.breakers.Blocks(leaves), breaker.ErrLeaving) && p.breakers.IsBusy(rests)
 			}
@@ -55,7 +55,7 @@
 	_, withheld := o.busy(engine, time.Now())
 	c.Assert(withheld["m"], qt.Equals, 0.0)
 	o.fleet.busy = nil
-	o.n.breakers.Heard(breaker.Signal{Instance: "i1", Heard: time.Now(), Rest: time.Minute})
+	o.n.breakers.Heard(breaker.Signal{Instance: "i1", ReceivedAt: time.Now(), Backoff: time.Minute})
 	_, withheld = o.busy(engine, time.Now())
 	c.Assert(withheld["m"], qt.Equals, 8.0)
 	c.Assert(o.fleet.serving(time.Now())["m"], qt.HasLen, 2)
@@ -72,7 +72,7 @@
 		return int(o.n.stats.reports.Get() - before)
 	}
 	c.Assert(asked(), qt.Equals, 1)
-	o.n.breakers.Heard(breaker.Signal{Instance: i.ID, Heard: time.Now(), Rest: 30 * time.Millisecond})
+	o.n.breakers.Heard(breaker.Signal{Instance: i.ID, ReceivedAt: time.Now(), Backoff: 30 * time.Millisecond})
 	c.Assert(asked(), qt.Equals, 1)
 	c.Assert(asked(), qt.Equals, 0)
 	time.Sleep(30 * time.Millisecond)
--- a/cluster/known_test.go
+++ b/cluster/known_test.go
@@ -195,7 +195,7 @@
 // hearWords has a daemon hear that an instance says it leaves, or tell another daemon.
 func (s *knownScript) hearWords(verb string, o *owner, of string) {
 	if verb == "says" {
-		o.n.breakers.Heard(breaker.Signal{Instance: models.InstanceID(of), Heard: time.Now(), Leaving: true})
+		o.n.breakers.Heard(breaker.Signal{Instance: models.InstanceID(of), ReceivedAt: time.Now(), Leaving: true})
 		o.handleWaiting()
 		return
 	}
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -28,7 +28,7 @@
 
 // signal records a backoff or leaving notice of an instance at the gateway.
 func (s *limitFixture) signal(id models.InstanceID, rest time.Duration, leaving bool) {
-	s.node.breakers.Heard(breaker.Signal{Instance: id, Born: s.node.view.All[id].StartedAt, Heard: time.Now(), Rest: rest, Leaving: leaving})
+	s.node.breakers.Heard(breaker.Signal{Instance: id, StartedAt: s.node.view.All[id].StartedAt, ReceivedAt: time.Now(), Backoff: rest, Leaving: leaving})
 }
 
 // TestSignalAppliesToNextRequest checks that a backoff or a leaving notice in a response applies
@@ -124,7 +124,7 @@
 	e := &exchange{g: g, r: r, deadline: time.Now().Add(time.Second)}
 	s.c.Assert(e.checkAdmission(i, p), qt.IsNil)
 	s.signal("p1", time.Second, false)
-	s.c.Assert(e.checkAdmission(i, p), qt.ErrorIs, breaker.ErrResting)
+	s.c.Assert(e.checkAdmission(i, p), qt.ErrorIs, breaker.ErrBackingOff)
 	_, _, err = e.sendAdmitted(context.Background(), i, p, models.Attempt{}, nil)
 	s.c.Assert(errors.Is(err, errNotExecuted) && errors.Is(err, errNotAdmitted), qt.IsTrue, qt.Commentf("%v", err))
 	_, err = e.send(context.Background(), i, p, models.Attempt{}, nil)
@@ -175,7 +175,7 @@
 		return i.ID
 	}
 	c.Assert(pick(), qt.Equals, models.InstanceID("b"))
-	node.breakers.Note(breaker.Signal{Instance: "b", Heard: time.Now(), Rest: time.Minute}, "d2")
+	node.breakers.Note(breaker.Signal{Instance: "b", ReceivedAt: time.Now(), Backoff: time.Minute}, "d2")
 	for range 20 {
 		c.Assert(pick(), qt.Not(qt.Equals), models.InstanceID("b"))
 	}
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -44,7 +44,7 @@
 }
 
 // sendAdmitted is send for an admitted request. It also returns the result for the circuit breaker.
-func (e *exchange) sendAdmitted(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, readTimeout h1.Patience) (*h1.Response, breaker.End, error) {
+func (e *exchange) sendAdmitted(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, readTimeout h1.Patience) (*h1.Response, breaker.Outcome, error) {
 	a.Remaining, a.Instance, a.Workspace = time.Until(e.deadline), i.ID, e.holder.Workspace
 	a.Priority = rank(e.holder.Priority, e.route.Priority)
 	maxIdle := maxIdleRepeatable
@@ -71,14 +71,14 @@
 	e.recordSignals(i, head, resp.Status, sentAt)
 	if !head.NotRun {
 		e.g.scheduler.addSuccess(i.ID)
-		return resp, breaker.Taken, nil
+		return resp, breaker.Accepted, nil
 	}
 	// An instance that rejects requests has few of them, and would look the least loaded one.
 	e.g.scheduler.addFailure(i)
 	e.rejections.Add(1)
 	e.g.stats.rejections.Inc()
 	resp.Body.Discard()
-	return nil, breaker.TurnedAway, fmt.Errorf("%w: status %d, at fault %q", errNotExecuted, resp.Status, head.FaultyInstance)
+	return nil, breaker.Rejected, fmt.Errorf("%w: status %d, at fault %q", errNotExecuted, resp.Status, head.FaultyInstance)
 }
 
 // recordSignals records the backoff, leaving notice and rate limit in the head of a response.
