--- a/models/config.go
+++ b/models/config.go
@@ -19,7 +19,7 @@
 	MaxWeight   = 1000
 )
 
-// Place limits where the instances of a model, service or workspace may run. An empty list
+// PlacementRule limits where the instances of a model, service or workspace may run. An empty list
 // allows every zone or every fabric domain.
 type PlacementRule struct {
 	Zones   []Zone   `msgpack:"z" json:"zones,omitempty"`
@@ -28,7 +28,7 @@
 
 // Allows reports whether both the zone and the fabric domain are allowed.
 //
-// See Example_place.
+// See Example_placementRule.
 func (p PlacementRule) Allows(z Zone, d Domain) bool {
 	return (len(p.Zones) == 0 || slices.Contains(p.Zones, z)) &&
 		(len(p.Domains) == 0 || slices.Contains(p.Domains, d))
@@ -205,7 +205,7 @@
 
 // Policy holds the weights of the two costs that the planner minimizes.
 type Policy struct {
-	// Downtime is the cost of one second of downtime of a group, Stranded the cost of one
+	// DowntimeWeight is the cost of one second of downtime of a group, StrandedWeight the cost of one
 	// accelerator that is stranded for one second.
 	DowntimeWeight int      `msgpack:"d" json:"downtime"`
 	StrandedWeight int      `msgpack:"s" json:"stranded"`
--- a/models/models.go
+++ b/models/models.go
@@ -86,7 +86,7 @@
 	Zone         Zone           `msgpack:"z" json:"zone"`
 	Domain       Domain         `msgpack:"d" json:"domain"`
 	Accelerators int            `msgpack:"n" json:"accelerators"`
-	// ChecksFences is true if the instance refuses orders and requests with a fence that is
+	// ChecksFences is true if the instance rejects orders and requests with a fence that is
 	// older than the newest one it has seen.
 	ChecksFences bool `msgpack:"f" json:"checks_fences"`
 	// Leaving is true if the platform is about to remove the instance.
@@ -158,6 +158,6 @@
 	Daemon   DaemonID     `msgpack:"d" json:"daemon"`
 	Change   string       `msgpack:"c" json:"change"`
 	Note     string       `msgpack:"n" json:"note"`
-	// Refused is the reason for which the change was refused; empty for an accepted change.
+	// RejectionReason is the reason for which the change was rejected; empty for an accepted change.
 	RejectionReason string `msgpack:"r" json:"refused,omitempty"`
 }
--- a/models/routing.go
+++ b/models/routing.go
@@ -11,38 +11,38 @@
 
 // The kinds of routes.
 const (
-	// RouteRepeatable is for idempotent requests, which may be run more than once.
+	// RouteIdempotent is for idempotent requests, which may be run more than once.
 	RouteIdempotent RouteKind = "repeatable"
-	// RouteOnce is for requests that must run at most once.
+	// RouteNonIdempotent is for requests that must run at most once.
 	RouteNonIdempotent RouteKind = "once"
 	// RouteStream is for requests whose response is a stream of events.
 	RouteStream RouteKind = "stream"
 )
 
-// Route routes the requests for a host whose path begins with Prefix to upstream services.
+// Route routes the requests for a host whose path begins with PathPrefix to upstream services.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       RouteKind
-	// Timeout limits the duration of a request. Aim is the target latency of the response or,
-	// for a stream, of its first event. Pause is the target for the longest gap between two
-	// events.
+	// Timeout limits the duration of a request. LatencyTarget is the target latency of the response
+	// or, for a stream, of its first event. EventGapTarget is the target for the longest gap
+	// between two events.
 	Timeout        time.Duration
 	LatencyTarget  time.Duration
 	EventGapTarget time.Duration
-	// Attempts is the maximum number of instances to which a request is sent.
+	// MaxAttempts is the maximum number of instances to which a request is sent.
 	MaxAttempts int
 	// Priority is the priority of the route's requests; 0 is the most urgent.
 	Priority int
 	Targets  []RouteTarget
-	// Open is true if requests need no API key.
+	// AuthExempt is true if requests need no API key.
 	AuthExempt bool
 	// Resumable is true if a stream may be continued on another instance.
 	Resumable bool
 }
 
-// Repeatable reports whether a request of the route may be run more than once.
+// Idempotent reports whether a request of the route may be run more than once.
 func (r Route) Idempotent() bool {
 	return r.Kind == RouteIdempotent || (r.Kind == RouteStream && r.Resumable)
 }
@@ -68,19 +68,19 @@
 type EngineProfile struct {
 	// Slots is the number of requests that a replica group runs concurrently.
 	Slots int
-	// Step is the base duration of a decode step, which generates one token for every running
-	// request. Each running request adds PerRequest, and PerThousandTokens for every thousand
-	// tokens of its context.
+	// StepTime is the base duration of a decode step, which generates one token for every running
+	// request. Each running request adds StepTimePerRequest, and StepTimePerThousandTokens for
+	// every thousand tokens of its context.
 	StepTime                  time.Duration
 	StepTimePerRequest        time.Duration
 	StepTimePerThousandTokens time.Duration
-	// ReadPerSecond is the prefill speed, in prompt tokens per second; Chunk is the maximum
-	// number of prompt tokens that one step processes.
+	// PrefillTokensPerSecond is the prefill speed, in prompt tokens per second; PrefillChunk is the
+	// maximum number of prompt tokens that one step processes.
 	PrefillTokensPerSecond float64
 	PrefillChunk           int
-	// Stride is the number of steps after which an engine sends the generated tokens.
+	// StepsPerSend is the number of steps after which an engine sends the generated tokens.
 	StepsPerSend int
-	// LoadsPerSecond limits the rate at which loads from the weight store start, LoadsAtOnce
+	// LoadsPerSecond limits the rate at which loads from the weight store start, MaxConcurrentLoads
 	// how many run concurrently.
 	LoadsPerSecond     float64
 	MaxConcurrentLoads int
@@ -89,7 +89,7 @@
 	Models   []ModelProfile
 }
 
-// ReadTime returns the prefill time of prompts with that many tokens, or 0 if the profile sets
+// PrefillTime returns the prefill time of prompts with that many tokens, or 0 if the profile sets
 // no prefill speed.
 func (e *EngineProfile) PrefillTime(tokens int) time.Duration {
 	if e.PrefillTokensPerSecond <= 0 {
@@ -101,14 +101,14 @@
 // ModelProfile describes a model that engines can load.
 type ModelProfile struct {
 	Name ModelName
-	// Size is the number of instances of a replica group.
+	// GroupSize is the number of instances of a replica group.
 	GroupSize int
 	// Share is the fraction of all instances that the model needs initially.
 	Share float64
-	// Pace is the factor by which the model multiplies all durations of the engine profile.
+	// TimeFactor is the factor by which the model multiplies all durations of the engine profile.
 	TimeFactor float64
-	// Load is the time to load the weights from the weight store, Warm the time to load them
-	// from the instance's own host.
+	// LoadTime is the time to load the weights from the weight store, WarmLoadTime the time to load
+	// them from the instance's own host.
 	LoadTime     time.Duration
 	WarmLoadTime time.Duration
 }
@@ -123,7 +123,7 @@
 	return ModelProfile{}, false
 }
 
-// KeyHolder is the workspace to which an API key belongs, with the priority of its requests.
+// KeyOwner is the workspace to which an API key belongs, with the priority of its requests.
 type KeyOwner struct {
 	Workspace WorkspaceName
 	Priority  int
@@ -144,7 +144,7 @@
 	// Hosts holds each host's routes, the longest prefix first.
 	Hosts    map[string][]Route
 	Services map[ServiceName]UpstreamService
-	// Keys maps API keys to their workspaces. Keyed is true if the configuration declares
+	// Keys maps API keys to their workspaces. RequiresKeys is true if the configuration declares
 	// workspaces: only then do requests need a key.
 	Keys         map[string]KeyOwner
 	RequiresKeys bool
--- a/models/trail.go
+++ b/models/trail.go
@@ -7,7 +7,7 @@
 type TrailEntry struct {
 	Request   RequestID     `msgpack:"r" json:"request"`
 	Workspace WorkspaceName `msgpack:"w" json:"workspace"`
-	// Wanted is the model or plain service that the caller requested.
+	// ModelOrService is the model or plain service that the caller requested.
 	ModelOrService string       `msgpack:"m" json:"wanted"`
 	Version        Version      `msgpack:"v" json:"version,omitempty"`
 	Group          GroupID      `msgpack:"g" json:"group,omitempty"`
@@ -16,13 +16,13 @@
 	Domain         Domain       `msgpack:"d" json:"domain,omitempty"`
 	Daemon         DaemonID     `msgpack:"n" json:"daemon"`
 	Started        time.Time    `msgpack:"t" json:"started"`
-	// Took is the duration of the request; for a request in flight, until the entry was
+	// Elapsed is the duration of the request; for a request in flight, until the entry was
 	// written.
 	Elapsed  time.Duration `msgpack:"o" json:"took"`
 	Attempts int           `msgpack:"x" json:"tries"`
-	// End is "whole" (the caller got the complete response), "not-run" or "may-have-run"; it is
+	// Outcome is "whole" (the caller got the complete response), "not-run" or "may-have-run"; it is
 	// empty if the request was in flight when the entry was written.
 	Outcome string `msgpack:"e" json:"end"`
-	// Reason is the reason for an End other than "whole".
+	// Reason is the reason for an Outcome other than "whole".
 	Reason string `msgpack:"y" json:"reason,omitempty"`
 }
--- a/models/upstream.go
+++ b/models/upstream.go
@@ -9,7 +9,7 @@
 // store.
 type UpstreamInstance struct {
 	ID InstanceID
-	// Born is the start time of the instance by its own clock; zero if unknown. An instance
+	// StartedAt is the start time of the instance by its own clock; zero if unknown. An instance
 	// that restarts under the same ID has lost all its earlier state.
 	StartedAt time.Time `msgpack:"Born,omitempty"`
 	Service   ServiceName
@@ -18,31 +18,31 @@
 	Domain    Domain
 	Slots     int
 	Draining  bool
-	// Loaded is the model that the instance runs or, as far as known, the last one it ran since
-	// its start; the instance joins a group of this model fastest. Staged lists the models
+	// LoadedModel is the model that the instance runs or, as far as known, the last one it ran since
+	// its start; the instance joins a group of this model fastest. StagedModels lists the models
 	// whose weights are stored on the instance's host.
 	LoadedModel  ModelName   `msgpack:"Loaded"`
 	StagedModels []ModelName `msgpack:"Staged"`
 	Group        Membership
-	// Heartbeat is the number of times that the instance has written its entry.
+	// HeartbeatSeq is the number of times that the instance has written its entry.
 	HeartbeatSeq int64 `msgpack:"Heartbeat"`
 }
 
-// Life is the result of comparing the incarnation of an instance in a report with the known
-// incarnation. An instance begins a new incarnation, or life, at each start.
+// IncarnationOrder is the result of comparing the incarnation of an instance in a report with
+// the known incarnation. An instance begins a new incarnation at each start.
 type IncarnationOrder int
 
-// The results of LifeOf.
+// The results of CompareIncarnation.
 const (
-	// SameLife is also the result if either start time is unknown.
+	// SameIncarnation is also the result if either start time is unknown.
 	SameIncarnation IncarnationOrder = iota
-	// EarlierLife means that the report is about an earlier incarnation than the known one.
+	// EarlierIncarnation means that the report is about an earlier incarnation than the known one.
 	EarlierIncarnation
-	// LaterLife means that the report is about a later incarnation than the known one.
+	// LaterIncarnation means that the report is about a later incarnation than the known one.
 	LaterIncarnation
 )
 
-// LifeOf compares the incarnation with the given start time with the incarnation i.
+// CompareIncarnation compares the incarnation with the given start time with the incarnation i.
 func (i UpstreamInstance) CompareIncarnation(startedAt time.Time) IncarnationOrder {
 	switch {
 	case startedAt.IsZero() || i.StartedAt.IsZero() || startedAt.Equal(i.StartedAt):
@@ -84,7 +84,7 @@
 	MemberBroken  MemberState = "broken"
 )
 
-// Known reports whether s is one of the defined states.
+// IsValid reports whether s is one of the defined states.
 func (s MemberState) IsValid() bool {
 	switch s {
 	case MemberNone, MemberJoining, MemberReady, MemberOpen, MemberClosing, MemberBroken:
