--- a/planner/evidence.go
+++ b/planner/evidence.go
@@ -14,21 +14,21 @@
 // Evidence is what a daemon has observed of one instance, in addition to the replicated
 // state.
 type Evidence struct {
-	// Seen is the latest time at which the instance is known to have had Status; zero if
+	// LastSeen is the latest time at which the instance is known to have had Status; zero if
 	// it has never been seen.
 	LastSeen time.Time
-	// Watched is when the daemon started probing the instance, or restarted after the
+	// ProbedSince is when the daemon started probing the instance, or restarted after the
 	// daemon's own process was paused. Missing replies before that time prove nothing.
 	ProbedSince time.Time
 	Status      types.EngineStatus
-	// Direct is when the instance last answered a probe of this daemon; Seen may have
+	// LastReply is when the instance last answered a probe of this daemon; LastSeen may have
 	// been reported by another daemon.
 	LastReply time.Time
-	// SilentSince is the time of this daemon's first unanswered probe since Direct; zero
+	// UnansweredSince is the time of this daemon's first unanswered probe since LastReply; zero
 	// if there is none.
 	UnansweredSince time.Time
-	// Absences counts how often the instance became unreachable and returned; old
-	// absences expire. Returned is when it last returned.
+	// Flaps counts how often the instance became unreachable and returned; old
+	// flaps expire. Returned is when it last returned.
 	Flaps    int
 	Returned time.Time
 }
@@ -39,14 +39,14 @@
 	return !e.UnansweredSince.IsZero() && !e.LastSeen.After(e.UnansweredSince)
 }
 
-// alive reports whether the instance responds according to evidence not older than bound.
-func (e Evidence) alive(now time.Time, bound time.Duration) bool {
-	return !e.LastSeen.IsZero() && !e.Silent() && now.Sub(e.LastSeen) <= bound
+// alive reports whether the instance responds according to evidence not older than maxAge.
+func (e Evidence) alive(now time.Time, maxAge time.Duration) bool {
+	return !e.LastSeen.IsZero() && !e.Silent() && now.Sub(e.LastSeen) <= maxAge
 }
 
 const (
 	// flapHoldDown is the base of the time for which a flapping instance must be back
-	// before it gets work. It doubles with each absence, at most maxFlapDoublings times.
+	// before it gets work. It doubles with each flap, at most maxFlapDoublings times.
 	flapHoldDown     = time.Second
 	maxFlapDoublings = 5
 )
@@ -66,7 +66,7 @@
 	return e.Status.Model == m.Name && e.Status.Version == m.Version
 }
 
-// Away returns how long the instance is known to have been unreachable.
+// UnreachableFor returns how long the instance is known to have been unreachable.
 func (e Evidence) UnreachableFor(now time.Time) time.Duration {
 	last := e.LastSeen
 	if e.ProbedSince.After(last) {
@@ -80,7 +80,7 @@
 	// OpenUntil is the time at which the gate closes unless newer evidence arrives. It is
 	// the zero time for a group that may not serve.
 	OpenUntil time.Time
-	// Why is what keeps the gate closed, for operators; empty if every member has joined
+	// Reason is what keeps the gate closed, for operators; empty if every member has joined
 	// the group and loaded its weights.
 	Reason string
 	// Load is the load that the first member reported.
@@ -91,9 +91,9 @@
 func (g Gate) Open(now time.Time) bool { return now.Before(g.OpenUntil) }
 
 // GateOf computes the gate of a group. It is open until the evidence about any of the
-// members is older than bound. A member that doesn't answer, hasn't joined the group or
+// members is older than maxAge. A member that doesn't answer, hasn't joined the group or
 // hasn't loaded the right weights closes it at once.
-func GateOf(g models.Group, evidence map[models.InstanceID]Evidence, bound time.Duration) Gate {
+func GateOf(g models.Group, evidence map[models.InstanceID]Evidence, maxAge time.Duration) Gate {
 	gate := Gate{Load: evidence[g.Members[0].ID].Status.Load}
 	if g.Retiring != 0 {
 		gate.Reason = "it is being retired"
@@ -120,7 +120,7 @@
 		}
 	}
 	if gate.Reason == "" {
-		gate.OpenUntil = oldest.Add(bound)
+		gate.OpenUntil = oldest.Add(maxAge)
 	}
 	return gate
 }
--- a/planner/orders.go
+++ b/planner/orders.go
@@ -10,7 +10,7 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// OrderKey returns the rendezvous hashing key that selects the daemon that gives orders to
+// OrderRendezvousKey returns the rendezvous hashing key that selects the daemon that gives orders to
 // the instances of a fabric domain. The key is per domain so that one daemon gives all
 // orders to a group.
 func OrderRendezvousKey(d models.Domain) string { return "orders/" + string(d) }
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -18,7 +18,7 @@
 	// It can be short, because a member that returns while its replacement is still
 	// loading weights rejoins the group: see replaceLoadingMembers.
 	ReplaceAfter time.Duration
-	// Bound is the age at which evidence about an instance becomes stale.
+	// MaxEvidenceAge is the age at which evidence about an instance becomes stale.
 	MaxEvidenceAge time.Duration
 	// MaxStarting is how many groups may be starting (not all members loaded) in
 	// total, and MaxStartingPerDomain in one fabric domain.
@@ -28,9 +28,9 @@
 	MaxLoads int
 }
 
-// DefaultRules returns the default limits with the given ReplaceAfter and Bound.
-func DefaultRules(replaceAfter, bound time.Duration) Rules {
-	return Rules{ReplaceAfter: replaceAfter, MaxEvidenceAge: bound, MaxStarting: 64, MaxStartingPerDomain: 8, MaxLoads: 128}
+// DefaultRules returns the default limits with the given ReplaceAfter and MaxEvidenceAge.
+func DefaultRules(replaceAfter, maxEvidenceAge time.Duration) Rules {
+	return Rules{ReplaceAfter: replaceAfter, MaxEvidenceAge: maxEvidenceAge, MaxStarting: 64, MaxStartingPerDomain: 8, MaxLoads: 128}
 }
 
 // Input is the input of one planning round.
@@ -46,7 +46,7 @@
 // Proposal is a record that the planner wants appended to the log.
 type Proposal struct {
 	Body state.Body
-	// Key is the rendezvous hashing key that selects the daemon that appends the
+	// RendezvousKey is the rendezvous hashing key that selects the daemon that appends the
 	// record: the fabric domain.
 	RendezvousKey string
 }
--- a/planner/rendezvous.go
+++ b/planner/rendezvous.go
@@ -8,7 +8,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Rank returns how many daemons precede self in the rendezvous hashing order for a key; the
+// RendezvousRank returns how many daemons precede self in the rendezvous hashing order for a key; the
 // daemon with rank 0 acts first. Daemons that know the same set of daemons compute the same
 // order, and it changes little when daemons join or leave. A wrong rank only wastes an
 // append or an order; no invariant depends on it.
@@ -26,7 +26,7 @@
 	return rank
 }
 
-// Order returns the daemons in the rendezvous hashing order for a key.
+// RendezvousOrder returns the daemons in the rendezvous hashing order for a key.
 func RendezvousOrder(daemons []models.DaemonID, key string) []models.DaemonID {
 	out := slices.Clone(daemons)
 	slices.SortFunc(out, func(a, b models.DaemonID) int {
@@ -46,7 +46,7 @@
 	return MixHash(h.Sum64())
 }
 
-// Mix is a 64-bit finalizer (that of MurmurHash3). It spreads the bits of hashes of inputs
+// MixHash is a 64-bit finalizer (that of MurmurHash3). It spreads the bits of hashes of inputs
 // that differ in only a few bits.
 func MixHash(x uint64) uint64 {
 	x ^= x >> 33
--- a/planner/supply.go
+++ b/planner/supply.go
@@ -60,7 +60,7 @@
 }
 
 // freeInstances lists the engines of a domain that belong to no group and can take work.
-// Engines that have the model's weights come first, then engines with fewer absences, then
+// Engines that have the model's weights come first, then engines with fewer flaps, then
 // by ID.
 func (p *round) freeInstances(d models.Domain, m models.Model) []models.Instance {
 	var out []models.Instance
--- a/planner/why.go
+++ b/planner/why.go
@@ -8,7 +8,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// WhyFree explains to an operator why an instance that could take work belongs to no group.
+// ExplainFree explains to an operator why an instance that could take work belongs to no group.
 // It follows the decisions of Plan on the same input.
 func ExplainFree(in Input, i models.Instance) string {
 	p := newRound(in)
--- a/state/apply.go
+++ b/state/apply.go
@@ -8,7 +8,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Reasons for which Apply refuses a record. Outcome.Refused wraps one of them, or
+// Reasons for which Apply rejects a record. Outcome.Rejection wraps one of them, or
 // ErrUndecodable.
 var (
 	// ErrDuplicate: a record with this ID has already been applied.
@@ -27,7 +27,7 @@
 type Outcome struct {
 	Offset models.Offset
 	Record models.RecordID
-	// Refused is why the record was refused; nil if it took effect.
+	// Rejection is why the record was rejected; nil if it took effect.
 	Rejection error
 	Events    []Event
 }
--- a/state/change.go
+++ b/state/change.go
@@ -34,7 +34,7 @@
 }
 
 // Preview returns the state after the operations if they were applied next, or the reason
-// for which they would be refused.
+// for which they would be rejected.
 func (s *State) Preview(ops []Op) (*State, error) {
 	c := s.draftConfig()
 	if err := c.applyOps(s.Applied+1, ops); err != nil {
--- a/state/claim.go
+++ b/state/claim.go
@@ -16,7 +16,7 @@
 }
 
 // ClaimKeys claims a batch of keys. The first claim of each key wins; later ones are
-// ignored. The record itself is never refused.
+// ignored. The record itself is never rejected.
 type ClaimKeys struct {
 	Claims []Claim `msgpack:"c"`
 }
--- a/state/property_test.go
+++ b/state/property_test.go
@@ -208,9 +208,9 @@
 	})
 }
 
-// TestRefusedRecordChangesNothing checks that a refused record changes nothing in the state
+// TestRejectedRecordChangesNothing checks that a rejected record changes nothing in the state
 // except for the applied offset, the audit entries and the recent record IDs.
-func TestRefusedRecordChangesNothing(t *testing.T) {
+func TestRejectedRecordChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := state.New()
 		for n, data := range genLog(t) {
--- a/state/record.go
+++ b/state/record.go
@@ -69,8 +69,8 @@
 // JoinDaemon adds a daemon to the roster, or replaces it by its new incarnation.
 type JoinDaemon struct {
 	Daemon models.Daemon `msgpack:"d"`
-	// Was is the incarnation of the daemon in the author's state, 0 if it wasn't on the
-	// roster.
+	// PreviousIncarnation is the incarnation of the daemon in the author's state, 0 if it wasn't on
+	// the roster.
 	PreviousIncarnation uint64 `msgpack:"w"`
 }
 
--- a/state/state.go
+++ b/state/state.go
@@ -16,7 +16,7 @@
 // MaxRecentIDs is how many record IDs the state keeps to detect duplicate records. A
 // proposer retries for at most ten seconds and the log takes a few hundred appends per
 // second, so all attempts to append a record are within a few thousand offsets. A duplicate
-// that arrives even later is refused as stale by the revision checks.
+// that arrives even later is rejected as stale by the revision checks.
 const MaxRecentIDs = 4096
 
 // MaxAuditEntries is how many audit entries the state keeps: about a week at 7,100 changes
