--- a/query/preview.go
+++ b/query/preview.go
@@ -8,19 +8,19 @@
 )
 
 // Preview returns the changes that the planner's next round would propose in the given state.
-func Preview(f View, next *state.State) Result {
-	answer := Result{Columns: []string{"step", "group", "domain", "reason"}}
-	in := f.input()
+func Preview(v View, next *state.State) Result {
+	result := Result{Columns: []string{"step", "group", "domain", "reason"}}
+	in := v.input()
 	in.State = next
 	for _, p := range planner.Plan(in) {
 		switch body := p.Body.(type) {
 		case state.FormGroup:
-			answer.Rows = append(answer.Rows, []string{"form", fmt.Sprintf("%s of %d", body.Group.Model, len(body.Group.Members)), p.RendezvousKey, body.Reason})
+			result.Rows = append(result.Rows, []string{"form", fmt.Sprintf("%s of %d", body.Group.Model, len(body.Group.Members)), p.RendezvousKey, body.Reason})
 		case state.RetireGroup:
-			answer.Rows = append(answer.Rows, []string{"retire", string(body.Group.ID), p.RendezvousKey, body.Reason})
+			result.Rows = append(result.Rows, []string{"retire", string(body.Group.ID), p.RendezvousKey, body.Reason})
 		case state.EndGroup:
-			answer.Rows = append(answer.Rows, []string{"end", string(body.Group.ID), p.RendezvousKey, body.Reason})
+			result.Rows = append(result.Rows, []string{"end", string(body.Group.ID), p.RendezvousKey, body.Reason})
 		}
 	}
-	return answer
+	return result
 }
--- a/query/answer.go
+++ b/query/result.go
@@ -14,7 +14,7 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// Facts is the data that queries are evaluated on: a snapshot of what one daemon knows.
+// View is the data that queries are evaluated on: a snapshot of what one daemon knows.
 type View struct {
 	Now       time.Time
 	Self      models.DaemonID
@@ -35,7 +35,7 @@
 	OnRoster bool
 }
 
-// Answer is the result of a query: a table or a text.
+// Result is the result of a query: a table or a text.
 type Result struct {
 	Columns []string   `json:"columns,omitempty"`
 	Rows    [][]string `json:"rows,omitempty"`
@@ -66,35 +66,35 @@
 // Tables lists the names that Show accepts.
 func Tables() []string { return append(sortedKeys(tables), "config") }
 
-// Ask evaluates a query. It returns ErrSyntax for a change.
-func Evaluate(f View, c *Command) (Result, error) {
+// Evaluate evaluates a query. It returns ErrSyntax for a change.
+func Evaluate(v View, c *Command) (Result, error) {
 	switch {
 	case c.Show != nil && c.Show.What == "config":
-		return Result{Text: Print(f.State)}, nil
+		return Result{Text: Print(v.State)}, nil
 	case c.Show != nil:
-		return show(f, c.Show)
+		return show(v, c.Show)
 	case c.Why != nil:
-		return why(f, c.Why)
+		return why(v, c.Why)
 	default:
 		return Result{}, fmt.Errorf("%w: this is no question", ErrSyntax)
 	}
 }
 
-func show(f View, s *Show) (Result, error) {
+func show(v View, s *Show) (Result, error) {
 	table, ok := tables[s.What]
 	if !ok {
 		return Result{}, fmt.Errorf("%w: %s; there are %s", ErrUnknownTable, s.What, strings.Join(Tables(), ", "))
 	}
-	answer := table(f)
+	result := table(v)
 	for _, c := range s.Conds {
-		column := slices.Index(answer.Columns, c.Field)
+		column := slices.Index(result.Columns, c.Field)
 		if column < 0 {
 			return Result{}, fmt.Errorf("%w: %s at line %d, column %d; %s has %s",
-				ErrUnknownColumn, c.Field, c.Pos.Line, c.Pos.Column, s.What, strings.Join(answer.Columns, ", "))
+				ErrUnknownColumn, c.Field, c.Pos.Line, c.Pos.Column, s.What, strings.Join(result.Columns, ", "))
 		}
-		answer.Rows = slices.DeleteFunc(answer.Rows, func(row []string) bool { return !matches(row[column], c) })
+		result.Rows = slices.DeleteFunc(result.Rows, func(row []string) bool { return !matches(row[column], c) })
 	}
-	return answer, nil
+	return result, nil
 }
 
 // matches reports whether a value satisfies the condition. It compares numbers numerically
@@ -120,18 +120,18 @@
 	}
 }
 
-func showGroups(f View) Result {
-	answer := Result{Columns: []string{"group", "model", "version", "zone", "domain", "members", "fence", "serving", "running", "why"}}
-	for _, id := range sortedKeys(f.State.Groups) {
-		g := f.State.Groups[id]
-		gate := f.Gates[id]
-		answer.Rows = append(answer.Rows, []string{
+func showGroups(v View) Result {
+	result := Result{Columns: []string{"group", "model", "version", "zone", "domain", "members", "fence", "serving", "running", "why"}}
+	for _, id := range sortedKeys(v.State.Groups) {
+		g := v.State.Groups[id]
+		gate := v.Gates[id]
+		result.Rows = append(result.Rows, []string{
 			string(id), string(g.Model), string(g.Version), string(g.Zone), string(g.Domain),
-			strings.Join(memberNames(g), ","), fmt.Sprint(g.Fence), yesNo(gate.Open(f.Now)),
-			fmt.Sprint(gate.Load.Running), closedReason(f, gate),
+			strings.Join(memberNames(g), ","), fmt.Sprint(g.Fence), yesNo(gate.Open(v.Now)),
+			fmt.Sprint(gate.Load.Running), closedReason(v, gate),
 		})
 	}
-	return answer
+	return result
 }
 
 func memberNames(g models.Group) []string {
@@ -149,9 +149,9 @@
 	return "no"
 }
 
-func closedReason(f View, gate planner.Gate) string {
+func closedReason(v View, gate planner.Gate) string {
 	switch {
-	case gate.Open(f.Now):
+	case gate.Open(v.Now):
 		return ""
 	case gate.Reason == "":
 		return "nothing has been heard of a member for too long"
@@ -160,22 +160,22 @@
 	}
 }
 
-func showInstances(f View) Result {
-	answer := Result{Columns: []string{"instance", "kind", "zone", "domain", "accelerators", "group", "phase", "state", "addr"}}
-	for _, id := range sortedKeys(f.Instances) {
-		i := f.Instances[id]
-		e := f.Evidence[id]
-		group, _ := f.State.Owner(id)
-		answer.Rows = append(answer.Rows, []string{
+func showInstances(v View) Result {
+	result := Result{Columns: []string{"instance", "kind", "zone", "domain", "accelerators", "group", "phase", "state", "addr"}}
+	for _, id := range sortedKeys(v.Instances) {
+		i := v.Instances[id]
+		e := v.Evidence[id]
+		group, _ := v.State.Owner(id)
+		result.Rows = append(result.Rows, []string{
 			string(id), string(i.Kind), string(i.Zone), string(i.Domain), fmt.Sprint(i.Accelerators),
-			string(group), string(e.Status.Phase), instanceState(f, i, e), i.Addr.String(),
+			string(group), string(e.Status.Phase), instanceState(v, i, e), i.Addr.String(),
 		})
 	}
-	return answer
+	return result
 }
 
-func instanceState(f View, i models.Instance, e planner.Evidence) string {
-	_, drained := f.State.Drained[i.ID]
+func instanceState(v View, i models.Instance, e planner.Evidence) string {
+	_, drained := v.State.Drained[i.ID]
 	switch {
 	case drained:
 		return "drained"
@@ -192,139 +192,139 @@
 	}
 }
 
-func showModels(f View) Result {
-	answer := Result{Columns: []string{"model", "version", "members", "replicas", "groups", "serving", "zones", "domains", "revision"}}
-	for _, name := range sortedKeys(f.State.Models) {
-		m := f.State.Models[name]
+func showModels(v View) Result {
+	result := Result{Columns: []string{"model", "version", "members", "replicas", "groups", "serving", "zones", "domains", "revision"}}
+	for _, name := range sortedKeys(v.State.Models) {
+		m := v.State.Models[name]
 		groups, serving := 0, 0
-		for id, g := range f.State.Groups {
+		for id, g := range v.State.Groups {
 			if g.Model != name {
 				continue
 			}
 			groups++
-			if f.Gates[id].Open(f.Now) {
+			if v.Gates[id].Open(v.Now) {
 				serving++
 			}
 		}
-		answer.Rows = append(answer.Rows, []string{
+		result.Rows = append(result.Rows, []string{
 			string(name), string(m.Version), fmt.Sprint(m.Members), fmt.Sprint(m.Replicas), fmt.Sprint(groups), fmt.Sprint(serving),
 			joinValues(m.Placement.Zones, keywordAny), joinValues(m.Placement.Domains, keywordAny), fmt.Sprint(m.Revision),
 		})
 	}
-	return answer
+	return result
 }
 
-func showWorkspaces(f View) Result {
-	answer := Result{Columns: []string{"workspace", "models", "services", "zones", "domains", "share", "concurrent", "tokens", "revision"}}
-	for _, name := range sortedKeys(f.State.Workspaces) {
-		w := f.State.Workspaces[name]
+func showWorkspaces(v View) Result {
+	result := Result{Columns: []string{"workspace", "models", "services", "zones", "domains", "share", "concurrent", "tokens", "revision"}}
+	for _, name := range sortedKeys(v.State.Workspaces) {
+		w := v.State.Workspaces[name]
 		rules := make([]string, 0, len(w.Models))
 		for _, r := range w.Models {
 			rules = append(rules, r.String())
 		}
-		answer.Rows = append(answer.Rows, []string{
+		result.Rows = append(result.Rows, []string{
 			string(name), joinValues(rules, keywordNone), joinValues(w.Services, keywordNone), joinValues(w.Placement.Zones, keywordAny),
 			joinValues(w.Placement.Domains, keywordAny), fmt.Sprint(w.Share), fmt.Sprint(w.Concurrent), fmt.Sprint(len(w.Tokens)), fmt.Sprint(w.Revision),
 		})
 	}
-	return answer
+	return result
 }
 
-func showServices(f View) Result {
-	answer := Result{Columns: []string{"service", "instances", "zones", "domains", "revision"}}
-	for _, name := range sortedKeys(f.State.Services) {
-		v := f.State.Services[name]
+func showServices(v View) Result {
+	result := Result{Columns: []string{"service", "instances", "zones", "domains", "revision"}}
+	for _, name := range sortedKeys(v.State.Services) {
+		service := v.State.Services[name]
 		instances := 0
-		for _, i := range f.Instances {
+		for _, i := range v.Instances {
 			if i.Service == name && i.Kind == models.KindService {
 				instances++
 			}
 		}
-		answer.Rows = append(answer.Rows, []string{
-			string(name), fmt.Sprint(instances), joinValues(v.Placement.Zones, keywordAny), joinValues(v.Placement.Domains, keywordAny), fmt.Sprint(v.Revision),
+		result.Rows = append(result.Rows, []string{
+			string(name), fmt.Sprint(instances), joinValues(service.Placement.Zones, keywordAny), joinValues(service.Placement.Domains, keywordAny), fmt.Sprint(service.Revision),
 		})
 	}
-	return answer
+	return result
 }
 
-func showOperators(f View) Result {
-	answer := Result{Columns: []string{"operator", "right", "tokens", "revision"}}
-	for _, name := range sortedKeys(f.State.Operators) {
-		o := f.State.Operators[name]
-		answer.Rows = append(answer.Rows, []string{string(name), string(o.Right), fmt.Sprint(len(o.Tokens)), fmt.Sprint(o.Revision)})
+func showOperators(v View) Result {
+	result := Result{Columns: []string{"operator", "right", "tokens", "revision"}}
+	for _, name := range sortedKeys(v.State.Operators) {
+		o := v.State.Operators[name]
+		result.Rows = append(result.Rows, []string{string(name), string(o.Right), fmt.Sprint(len(o.Tokens)), fmt.Sprint(o.Revision)})
 	}
-	return answer
+	return result
 }
 
-func showDaemons(f View) Result {
-	answer := Result{Columns: []string{"daemon", "zone", "peer", "on-roster", "serving", "applied", "config", "log-age", "heard"}}
-	for _, d := range f.Daemons {
+func showDaemons(v View) Result {
+	result := Result{Columns: []string{"daemon", "zone", "peer", "on-roster", "serving", "applied", "config", "log-age", "heard"}}
+	for _, d := range v.Daemons {
 		s := d.Status
 		logAge := "never"
 		if s.LogAge >= 0 {
 			logAge = (s.LogAge + d.Age).Round(time.Millisecond).String()
 		}
-		answer.Rows = append(answer.Rows, []string{
+		result.Rows = append(result.Rows, []string{
 			string(s.ID), string(s.Zone), s.Addr.String(), yesNo(d.OnRoster), yesNo(s.Serving),
 			fmt.Sprint(s.Applied), fmt.Sprint(s.Config), logAge, d.Age.Round(time.Millisecond).String() + " ago",
 		})
 	}
-	slices.SortFunc(answer.Rows, func(a, b []string) int { return strings.Compare(a[0], b[0]) })
-	return answer
+	slices.SortFunc(result.Rows, func(a, b []string) int { return strings.Compare(a[0], b[0]) })
+	return result
 }
 
 // showState shows the offset up to which this daemon has applied the log. Daemons at the
 // same offset have the same digest.
-func showState(f View) Result {
-	digest, err := f.State.Digest()
+func showState(v View) Result {
+	digest, err := v.State.Digest()
 	if err != nil {
 		digest = err.Error()
 	}
 	return Result{
 		Columns: []string{"daemon", "applied", "config", "digest"},
-		Rows:    [][]string{{string(f.Self), fmt.Sprint(f.State.Applied), fmt.Sprint(f.State.ConfigOffset), digest}},
+		Rows:    [][]string{{string(v.Self), fmt.Sprint(v.State.Applied), fmt.Sprint(v.State.ConfigOffset), digest}},
 	}
 }
 
-func showAudit(f View) Result {
-	answer := Result{Columns: []string{"offset", "at", "operator", "daemon", "result", "change", "note"}}
-	for _, e := range f.State.Audit {
-		result := "accepted"
+func showAudit(v View) Result {
+	result := Result{Columns: []string{"offset", "at", "operator", "daemon", "result", "change", "note"}}
+	for _, e := range v.State.Audit {
+		outcome := "accepted"
 		if e.RejectionReason != "" {
-			result = "refused: " + e.RejectionReason
+			outcome = "refused: " + e.RejectionReason
 		}
-		answer.Rows = append(answer.Rows, []string{
-			fmt.Sprint(e.Offset), e.At.Format(time.RFC3339), string(e.Operator), string(e.Daemon), result, e.Change, e.Note,
+		result.Rows = append(result.Rows, []string{
+			fmt.Sprint(e.Offset), e.At.Format(time.RFC3339), string(e.Operator), string(e.Daemon), outcome, e.Change, e.Note,
 		})
 	}
-	return answer
+	return result
 }
 
-func showStranded(f View) Result {
-	answer := Result{Columns: []string{"instance", "zone", "domain", "accelerators", "why"}}
-	for _, id := range sortedKeys(f.Instances) {
-		i := f.Instances[id]
+func showStranded(v View) Result {
+	result := Result{Columns: []string{"instance", "zone", "domain", "accelerators", "why"}}
+	for _, id := range sortedKeys(v.Instances) {
+		i := v.Instances[id]
 		if i.Kind != models.KindEngine {
 			continue
 		}
-		if reason := strandedReason(f, i); reason != "" {
-			answer.Rows = append(answer.Rows, []string{string(id), string(i.Zone), string(i.Domain), fmt.Sprint(i.Accelerators), reason})
+		if reason := strandedReason(v, i); reason != "" {
+			result.Rows = append(result.Rows, []string{string(id), string(i.Zone), string(i.Domain), fmt.Sprint(i.Accelerators), reason})
 		}
 	}
-	return answer
+	return result
 }
 
 // strandedReason returns why the instance's accelerators are stranded, or "" if the
 // instance's group serves.
-func strandedReason(f View, i models.Instance) string {
-	group, owned := f.State.Owner(i.ID)
+func strandedReason(v View, i models.Instance) string {
+	group, owned := v.State.Owner(i.ID)
 	switch {
-	case owned && f.Gates[group].Open(f.Now):
+	case owned && v.Gates[group].Open(v.Now):
 		return ""
 	case owned:
-		return fmt.Sprintf("its group %s does not serve: %s", group, closedReason(f, f.Gates[group]))
+		return fmt.Sprintf("its group %s does not serve: %s", group, closedReason(v, v.Gates[group]))
 	}
-	switch instanceState(f, i, f.Evidence[i.ID]) {
+	switch instanceState(v, i, v.Evidence[i.ID]) {
 	case "drained":
 		return "an operator drained it"
 	case "leaving":
@@ -332,45 +332,45 @@
 	case "unseen", "silent":
 		return "it does not answer"
 	}
-	return planner.ExplainFree(f.input(), i)
+	return planner.ExplainFree(v.input(), i)
 }
 
-func (f View) input() planner.Input {
-	return planner.Input{State: f.State, Instances: f.Instances, Evidence: f.Evidence, Now: f.Now, Rules: f.Rules}
+func (v View) input() planner.Input {
+	return planner.Input{State: v.State, Instances: v.Instances, Evidence: v.Evidence, Now: v.Now, Rules: v.Rules}
 }
 
-func why(f View, w *Why) (Result, error) {
+func why(v View, w *Why) (Result, error) {
 	switch w.What {
 	case "group":
-		g, ok := f.State.Groups[models.GroupID(w.Name)]
+		g, ok := v.State.Groups[models.GroupID(w.Name)]
 		if !ok {
 			return Result{}, fmt.Errorf("%w: group %q", ErrNotFound, w.Name)
 		}
-		gate := f.Gates[g.ID]
-		if gate.Open(f.Now) {
+		gate := v.Gates[g.ID]
+		if gate.Open(v.Now) {
 			return Result{Text: fmt.Sprintf("Group %s serves: all of its %d members are in place.", g.ID, len(g.Members))}, nil
 		}
-		return Result{Text: fmt.Sprintf("Group %s does not serve: %s.", g.ID, closedReason(f, gate))}, nil
+		return Result{Text: fmt.Sprintf("Group %s does not serve: %s.", g.ID, closedReason(v, gate))}, nil
 	case "instance":
-		i, ok := f.Instances[models.InstanceID(w.Name)]
+		i, ok := v.Instances[models.InstanceID(w.Name)]
 		if !ok {
 			return Result{}, fmt.Errorf("%w: instance %q", ErrNotFound, w.Name)
 		}
-		if reason := strandedReason(f, i); reason != "" {
+		if reason := strandedReason(v, i); reason != "" {
 			return Result{Text: fmt.Sprintf("Instance %s serves nobody: %s.", i.ID, reason)}, nil
 		}
-		group, _ := f.State.Owner(i.ID)
+		group, _ := v.State.Owner(i.ID)
 		return Result{Text: fmt.Sprintf("Instance %s serves in group %s.", i.ID, group)}, nil
 	case "stranded":
-		return strandedSummary(f), nil
+		return strandedSummary(v), nil
 	default:
 		return Result{}, fmt.Errorf("%w: %s %q", ErrNotFound, w.What, w.Name)
 	}
 }
 
 // strandedSummary returns the number of stranded accelerators by reason.
-func strandedSummary(f View) Result {
-	rows := showStranded(f).Rows
+func strandedSummary(v View) Result {
+	rows := showStranded(v).Rows
 	if len(rows) == 0 {
 		return Result{Text: "No accelerator is stranded."}
 	}
--- a/router/admit.go
+++ b/router/admit.go
@@ -12,7 +12,7 @@
 // workspace. It would only wait in a queue.
 var ErrOverloaded = errors.New("too many requests are in flight")
 
-// QueueFactor is the number of requests that all daemons together may have in flight at a
+// MaxInFlightFactor is the number of requests that all daemons together may have in flight at a
 // group, relative to the number that it runs concurrently. It is above 1 so that the group
 // never idles, and low so that requests don't queue for long. The sum over all daemons
 // respects it even if the groups' load reports are stale.
@@ -46,8 +46,8 @@
 // NewAdmission returns an Admission without requests in flight.
 func NewAdmission() *Admission { return &Admission{pools: map[models.ModelName]*pool{}} }
 
-// Enter admits a request, or returns ErrOverloaded without waiting. A capacity below 0 is
-// unknown and sets no limit. An admitted request must be ended by Leave.
+// Acquire admits a request, or returns ErrOverloaded without waiting. A capacity below 0 is
+// unknown and sets no limit. An admitted request must be ended by Release.
 func (a *Admission) Acquire(m models.ModelName, w models.Workspace, capacity, priority int) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// Leave ends a request that Enter admitted.
+// Release ends a request that Acquire admitted.
 func (a *Admission) Release(m models.ModelName, w models.WorkspaceName) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/router/choose.go
+++ b/router/choose.go
@@ -63,7 +63,7 @@
 
 // Prompt describes a prompt for cache affinity.
 type Prompt struct {
-	// Prefix is a hash of the beginning of the prompt. Seen is set if a recent prompt had the
+	// Prefix is a hash of the beginning of the prompt. SeenBefore is set if a recent prompt had the
 	// same prefix.
 	Prefix     uint64
 	SeenBefore bool
--- a/router/limit.go
+++ b/router/limit.go
@@ -12,12 +12,12 @@
 // ErrOverLimit is returned for a request that exceeds its workspace's concurrency limit.
 var ErrOverLimit = errors.New("the workspace has as many requests in flight as it may")
 
-// Allotment returns this daemon's share of a limit that applies to all serving daemons
+// LimitShare returns this daemon's share of a limit that applies to all serving daemons
 // together. The shares add up to the limit. Each daemon computes its own share without
 // communication: the remainder of the division goes to the first daemons in the rendezvous
 // hashing order for key, which is the same for all daemons.
 //
-// See ExampleAllotment.
+// See ExampleLimitShare.
 func LimitShare(limit int, self models.DaemonID, serving []models.DaemonID, key string) int {
 	daemons := 1
 	for _, d := range serving {
@@ -32,30 +32,30 @@
 	return share
 }
 
-// Limits enforces the concurrency limits of workspaces at one daemon.
+// ConcurrencyLimits enforces the concurrency limits of workspaces at one daemon.
 type ConcurrencyLimits struct {
 	mu       sync.Mutex
 	inFlight map[models.WorkspaceName]int
 }
 
-// NewLimits returns Limits without requests in flight.
+// NewConcurrencyLimits returns ConcurrencyLimits without requests in flight.
 func NewConcurrencyLimits() *ConcurrencyLimits {
 	return &ConcurrencyLimits{inFlight: map[models.WorkspaceName]int{}}
 }
 
-// Take admits a request, or returns ErrOverLimit without waiting. w.Concurrent is 0 for no
-// limit; allotment is this daemon's share of it. An admitted request must be ended by Give.
-func (l *ConcurrencyLimits) Acquire(w models.Workspace, allotment int) error {
+// Acquire admits a request, or returns ErrOverLimit without waiting. w.Concurrent is 0 for no
+// limit; share is this daemon's share of it. An admitted request must be ended by Release.
+func (l *ConcurrencyLimits) Acquire(w models.Workspace, share int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if w.Concurrent > 0 && l.inFlight[w.Name] >= allotment {
-		return fmt.Errorf("%w: workspace %s, %d of %d here", ErrOverLimit, w.Name, allotment, w.Concurrent)
+	if w.Concurrent > 0 && l.inFlight[w.Name] >= share {
+		return fmt.Errorf("%w: workspace %s, %d of %d here", ErrOverLimit, w.Name, share, w.Concurrent)
 	}
 	l.inFlight[w.Name]++
 	return nil
 }
 
-// Give ends a request that Take admitted.
+// Release ends a request that Acquire admitted.
 func (l *ConcurrencyLimits) Release(w models.WorkspaceName) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +72,7 @@
 	retryBurst = 10
 )
 
-// Budget limits retries to a tenth of the requests, so that failing upstreams don't make a
+// RetryBudget limits retries to a tenth of the requests, so that failing upstreams don't make a
 // daemon multiply its load. The zero value is a full budget.
 type RetryBudget struct {
 	mu sync.Mutex
@@ -80,14 +80,14 @@
 	spent float64
 }
 
-// Earn adds the budget for one request.
+// Deposit adds the budget for one request.
 func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(0, b.spent-retryRatio)
 }
 
-// Spend takes one retry from the budget. It returns false if there is none left.
+// Withdraw takes one retry from the budget. It returns false if there is none left.
 func (b *RetryBudget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/router/limit_test.go
+++ b/router/limit_test.go
@@ -21,8 +21,8 @@
 	// Output: 10
 }
 
-// TestAllotmentsSumToLimit checks that the shares of all daemons add up to the limit.
-func TestAllotmentsSumToLimit(t *testing.T) {
+// TestLimitSharesSumToLimit checks that the shares of all daemons add up to the limit.
+func TestLimitSharesSumToLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var serving []models.DaemonID
 		for n := range rapid.IntRange(1, 40).Draw(t, "daemons") {
@@ -73,7 +73,7 @@
 // TestRequestOutcomes takes requests through sequences of steps and checks their outcomes.
 func TestRequestOutcomes(t *testing.T) {
 	type step func(*router.Request) error
-	send, notRun, failed, answer := (*router.Request).Send, (*router.Request).NotRun, (*router.Request).Failed, (*router.Request).Respond
+	send, notRun, failed, respond := (*router.Request).Send, (*router.Request).NotRun, (*router.Request).Failed, (*router.Request).Respond
 	for _, test := range []struct {
 		name       string
 		repeatable bool
@@ -82,10 +82,10 @@
 		want       router.Outcome
 	}{
 		{"never sent", true, nil, false, router.OutcomeNotRun},
-		{"complete", true, []step{send, answer}, true, router.OutcomeComplete},
-		{"broke off", true, []step{send, answer}, false, router.OutcomeMayHaveRun},
+		{"complete", true, []step{send, respond}, true, router.OutcomeComplete},
+		{"broke off", true, []step{send, respond}, false, router.OutcomeMayHaveRun},
 		{"refused with proof", false, []step{send, notRun}, false, router.OutcomeNotRun},
-		{"refused, then complete", false, []step{send, notRun, send, answer}, true, router.OutcomeComplete},
+		{"rejected, then complete", false, []step{send, notRun, send, respond}, true, router.OutcomeComplete},
 		{"failed once, refused once", true, []step{send, failed, send, notRun}, false, router.OutcomeMayHaveRun},
 		{"failed, not repeatable", false, []step{send, failed}, false, router.OutcomeMayHaveRun},
 		{"key held by another request", false, []step{(*router.Request).KeyInUse}, false, router.OutcomeMayHaveRun},
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
+func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	c := qt.New(t)
 	r := &router.Request{ID: "r"}
 	c.Assert(r.Send(), qt.IsNil)
--- a/router/prefixes.go
+++ b/router/prefixes.go
@@ -5,7 +5,7 @@
 // maxPrefixes is how many prompt prefixes a daemon remembers.
 const maxPrefixes = 4096
 
-// Prefixes is the set of recently seen prompt prefixes. A prefix that is not in the set is
+// RecentPrefixes is the set of recently seen prompt prefixes. A prefix that is not in the set is
 // not worth routing by, because no engine is likely to have it cached.
 type RecentPrefixes struct {
 	mu    sync.Mutex
@@ -13,7 +13,7 @@
 	order []uint64
 }
 
-// NewPrefixes returns an empty set.
+// NewRecentPrefixes returns an empty set.
 func NewRecentPrefixes() *RecentPrefixes { return &RecentPrefixes{seen: map[uint64]struct{}{}} }
 
 // Seen adds a prefix to the set and reports whether the set already had it.
--- a/router/request.go
+++ b/router/request.go
@@ -19,23 +19,23 @@
 	PhaseQueued Phase = iota
 	// PhaseSent: an upstream may have started to run the request.
 	PhaseSent
-	// PhaseAnswering: a part of the answer has been sent to the caller.
+	// PhaseResponding: a part of the response has been sent to the caller.
 	PhaseResponding
 	// PhaseDone: the request has an outcome.
 	PhaseDone
 )
 
-// End is the outcome of a request.
+// Outcome is the result of a request.
 type Outcome string
 
-// The outcomes of a request. EndNone means that it has none yet.
+// The outcomes of a request. OutcomeNone means that it has none yet.
 const (
 	OutcomeNone Outcome = ""
-	// EndWhole: the caller received the complete answer.
+	// OutcomeComplete: the caller received the complete response.
 	OutcomeComplete Outcome = "whole"
-	// EndNotRun: no upstream has run the request, and none will.
+	// OutcomeNotRun: no upstream has run the request, and none will.
 	OutcomeNotRun Outcome = "not-run"
-	// EndMayHaveRun: the caller received no complete answer, and an upstream may have run
+	// OutcomeMayHaveRun: the caller received no complete response, and an upstream may have run
 	// the request.
 	OutcomeMayHaveRun Outcome = "may-have-run"
 )
@@ -46,12 +46,12 @@
 // Request is the state machine of one request.
 type Request struct {
 	ID models.RequestID
-	// Repeatable is set if the request is idempotent: running it twice does no harm.
+	// Idempotent is set if the request is idempotent: running it twice does no harm.
 	Idempotent bool
 
-	phase Phase
-	end   Outcome
-	tries int
+	phase    Phase
+	outcome  Outcome
+	attempts int
 	// mayHaveRun is set once an attempt may have run, even if a later attempt didn't.
 	mayHaveRun bool
 }
@@ -59,11 +59,11 @@
 // Phase returns the phase of the request.
 func (r *Request) Phase() Phase { return r.phase }
 
-// End returns the outcome of the request.
-func (r *Request) Outcome() Outcome { return r.end }
+// Outcome returns the outcome of the request.
+func (r *Request) Outcome() Outcome { return r.outcome }
 
-// Tries returns how many times the request has been sent.
-func (r *Request) Attempts() int { return r.tries }
+// Attempts returns how many times the request has been sent.
+func (r *Request) Attempts() int { return r.attempts }
 
 // Send records that the request is about to be sent to an upstream.
 func (r *Request) Send() error {
@@ -71,7 +71,7 @@
 		return r.phaseError("send")
 	}
 	r.phase = PhaseSent
-	r.tries++
+	r.attempts++
 	return nil
 }
 
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// Failed records that the current attempt may have run and has returned no complete answer.
-// Only a repeatable request may be sent again, and only if no part of the answer has been
+// Failed records that the current attempt may have run and has returned no complete response.
+// Only an idempotent request may be sent again, and only if no part of the response has been
 // sent to the caller.
 func (r *Request) Failed() error {
 	if r.phase != PhaseSent {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// HeldElsewhere records that another request with the same idempotency key may be running or
+// KeyInUse records that another request with the same idempotency key may be running or
 // may have run, so that this request must not be sent.
 func (r *Request) KeyInUse() error {
 	if r.phase != PhaseQueued {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// Answer records that the first part of the answer is about to be sent to the caller.
+// Respond records that the first part of the response is about to be sent to the caller.
 func (r *Request) Respond() error {
 	if r.phase != PhaseSent {
 		return r.phaseError("answer")
@@ -123,20 +123,20 @@
 func (r *Request) MayRetry() bool { return r.phase == PhaseQueued }
 
 // Finish sets the outcome of the request and returns it. complete tells whether the caller
-// received the complete answer.
+// received the complete response.
 func (r *Request) Finish(complete bool) Outcome {
 	switch {
 	case r.phase == PhaseDone:
-		return r.end
+		return r.outcome
 	case complete && r.phase == PhaseResponding:
-		r.end = OutcomeComplete
+		r.outcome = OutcomeComplete
 	case r.phase == PhaseQueued && !r.mayHaveRun:
-		r.end = OutcomeNotRun
+		r.outcome = OutcomeNotRun
 	default:
-		r.end = OutcomeMayHaveRun
+		r.outcome = OutcomeMayHaveRun
 	}
 	r.phase = PhaseDone
-	return r.end
+	return r.outcome
 }
 
 func (r *Request) phaseError(step string) error {
--- a/router/suspects.go
+++ b/router/suspects.go
@@ -10,8 +10,8 @@
 // twice per second, so that a faulty upstream's gate is closed by then.
 const suspectTTL = time.Second
 
-// Suspects is the set of upstreams that have recently refused to serve or broken off an
-// answer. They are avoided while another upstream can run a request: a group that fails
+// Suspects is the set of upstreams that have recently rejected requests or broken off a
+// response. They are avoided while another upstream can run a request: a group that fails
 // immediately has the lowest load and would attract all requests until the retry budget is
 // exhausted. The zero value is an empty set.
 type Suspects struct {
@@ -19,7 +19,7 @@
 	expiry map[netip.AddrPort]time.Time
 }
 
-// Note adds an upstream to the set.
+// Add adds an upstream to the set.
 func (s *Suspects) Add(addr netip.AddrPort, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,7 +29,7 @@
 	s.expiry[addr] = now.Add(suspectTTL)
 }
 
-// Clear removes an upstream that has answered.
+// Clear removes an upstream that has responded.
 func (s *Suspects) Clear(addr netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
