--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -48,12 +48,12 @@
 // Signal is what an instance asked for in the head of one response.
 type Signal struct {
 	Instance models.InstanceID
-	// Born distinguishes incarnations of an instance with the same ID; it is zero if the start time
-	// is unknown.
+	// StartedAt distinguishes incarnations of an instance with the same ID; it is zero if the start
+	// time is unknown.
 	StartedAt time.Time
-	// Heard is when the head was received.
+	// ReceivedAt is when the head was received.
 	ReceivedAt time.Time
-	// Rest is the backoff that the instance asks of the daemon that it answered, 0 for none.
+	// Backoff is the backoff that the instance asks of the daemon that it answered, 0 for none.
 	Backoff time.Duration
 	// Leaving tells that the instance is about to leave.
 	Leaving bool
@@ -108,15 +108,15 @@
 
 // Change is what a signal changed.
 type Change struct {
-	// Began tells that a backoff began, Lengthened that it was extended.
+	// Started tells that a backoff began, Extended that it was extended.
 	Started, Extended bool
 	// Leaving tells that the instance is newly known to leave.
 	Leaving bool
-	// Tell tells that the signal is to be broadcast.
+	// Broadcast tells that the signal is to be broadcast.
 	Broadcast bool
 }
 
-// Note applies a signal that this daemon or another one received from an instance. A backoff binds
+// Apply applies a signal that this daemon or another one received from an instance. A backoff binds
 // only the daemon that was asked for it; for others it only means that the instance is busy. Of two
 // backoffs the later end counts, in whichever order they are received.
 func (b *Breakers) Apply(s Signal, from Source) Change {
@@ -221,20 +221,20 @@
 	return Admission{br}, nil
 }
 
-// End is the result of an admitted request.
+// Outcome is the outcome of an admitted request.
 type Outcome int
 
-// Results of admitted requests.
+// Outcomes of admitted requests.
 const (
-	// Unanswered does not tell whether the instance accepts requests. Taken and TurnedAway are
-	// requests that the instance executed and rejected.
+	// Unanswered does not tell whether the instance accepts requests. Accepted means that it
+	// ran the request, Rejected that it rejected it.
 	Unanswered Outcome = iota
 	Accepted
 	Rejected
 )
 
-// Settle records the result of an admitted request.
-func (b *Breakers) Settle(admission Admission, end Outcome, now time.Time) {
+// Settle records the outcome of an admitted request.
+func (b *Breakers) Settle(admission Admission, outcome Outcome, now time.Time) {
 	br := admission.breaker
 	if br == nil {
 		return
@@ -243,9 +243,9 @@
 	switch {
 	case now.Before(br.probesFrom):
 		// The request was sent before the current backoff was known.
-	case end == Accepted:
+	case outcome == Accepted:
 		br.probesSucceeded, br.rejections = br.probesSucceeded+1, 0
-	case end == Rejected:
+	case outcome == Rejected:
 		pause := min(maxRejectBackoff, initialRejectBackoff<<min(br.rejections, 10))
 		br.probesSucceeded, br.rejections = 0, br.rejections+1
 		br.probesFrom = now.Add(pause + b.jitter(pause))
@@ -314,7 +314,7 @@
 	return out, b.lastChange
 }
 
-// Resting returns how many instances asked this daemon for a backoff that lasts.
+// CountBackingOff returns how many instances asked this daemon for a backoff that lasts.
 func (b *Breakers) CountBackingOff(now time.Time) int {
 	n := 0
 	for _, br := range b.breakers {
--- a/breaker/compare_test.go
+++ b/breaker/compare_test.go
@@ -8,8 +8,8 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// simulated are daemons that send requests at random times to instances, some of which reject all
-// and ask for a backoff each time.
+// simulation holds the parameters of a simulation: daemons send requests at random times to
+// instances, some of which reject all requests and ask for a backoff each time.
 type simulation struct {
 	daemons, instances int
 	// rate is the number of requests per second for all daemons together.
@@ -36,7 +36,7 @@
 }
 
 // run returns the fraction of the sends that were rejected, and of the requests that no instance
-// executed.
+// ran.
 func (s simulation) run() (rejectedFraction, failedFraction float64) {
 	random := rand.New(rand.NewPCG(47, uint64(s.daemons)))
 	breakers := make([]*Breakers, s.daemons)
@@ -62,7 +62,7 @@
 		d := random.IntN(s.daemons)
 		requests++
 		tried := map[models.InstanceID]bool{}
-		for taken := false; !taken; {
+		for accepted := false; !accepted; {
 			i, found := pickIdle(breakers[d], all, tried, now, random)
 			if !found || len(tried) == maxAttempts {
 				failed++
@@ -76,7 +76,7 @@
 			sends++
 			if float64(i.ID[0]-'A') >= rejectingFraction*float64(s.instances) {
 				breakers[d].Settle(admission, Accepted, now)
-				taken = true
+				accepted = true
 				continue
 			}
 			rejected++
--- a/breaker/property_test.go
+++ b/breaker/property_test.go
@@ -13,7 +13,7 @@
 
 // TestBackoffIsHonored checks, over random histories, that no request is admitted during a backoff
 // that was received, in whatever order the responses arrive, nor ever to an instance that is
-// leaving; and that an instance which executes requests again gets them.
+// leaving; and that an instance which runs requests again gets them.
 func TestBackoffIsHonored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := epoch
--- a/breaker/script_test.go
+++ b/breaker/script_test.go
@@ -21,11 +21,11 @@
 // TestScripts runs the scripts in testdata. Each line holds a time, a command, and its expected
 // result. An instance may have its start time, in seconds, after an @.
 //
-//	signal INSTANCE rest=D|leaving    this daemon receives a signal from the instance
+//	signal INSTANCE backoff=D|leaving this daemon receives a signal from the instance
 //	remote DAEMON INSTANCE ...        another daemon broadcasts a signal that it received
 //	check, next, busy, report INSTANCE
 //	admit INSTANCE as NAME            a request is to be sent to the instance
-//	settle NAME taken|turned-away|unanswered
+//	settle NAME accepted|rejected|unanswered
 //	since CHANGE                      what is broadcast to daemon d2, by daemon d1
 //	prune                             drops old state and returns the backoffs that ended
 //	unlist                            no instance is listed any more
@@ -57,8 +57,8 @@
 
 var (
 	epoch    = time.Unix(1_000_000, 0)
-	errNames = map[error]string{nil: "ok", ErrBackingOff: "resting", ErrProbing: "tried", ErrLeaving: "leaving"}
-	ends     = map[string]Outcome{"taken": Accepted, "turned-away": Rejected, "unanswered": Unanswered}
+	errNames = map[error]string{nil: "ok", ErrBackingOff: "backing-off", ErrProbing: "probing", ErrLeaving: "leaving"}
+	outcomes = map[string]Outcome{"accepted": Accepted, "rejected": Rejected, "unanswered": Unanswered}
 )
 
 func (s *script) run(n int, line string) {
@@ -79,10 +79,10 @@
 func (s *script) sinceEpoch(t time.Time) string { return t.Sub(epoch).String() }
 
 func (s *script) instance(text string) models.UpstreamInstance {
-	id, born, hasBorn := strings.Cut(text, "@")
+	id, startedAt, hasStartedAt := strings.Cut(text, "@")
 	i := models.UpstreamInstance{ID: models.InstanceID(id)}
-	if hasBorn {
-		seconds, err := strconv.ParseInt(born, 10, 64)
+	if hasStartedAt {
+		seconds, err := strconv.ParseInt(startedAt, 10, 64)
 		s.c.Assert(err, qt.IsNil)
 		i.StartedAt = time.Unix(seconds, 0)
 	}
@@ -93,8 +93,8 @@
 	i := s.instance(args[0])
 	signal := Signal{Instance: i.ID, StartedAt: i.StartedAt, ReceivedAt: s.now}
 	for _, a := range args[1:] {
-		if rest, found := strings.CutPrefix(a, "rest="); found {
-			signal.Backoff = s.duration(rest)
+		if backoff, found := strings.CutPrefix(a, "backoff="); found {
+			signal.Backoff = s.duration(backoff)
 		}
 		signal.Leaving = signal.Leaving || a == "leaving"
 	}
@@ -122,7 +122,7 @@
 		}
 		return errNames[err]
 	case "settle":
-		s.b.Settle(s.admissions[args[0]], ends[args[1]], s.now)
+		s.b.Settle(s.admissions[args[0]], outcomes[args[1]], s.now)
 	case "since":
 		return s.since(args[0])
 	case "unlist":
@@ -148,7 +148,7 @@
 	for _, f := range []struct {
 		name string
 		is   bool
-	}{{"began", c.Started}, {"lengthened", c.Extended}, {"leaving", c.Leaving}, {"tell", c.Broadcast}} {
+	}{{"started", c.Started}, {"extended", c.Extended}, {"leaving", c.Leaving}, {"broadcast", c.Broadcast}} {
 		if f.is {
 			out = append(out, f.name)
 		}
@@ -184,7 +184,7 @@
 			text += " leaving"
 		}
 		if w.Backoff > 0 {
-			text += " rest=" + w.Backoff.String()
+			text += " backoff=" + w.Backoff.String()
 		}
 		out = append(out, text)
 	}
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -47,7 +47,7 @@
 	return e.readBody(v.Routing.Limits.BodyBytes)
 }
 
-// authorize finds the workspace that the key belongs to. An unknown key is refused as such only if
+// authorize finds the workspace that the key belongs to. An unknown key is rejected as such only if
 // the configuration is current, since a newer one may contain it.
 func (e *exchange) authorize(v *cluster.View) error {
 	if !v.Routing.RequiresKeys || e.route.AuthExempt {
@@ -56,10 +56,10 @@
 	if !e.g.isCurrent(v, e.g.cfg.MaxKeysProofAge) {
 		return errStaleConfig
 	}
-	holder, known := v.Routing.Keys[e.head.Key]
+	owner, known := v.Routing.Keys[e.head.Key]
 	switch {
 	case known:
-		e.holder = holder
+		e.owner = owner
 		return nil
 	case e.g.isCurrent(v, e.g.cfg.MaxConfigAge):
 		return errUnknownKey
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -85,7 +85,7 @@
 	case resp.Status != http.StatusOK:
 		return errFailureResponse
 	case !platform.DecodeResponse(resp.Status, resp.Header).Signed:
-		return errors.Join(errMaybeExecuted, errUnsigned)
+		return errors.Join(errMayHaveRun, errUnsigned)
 	}
 	a.events = sse.NewReader(resp.Body)
 	return nil
@@ -115,11 +115,11 @@
 	event, err := a.events.Next()
 	switch {
 	case errors.Is(err, io.EOF) && a.lastEvent.IsZero() && !a.response.Framed:
-		return event, errors.Join(errMaybeExecuted, errEmptyStream)
+		return event, errors.Join(errMayHaveRun, errEmptyStream)
 	case errors.Is(err, io.EOF):
 		return event, io.EOF
 	case err != nil:
-		return event, errors.Join(errMaybeExecuted, err)
+		return event, errors.Join(errMayHaveRun, err)
 	}
 	a.noteEvent()
 	return event, nil
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -27,8 +27,8 @@
 }
 
 // signal records a backoff or leaving notice of an instance at the gateway.
-func (s *limitFixture) signal(id models.InstanceID, rest time.Duration, leaving bool) {
-	s.node.breakers.Heard(breaker.Signal{Instance: id, StartedAt: s.node.view.All[id].StartedAt, ReceivedAt: time.Now(), Backoff: rest, Leaving: leaving})
+func (s *limitFixture) signal(id models.InstanceID, backoff time.Duration, leaving bool) {
+	s.node.breakers.Heard(breaker.Signal{Instance: id, StartedAt: s.node.view.All[id].StartedAt, ReceivedAt: time.Now(), Backoff: backoff, Leaving: leaving})
 }
 
 // TestSignalAppliesToNextRequest checks that a backoff or a leaving notice in a response applies
@@ -72,21 +72,21 @@
 	s.c.Assert(s.node.breakers.Any(), qt.IsFalse)
 }
 
-// TestAllBackingOffRefusesImmediately checks that a request is refused without a send if all
+// TestAllBackingOffRejectsImmediately checks that a request is rejected without a send if all
 // instances back off. Retry-After is after the first backoff ends, earlier for urgent requests.
-func TestAllBackingOffRefusesImmediately(t *testing.T) {
+func TestAllBackingOffRejectsImmediately(t *testing.T) {
 	s := newLimitFixture(t)
-	const rest = 1500 * time.Millisecond
-	s.signal("p1", rest, false)
-	s.signal("p2", 2*rest, false)
+	const backoff = 1500 * time.Millisecond
+	s.signal("p1", backoff, false)
+	s.signal("p2", 2*backoff, false)
 	retryAfters := map[string]bool{}
 	for range 4 {
-		resp, took := s.send("a")
+		resp, elapsed := s.send("a")
 		s.c.Assert(resp.StatusCode, qt.Equals, http.StatusServiceUnavailable)
-		s.c.Assert(took < 100*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
+		s.c.Assert(elapsed < 100*time.Millisecond, qt.IsTrue, qt.Commentf("%v", elapsed))
 		after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		s.c.Assert(err, qt.IsNil)
-		s.c.Assert(after >= rest.Seconds()-0.2 && after <= 1.5*rest.Seconds()+1, qt.IsTrue, qt.Commentf("%v s", after))
+		s.c.Assert(after >= backoff.Seconds()-0.2 && after <= 1.5*backoff.Seconds()+1, qt.IsTrue, qt.Commentf("%v s", after))
 		retryAfters[resp.Header.Get("Retry-After")] = true
 	}
 	s.c.Assert(len(retryAfters) > 1, qt.IsTrue)
@@ -126,16 +126,16 @@
 	s.signal("p1", time.Second, false)
 	s.c.Assert(e.checkAdmission(i, p), qt.ErrorIs, breaker.ErrBackingOff)
 	_, _, err = e.sendAdmitted(context.Background(), i, p, models.Attempt{}, nil)
-	s.c.Assert(errors.Is(err, errNotExecuted) && errors.Is(err, errNotAdmitted), qt.IsTrue, qt.Commentf("%v", err))
+	s.c.Assert(errors.Is(err, errNotRun) && errors.Is(err, errNotAdmitted), qt.IsTrue, qt.Commentf("%v", err))
 	_, err = e.send(context.Background(), i, p, models.Attempt{}, nil)
-	s.c.Assert(errors.Is(err, errNotExecuted) && errors.Is(err, errNotAdmitted), qt.IsTrue, qt.Commentf("%v", err))
+	s.c.Assert(errors.Is(err, errNotRun) && errors.Is(err, errNotAdmitted), qt.IsTrue, qt.Commentf("%v", err))
 	s.c.Assert(g.scheduler.failures, qt.HasLen, 0)
 	s.c.Assert(s.received, qt.HasLen, 0)
 }
 
-// TestRequestOnTrialAvoidsBackingOffInstance checks that a request on trial, which has an instance
+// TestIsolatedRequestAvoidsBackingOffInstance checks that an isolated request, which has an instance
 // of its own, is sent to the other one while that instance backs off.
-func TestRequestOnTrialAvoidsBackingOffInstance(t *testing.T) {
+func TestIsolatedRequestAvoidsBackingOffInstance(t *testing.T) {
 	s := newLimitFixture(t)
 	d := quarantine.Request{Workspace: "ws", Method: http.MethodPost, Host: "api.example", Target: "/again/x", Body: []byte("body")}.Digest()
 	for _, id := range []models.InstanceID{"i1", "i2"} {
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -49,7 +49,7 @@
 )
 
 // crashDetector finds out which of the instances that disconnected during requests have crashed,
-// and which requests each was executing. It is safe for concurrent use.
+// and which requests each was running. It is safe for concurrent use.
 type crashDetector struct {
 	node    Node
 	log     zerolog.Logger
@@ -111,7 +111,7 @@
 // one.
 func (c *disconnect) isAlive() bool { return c.probeEnded && c.evidence == "" }
 
-// report tells all daemons which requests a crashed instance was executing. The detector must be
+// report tells all daemons which requests a crashed instance was running. The detector must be
 // locked.
 func (cd *crashDetector) report(c *disconnect, requests ...quarantine.Digest) {
 	crash := quarantine.Crash{Instance: c.instance.ID, StartedAt: c.instance.StartedAt, At: c.at, Requests: map[quarantine.Digest]bool{}}
@@ -170,7 +170,7 @@
 		Int("requests", len(c.requests)).Str("digests", c.digestList()).Dur("after", time.Since(c.at)).Msg("instance-crashed")
 }
 
-// digestList lists the requests that the instance was executing, up to maxLoggedDigests.
+// digestList lists the requests that the instance was running, up to maxLoggedDigests.
 func (c *disconnect) digestList() string {
 	var out []string
 	for d := range c.requests {
@@ -205,7 +205,7 @@
 func isDisconnect(err error) bool {
 	for _, end := range []error{io.ErrUnexpectedEOF, sse.ErrCut, errEmptyStream, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, end) {
-			return !errors.Is(err, errNotExecuted) && !errors.Is(err, h1.ErrStalled)
+			return !errors.Is(err, errNotRun) && !errors.Is(err, h1.ErrStalled)
 		}
 	}
 	return false
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -74,13 +74,13 @@
 // a crash: not a stall, nor a request that was not sent, nor an invalid response.
 func TestDisconnectErrors(t *testing.T) {
 	c := qt.New(t)
-	maybeExecuted := func(err error) error { return errors.Join(errMaybeExecuted, fmt.Errorf("%w: %w", h1.ErrNoAnswer, err)) }
-	for _, cut := range []error{maybeExecuted(io.ErrUnexpectedEOF), maybeExecuted(syscall.ECONNRESET), errors.Join(errMaybeExecuted, sse.ErrCut), errors.Join(errMaybeExecuted, errEmptyStream)} {
+	mayHaveRun := func(err error) error { return errors.Join(errMayHaveRun, fmt.Errorf("%w: %w", h1.ErrNoAnswer, err)) }
+	for _, cut := range []error{mayHaveRun(io.ErrUnexpectedEOF), mayHaveRun(syscall.ECONNRESET), errors.Join(errMayHaveRun, sse.ErrCut), errors.Join(errMayHaveRun, errEmptyStream)} {
 		c.Check(isDisconnect(cut), qt.IsTrue, qt.Commentf("%v", cut))
 	}
 	for _, other := range []error{
-		nil, io.EOF, errFailureResponse, maybeExecuted(h1.ErrStalled), maybeExecuted(net.ErrClosed), maybeExecuted(h1.ErrOtherRequest),
-		errors.Join(errNotExecuted, fmt.Errorf("%w: %w", h1.ErrNotSent, syscall.ECONNRESET)), errors.Join(errMaybeExecuted, errEventGap),
+		nil, io.EOF, errFailureResponse, mayHaveRun(h1.ErrStalled), mayHaveRun(net.ErrClosed), mayHaveRun(h1.ErrOtherRequest),
+		errors.Join(errNotRun, fmt.Errorf("%w: %w", h1.ErrNotSent, syscall.ECONNRESET)), errors.Join(errMayHaveRun, errEventGap),
 	} {
 		c.Check(isDisconnect(other), qt.IsFalse, qt.Commentf("%v", other))
 	}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -21,15 +21,15 @@
 	head     models.RequestHead
 	route    models.Route
 	service  models.ServiceName
-	holder   models.KeyOwner
+	owner    models.KeyOwner
 	body     []byte
 	started  time.Time
 	deadline time.Time
 	// tried are the instances that the request was sent to.
 	tried []models.InstanceID
-	// maybeExecuted tells that an instance may have executed the request, which then must not be
-	// refused with a status that promises the opposite.
-	maybeExecuted bool
+	// mayHaveRun tells that an instance may have run the request, which then must not be
+	// rejected with a status that promises the opposite.
+	mayHaveRun bool
 	// headSent tells that the head of the response was sent to the caller.
 	headSent bool
 	// instance is where the request was sent last, group its group if it is a stream.
@@ -41,7 +41,7 @@
 	// when it was picked.
 	maxPause   time.Duration
 	pickedLoad int
-	// rejections counts the sends that instances rejected without executing the request.
+	// rejections counts the sends that instances rejected without running the request.
 	rejections atomic.Int32
 	// available tells when the request could be sent, if that is after the deadline for waiting.
 	available availability
@@ -65,7 +65,7 @@
 		err = e.checkQuarantine()
 	}
 	if err != nil {
-		e.refuse(err)
+		e.reject(err)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), e.deadline)
@@ -82,7 +82,7 @@
 func (e *exchange) computeDigest() quarantine.Digest {
 	e.digestUsed.Store(true)
 	content := quarantine.Request{
-		Workspace: e.holder.Workspace, Method: e.r.Method, Host: e.r.Host, Target: e.r.RequestURI, Body: e.body,
+		Workspace: e.owner.Workspace, Method: e.r.Method, Host: e.r.Host, Target: e.r.RequestURI, Body: e.body,
 	}
 	return content.Digest()
 }
@@ -106,11 +106,11 @@
 	// routeRanks is how many consecutive ranks the routes of one workspace share: the users' routes
 	// have two or three priorities.
 	routeRanks = 3
-	// maxIdleRepeatable and maxIdleOnce bound how long a connection may have been idle to carry a
-	// request that may be repeated, and one that may not: an upstream may close an idle connection
-	// at any time.
-	maxIdleRepeatable = 4 * time.Second
-	maxIdleOnce       = 300 * time.Millisecond
+	// maxIdleIdempotent and maxIdleNonIdempotent bound how long a connection may have been idle to
+	// carry a request that may be repeated, and one that may not: an upstream may close an idle
+	// connection at any time.
+	maxIdleIdempotent    = 4 * time.Second
+	maxIdleNonIdempotent = 300 * time.Millisecond
 )
 
 // rank returns the priority of a request at an instance, 0 being the most urgent. The workspace's
--- a/gateway/failures.go
+++ b/gateway/failures.go
@@ -44,7 +44,7 @@
 	s.failures[i.ID] = failureCount{i.StartedAt, min(maxFailureCount, s.recentFailures(i)+1), now}
 }
 
-// addSuccess records that an instance executed a request.
+// addSuccess records that an instance ran a request.
 func (s *scheduler) addSuccess(id models.InstanceID) {
 	now := time.Now()
 	s.mu.Lock()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -27,10 +27,10 @@
 	Listen netip.AddrPort
 	Ready  netip.AddrPort
 	Admin  netip.AddrPort
-	// KeysBound is the maximum age of the proof that the configuration is current, for a request
-	// that needs a key to be served.
+	// MaxKeysProofAge is the maximum age of the proof that the configuration is current, for a
+	// request that needs a key to be served.
 	MaxKeysProofAge time.Duration
-	// ConfigBound is the maximum age of that proof for an unknown route or key to be refused as
+	// MaxConfigAge is the maximum age of that proof for an unknown route or key to be rejected as
 	// unknown.
 	MaxConfigAge time.Duration
 	RetryRatio   float64
@@ -38,8 +38,8 @@
 	RetryWindow  time.Duration
 	// StopGrace bounds the time that a planned stop takes.
 	StopGrace time.Duration
-	// Settle is the time after the start during which the gateway does not report stalled groups:
-	// it does not know yet which requests other daemons have there.
+	// StallReportDelay is the time after the start during which the gateway does not report stalled
+	// groups: it does not know yet which requests other daemons have there.
 	StallReportDelay time.Duration
 }
 
@@ -85,14 +85,14 @@
 type stats struct {
 	byOutcome map[outcome]*metrics.Counter
 	retries   *metrics.Counter
-	// quarantineRefusals counts requests refused because they crash instances.
-	quarantineRefusals *metrics.Counter
-	// limitRefusals counts requests refused because all instances have rate limits and no permit
+	// quarantineRejections counts requests rejected because they crash instances.
+	quarantineRejections *metrics.Counter
+	// limitRejections counts requests rejected because all instances have rate limits and no permit
 	// came in time.
-	limitRefusals *metrics.Counter
-	// backoffRefusals counts requests refused because all instances asked for a backoff.
-	backoffRefusals *metrics.Counter
-	// rejections counts sends that instances rejected without executing the request.
+	limitRejections *metrics.Counter
+	// backoffRejections counts requests rejected because all instances asked for a backoff.
+	backoffRejections *metrics.Counter
+	// rejections counts sends that instances rejected without running the request.
 	rejections  *metrics.Counter
 	resumes     *metrics.Counter
 	connsOpened *metrics.Counter
@@ -106,11 +106,11 @@
 func newStats(set *metrics.Set) *stats {
 	s := &stats{
 		byOutcome: map[outcome]*metrics.Counter{}, retries: set.NewCounter("lupinkeel_request_repeats_total"),
-		quarantineRefusals: set.NewCounter("lupinkeel_quarantine_refusals_total"),
-		limitRefusals:      set.NewCounter("lupinkeel_limit_refusals_total"),
-		backoffRefusals:    set.NewCounter("lupinkeel_rest_refusals_total"),
-		rejections:         set.NewCounter("lupinkeel_turned_away_total"),
-		resumes:            set.NewCounter("lupinkeel_stream_resumes_total"), connsOpened: set.NewCounter("lupinkeel_upstream_connections_total"),
+		quarantineRejections: set.NewCounter("lupinkeel_quarantine_refusals_total"),
+		limitRejections:      set.NewCounter("lupinkeel_limit_refusals_total"),
+		backoffRejections:    set.NewCounter("lupinkeel_rest_refusals_total"),
+		rejections:           set.NewCounter("lupinkeel_turned_away_total"),
+		resumes:              set.NewCounter("lupinkeel_stream_resumes_total"), connsOpened: set.NewCounter("lupinkeel_upstream_connections_total"),
 		firstByte: set.NewHistogram("lupinkeel_first_byte_seconds"),
 		ownZone:   newByteMeter(set, "own"), otherZone: newByteMeter(set, "other"),
 	}
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -15,10 +15,10 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestStaleConfigRefuses checks that a daemon without a recent proof that its configuration is
-// current refuses requests, with a Retry-After, and does not refuse a route or key as unknown that
+// TestStaleConfigRejects checks that a daemon without a recent proof that its configuration is
+// current rejects requests, with a Retry-After, and does not reject a route or key as unknown that
 // a newer configuration may contain.
-func TestStaleConfigRefuses(t *testing.T) {
+func TestStaleConfigRejects(t *testing.T) {
 	c := qt.New(t)
 	routing := &models.Routing{
 		Version: 1, RequiresKeys: true, Keys: map[string]models.KeyOwner{"k1": {Workspace: "ws"}},
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -17,7 +17,7 @@
 // Outcomes of requests.
 const (
 	outcomeComplete     outcome = "whole"
-	outcomeRefused      outcome = "refused"
+	outcomeRejected     outcome = "refused"
 	outcomeUnknownRoute outcome = "unknown-route"
 	outcomeForbidden    outcome = "forbidden"
 	outcomeBroken       outcome = "broken"
@@ -25,7 +25,7 @@
 	outcomeCallerGone   outcome = "caller-gone"
 )
 
-var outcomes = []outcome{outcomeComplete, outcomeRefused, outcomeUnknownRoute, outcomeForbidden, outcomeBroken, outcomeTimeout, outcomeCallerGone}
+var outcomes = []outcome{outcomeComplete, outcomeRejected, outcomeUnknownRoute, outcomeForbidden, outcomeBroken, outcomeTimeout, outcomeCallerGone}
 
 // Errors for requests that no instance answered.
 var (
@@ -37,8 +37,8 @@
 	errBodyIncomplete = errors.New("the request body is incomplete")
 	errNoInstance     = errors.New("no instance is available for this request")
 	errAllFull        = errors.New("all instances are at capacity")
-	errNotExecuted    = errors.New("the instance did not execute the request")
-	errMaybeExecuted  = errors.New("the request may have been executed")
+	errNotRun         = errors.New("the instance did not run the request")
+	errMayHaveRun     = errors.New("the request may have been run")
 	errRetryBudget    = errors.New("the retry budget is exhausted")
 	// errAllLimited: no permit to send the request to any of them comes in time.
 	errAllLimited = errors.New("all instances are rate-limited")
@@ -48,38 +48,38 @@
 	errNotAdmitted = errors.New("the instance must not be sent requests now")
 	// errNoPermit: the instance announced a rate limit after it was picked, or the permit expired.
 	errNoPermit = errors.New("the instance is rate-limited, and there is no valid permit for it")
-	// errQuarantined: several instances crashed while they executed the request.
+	// errQuarantined: several instances crashed while they ran the request.
 	errQuarantined = errors.New("the request is quarantined: it crashes the instances that execute it")
-	// errLastInstance: an instance crashed while it executed the request, and only one is left.
+	// errLastInstance: an instance crashed while it ran the request, and only one is left.
 	errLastInstance = errors.New("an instance crashed executing the request, and only one instance is left")
 )
 
-// refuse answers a request that no instance has executed.
-func (e *exchange) refuse(err error) {
-	status, end := http.StatusServiceUnavailable, outcomeRefused
+// reject answers a request that no instance has run.
+func (e *exchange) reject(err error) {
+	status, outcome := http.StatusServiceUnavailable, outcomeRejected
 	switch {
 	case errors.Is(err, errNoRoute):
-		status, end = http.StatusNotFound, outcomeUnknownRoute
+		status, outcome = http.StatusNotFound, outcomeUnknownRoute
 	case errors.Is(err, errUnknownKey):
-		status, end = http.StatusUnauthorized, outcomeForbidden
+		status, outcome = http.StatusUnauthorized, outcomeForbidden
 	case errors.Is(err, errBodyTooLong):
-		status, end = http.StatusRequestEntityTooLarge, outcomeForbidden
+		status, outcome = http.StatusRequestEntityTooLarge, outcomeForbidden
 	case errors.Is(err, errBodyIncomplete):
-		end = outcomeCallerGone
+		outcome = outcomeCallerGone
 		status = http.StatusBadRequest
 	case errors.Is(err, errQuarantined):
 		// No Retry-After: it would only make the caller send the request again.
-		e.g.stats.quarantineRefusals.Inc()
+		e.g.stats.quarantineRejections.Inc()
 	case errors.Is(err, errAllLimited):
-		e.g.stats.limitRefusals.Inc()
+		e.g.stats.limitRejections.Inc()
 		platform.SetRetryAfter(e.w.Header(), retryAfterPermit(time.Until(e.available.at)))
 	case errors.Is(err, errAllBackingOff):
-		e.g.stats.backoffRefusals.Inc()
-		platform.SetRetryAfter(e.w.Header(), retryAfterBackoff(e.available, rank(e.holder.Priority, e.route.Priority), time.Now()))
+		e.g.stats.backoffRejections.Inc()
+		platform.SetRetryAfter(e.w.Header(), retryAfterBackoff(e.available, rank(e.owner.Priority, e.route.Priority), time.Now()))
 	default:
 		platform.SetRetryAfter(e.w.Header(), retryAfter(err))
 	}
-	e.logEnd(end, status, err)
+	e.logEnd(outcome, status, err)
 	e.w.WriteHeader(status)
 }
 
@@ -95,7 +95,7 @@
 	retryAfterJitter = 500 * time.Millisecond
 )
 
-// retryAfter returns when a caller that was refused for this reason should retry.
+// retryAfter returns when a caller that was rejected for this reason should retry.
 func retryAfter(reason error) time.Duration {
 	if errors.Is(reason, errNoConfig) {
 		return typicalStartup
@@ -109,12 +109,12 @@
 	return max(minRetryAfter, wait) + rand.N(max(retryAfterJitter, wait))
 }
 
-// jitterRanks is the number of ranks over which the retries of refused callers are spread.
+// jitterRanks is the number of ranks over which the retries of rejected callers are spread.
 const jitterRanks = 3
 
 // retryAfterBackoff returns when a caller should retry if all instances back off: after the first
 // backoff ends, the more urgent callers first. Retries are spread over half of the time for which
-// callers were refused, so that they add at most twice the usual request rate.
+// callers were rejected, so that they add at most twice the usual request rate.
 func retryAfterBackoff(o availability, rank int, now time.Time) time.Duration {
 	jitter := max(retryAfterJitter, now.Sub(o.since)/2)
 	fraction := (float64(min(rank, jitterRanks-1)) + rand.Float64()) / jitterRanks
@@ -134,8 +134,8 @@
 		// Only a broken connection tells the caller that the response is incomplete.
 		e.logEnd(outcomeBroken, 0, err)
 		panic(http.ErrAbortHandler)
-	case !e.maybeExecuted && isNotExecuted(err):
-		e.refuse(err)
+	case !e.mayHaveRun && isNotRun(err):
+		e.reject(err)
 	case ctx.Err() != nil:
 		e.logEnd(outcomeTimeout, http.StatusGatewayTimeout, err)
 		e.w.WriteHeader(http.StatusGatewayTimeout)
@@ -145,9 +145,9 @@
 	}
 }
 
-// isNotExecuted reports whether the error means that no instance executed the request.
-func isNotExecuted(err error) bool {
-	for _, reason := range []error{errNotExecuted, errAllFull, errNoInstance, errAllLimited, errAllBackingOff, errQuarantined, errLastInstance} {
+// isNotRun reports whether the error means that no instance ran the request.
+func isNotRun(err error) bool {
+	for _, reason := range []error{errNotRun, errAllFull, errNoInstance, errAllLimited, errAllBackingOff, errQuarantined, errLastInstance} {
 		if errors.Is(err, reason) {
 			return true
 		}
@@ -157,7 +157,7 @@
 
 // isRejected reports whether the error means that an instance rejected the request.
 func isRejected(err error) bool {
-	return errors.Is(err, errNotExecuted) && !errors.Is(err, h1.ErrNotSent)
+	return errors.Is(err, errNotRun) && !errors.Is(err, h1.ErrNotSent)
 }
 
 // logEnd logs and counts the end of a request.
@@ -180,7 +180,7 @@
 		event.Stringer("digest", e.digest())
 	}
 	event.Str("request", string(e.head.ID)).Str("route", e.route.Name).Str("model", string(e.head.Model)).
-		Dur("aim", e.route.LatencyTarget).Int64("config", version).Str("workspace", string(e.holder.Workspace)).
+		Dur("aim", e.route.LatencyTarget).Int64("config", version).Str("workspace", string(e.owner.Workspace)).
 		Str("outcome", string(end)).Int("status", status).Str("instance", string(e.instance.ID)).Str("zone", string(e.instance.Zone)).
 		Str("group", string(e.group.Name)).Int("sent", len(e.tried)).Int32("turned-away", e.rejections.Load()).Int("load", e.pickedLoad).
 		Dur("first", first).Dur("gap", e.maxPause).Dur("took", time.Since(e.started)).
--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -44,7 +44,7 @@
 	return time.Duration(model.TimeFactor * float64(steps+engine.PrefillTime(load.Unread)))
 }
 
-// currentPassTime returns the expected duration of the pass that a group is executing, from the
+// currentPassTime returns the expected duration of the pass that a group is running, from the
 // expectations when it began and now. If loads are reported with a delay, some of the prompts that
 // the pass prefills were not known when it began. At a group for long prompts 7 pauses in 100
 // exceeded the stall timeout by the first expectation, 3 in 10,000 by the later one
--- a/gateway/pauses_test.go
+++ b/gateway/pauses_test.go
@@ -93,7 +93,7 @@
 	// promptInterval is the mean time between two prompts, promptTokens their mean length.
 	promptInterval = 180 * time.Millisecond
 	promptTokens   = 1700
-	// runningRequests is how many requests the group is executing.
+	// runningRequests is how many requests the group is running.
 	runningRequests = 6
 )
 
--- a/gateway/permit.go
+++ b/gateway/permit.go
@@ -12,14 +12,14 @@
 
 const (
 	// maxPermitAsks is how many times a request asks for a permit, each time for other instances,
-	// before it counts as refused.
+	// before it counts as rejected.
 	maxPermitAsks = 8
 	// maxPermitCandidates bounds how many instances one ask names.
 	maxPermitCandidates = 32
 	// permitLifetime is for how long a permit may be used.
 	permitLifetime = 300 * time.Millisecond
 	// unansweredExclusion is for how long instances are not picked after their granter did not
-	// answer.
+	// respond.
 	unansweredExclusion = 300 * time.Millisecond
 )
 
@@ -76,7 +76,7 @@
 // permitRank returns the request's priority for permits: a request that is already late ranks below
 // those that can still meet their latency target.
 func (e *exchange) permitRank(now time.Time) int {
-	r := rank(e.holder.Priority, e.route.Priority)
+	r := rank(e.owner.Priority, e.route.Priority)
 	if latencyTarget := e.route.LatencyTarget; latencyTarget > 0 && !e.headSent && now.Sub(e.started) > latencyTarget {
 		return min(maxPriority, r+routeRanks)
 	}
@@ -93,7 +93,7 @@
 // head.
 func (s *stream) pickPermittedGroup(engine *models.EngineProfile, picked cluster.Group) (target, bool) {
 	groups := []cluster.Group{picked}
-	if criteria := s.criteria(); criteria.trialPlace == nil {
+	if criteria := s.criteria(); criteria.isolationIndex == nil {
 		groups = append(groups, s.g.scheduler.limitedGroups(s.g.node, engine, picked, criteria)...)
 	}
 	heads := make([]models.UpstreamInstance, len(groups))
--- a/gateway/permit_test.go
+++ b/gateway/permit_test.go
@@ -114,9 +114,9 @@
 	s.c.Assert(s.received[len(s.received)-1], qt.Equals, "p1")
 }
 
-// TestAllLimitedRefusesImmediately checks that a request is refused without a send if all instances
+// TestAllLimitedRejectsImmediately checks that a request is rejected without a send if all instances
 // have rate limits and no permit comes in time. Retry-After follows the wait, with a jitter.
-func TestAllLimitedRefusesImmediately(t *testing.T) {
+func TestAllLimitedRejectsImmediately(t *testing.T) {
 	s := newLimitFixture(t)
 	s.setLimit("p1")
 	s.setLimit("p2")
@@ -130,9 +130,9 @@
 	}
 	retryAfters := map[string]bool{}
 	for range 4 {
-		resp, took := s.send("a")
+		resp, elapsed := s.send("a")
 		s.c.Assert(resp.StatusCode, qt.Equals, http.StatusServiceUnavailable)
-		s.c.Assert(took < 100*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
+		s.c.Assert(elapsed < 100*time.Millisecond, qt.IsTrue, qt.Commentf("%v", elapsed))
 		after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		s.c.Assert(err, qt.IsNil)
 		s.c.Assert(after >= wait.Seconds()-0.5 && after <= 2*wait.Seconds(), qt.IsTrue, qt.Commentf("%v s", after))
--- a/gateway/pick.go
+++ b/gateway/pick.go
@@ -15,7 +15,7 @@
 const (
 	// queuePollInterval is how often a queued request looks for a group with capacity.
 	queuePollInterval = 20 * time.Millisecond
-	// queueFraction is the part of its latency target for which a request is queued: a refusal must
+	// queueFraction is the part of its latency target for which a request is queued: a rejection must
 	// be early enough for the caller to succeed elsewhere.
 	queueFraction = 0.22
 )
@@ -106,9 +106,9 @@
 	// already; routeTarget is the latency target of its route in any case.
 	latencyTarget, routeTarget time.Duration
 	tried                      []models.InstanceID
-	// trialPlace picks one of several groups or instances for a request on trial; it is nil for
+	// isolationIndex picks one of several groups or instances for an isolated request; it is nil for
 	// others.
-	trialPlace func(places int) int
+	isolationIndex func(places int) int
 	// unlimitedOnly excludes groups whose heads have a rate limit.
 	unlimitedOnly bool
 }
@@ -116,7 +116,7 @@
 // criteria returns the stream's criteria for its next group. After a failover the stream is late
 // already, wherever it continues.
 func (s *stream) criteria() groupCriteria {
-	criteria := groupCriteria{head: s.head, latencyTarget: s.route.LatencyTarget, routeTarget: s.route.LatencyTarget, tried: s.tried, trialPlace: s.trialPlace()}
+	criteria := groupCriteria{head: s.head, latencyTarget: s.route.LatencyTarget, routeTarget: s.route.LatencyTarget, tried: s.tried, isolationIndex: s.isolationIndex()}
 	if len(s.tried) > 0 {
 		criteria.latencyTarget = 0
 	}
@@ -138,8 +138,8 @@
 	for i, g := range groups {
 		candidates[i] = s.candidate(node, g)
 	}
-	if criteria.trialPlace != nil {
-		index := s.pickIsolated(engine, groups, candidates, criteria.trialPlace)
+	if criteria.isolationIndex != nil {
+		index := s.pickIsolated(engine, groups, candidates, criteria.isolationIndex)
 		return groups[index], candidates[index].Requests, true
 	}
 	req := placement.Request{PromptTokens: head.PromptTokens, LatencyTarget: criteria.latencyTarget, RouteTarget: criteria.routeTarget, Displaced: 1}
@@ -152,15 +152,15 @@
 	return groups[index], candidates[index].Requests, true
 }
 
-// pickIsolated picks a group for a request on trial: the one that trialPlace names, or the next one
-// with capacity.
-func (s *scheduler) pickIsolated(engine *models.EngineProfile, groups []cluster.Group, candidates []placement.Candidate, trialPlace func(int) int) int {
+// pickIsolated picks a group for an isolated request: the one that isolationIndex names, or the
+// next one with capacity.
+func (s *scheduler) pickIsolated(engine *models.EngineProfile, groups []cluster.Group, candidates []placement.Candidate, isolationIndex func(int) int) int {
 	order := make([]int, len(groups))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(groups[a].Head.ID, groups[b].Head.ID) })
-	first := trialPlace(len(order))
+	first := isolationIndex(len(order))
 	for n := range order {
 		index := order[(first+n)%len(order)]
 		if s.policy.HasCapacity(engine, candidates[index].Requests) {
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -11,8 +11,8 @@
 	"github.com/lupinkeel/lupinkeel/quarantine"
 )
 
-// standing returns the crashes that all daemons know the request to have caused.
-func (e *exchange) standing() quarantine.Status {
+// status returns the crashes that all daemons know the request to have caused.
+func (e *exchange) status() quarantine.Status {
 	quarantined := e.g.node.Quarantine()
 	if !quarantined.Holds() {
 		return quarantine.Status{}
@@ -29,14 +29,14 @@
 	lastInstanceHold = 10 * time.Second
 )
 
-// checkQuarantine returns an error if the request is known to crash the instances that execute it.
+// checkQuarantine returns an error if the request is known to crash the instances that run it.
 // It is called before each send: without shared knowledge of crashes, one caller's request crashed
 // nineteen instances and failed all other requests on them. A request that may have just crashed an
 // instance is not sent to the last one either, which all others need. A stream whose beginning the
-// caller has received is, unless it is on trial.
+// caller has received is, unless it is isolated.
 func (e *exchange) checkQuarantine() error {
 	e.awaitProbe()
-	s := e.standing()
+	s := e.status()
 	suspect := s.Crashes > 0 && (!e.headSent || s.NeedsIsolation())
 	switch {
 	case s.Quarantined:
@@ -81,10 +81,10 @@
 	return n
 }
 
-// trialPlace returns the function that places a request on trial: the same instance at all daemons.
-// It is nil for requests that are not on trial.
-func (e *exchange) trialPlace() func(int) int {
-	if !e.standing().NeedsIsolation() {
+// isolationIndex returns the function that places an isolated request: the same instance at all
+// daemons. It is nil for requests that are not isolated.
+func (e *exchange) isolationIndex() func(int) int {
+	if !e.status().NeedsIsolation() {
 		return nil
 	}
 	return func(places int) int { return e.g.node.Quarantine().Place(e.digest(), places) }
@@ -92,7 +92,7 @@
 
 // clear clears the crashes of a request that has ended well.
 func (e *exchange) clear() {
-	if e.standing().Crashes > 0 {
+	if e.status().Crashes > 0 {
 		e.g.node.Quarantine().EndedWell(e.digest())
 	}
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -22,11 +22,11 @@
 "Services":[{"Name":"plain","MaxConnections":10}],"Limits":{"MaxBodyBytes":1000},
 "Tenants":[{"Name":"ws","ApiKeys":["k1","k2"]},{"Name":"other","ApiKeys":["k3"]}]}`
 
-// TestQuarantinedRequestRefused checks that a request which is known to have crashed three
-// instances is refused without a send and without a Retry-After, whichever key of its workspace it
+// TestQuarantinedRequestRejected checks that a request which is known to have crashed three
+// instances is rejected without a send and without a Retry-After, whichever key of its workspace it
 // has. The same body from another workspace, and another body from its workspace, are served. An
 // operator can list it by its digest and release it.
-func TestQuarantinedRequestRefused(t *testing.T) {
+func TestQuarantinedRequestRejected(t *testing.T) {
 	c := qt.New(t)
 	runs := 0
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -57,9 +57,9 @@
 		node.quarantine.Crashed(quarantine.Crash{Instance: id, At: time.Now(), Requests: map[quarantine.Digest]bool{d: false}})
 	}
 	for _, key := range []string{"k1", "k2"} {
-		refused := ask(key, "crashes")
-		c.Assert(refused.StatusCode, qt.Equals, http.StatusServiceUnavailable)
-		c.Assert(refused.Header.Get("Retry-After"), qt.Equals, "")
+		rejected := ask(key, "crashes")
+		c.Assert(rejected.StatusCode, qt.Equals, http.StatusServiceUnavailable)
+		c.Assert(rejected.Header.Get("Retry-After"), qt.Equals, "")
 	}
 	c.Assert(runs, qt.Equals, 0)
 	c.Assert(ask("k3", "crashes").StatusCode, qt.Equals, http.StatusOK)
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -19,11 +19,11 @@
 // It is safe for concurrent use.
 func (e *exchange) send(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, readTimeout h1.Patience) (*h1.Response, error) {
 	if !p.allows(e.g, i) {
-		return nil, errors.Join(errNotExecuted, errNotAdmitted, errNoPermit)
+		return nil, errors.Join(errNotRun, errNotAdmitted, errNoPermit)
 	}
 	admission, err := e.g.node.Breakers().Admit(i)
 	if err != nil {
-		return nil, errors.Join(errNotExecuted, errNotAdmitted, err)
+		return nil, errors.Join(errNotRun, errNotAdmitted, err)
 	}
 	resp, end, err := e.sendAdmitted(ctx, i, p, a, readTimeout)
 	e.g.node.Breakers().Settle(admission, end)
@@ -45,11 +45,11 @@
 
 // sendAdmitted is send for an admitted request. It also returns the result for the circuit breaker.
 func (e *exchange) sendAdmitted(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, readTimeout h1.Patience) (*h1.Response, breaker.Outcome, error) {
-	a.Remaining, a.Instance, a.Workspace = time.Until(e.deadline), i.ID, e.holder.Workspace
-	a.Priority = rank(e.holder.Priority, e.route.Priority)
-	maxIdle := maxIdleRepeatable
+	a.Remaining, a.Instance, a.Workspace = time.Until(e.deadline), i.ID, e.owner.Workspace
+	a.Priority = rank(e.owner.Priority, e.route.Priority)
+	maxIdle := maxIdleIdempotent
 	if !e.route.Idempotent() {
-		maxIdle = maxIdleOnce
+		maxIdle = maxIdleNonIdempotent
 	}
 	sentAt := time.Now()
 	resp, err := e.g.conns.Do(ctx, i.Addr, h1.Request{
@@ -63,9 +63,9 @@
 	}
 	switch {
 	case errors.Is(err, h1.ErrNotSent):
-		return nil, breaker.Unanswered, errors.Join(errNotExecuted, err)
+		return nil, breaker.Unanswered, errors.Join(errNotRun, err)
 	case err != nil:
-		return nil, breaker.Unanswered, errors.Join(errMaybeExecuted, err)
+		return nil, breaker.Unanswered, errors.Join(errMayHaveRun, err)
 	}
 	head := platform.DecodeResponse(resp.Status, resp.Header)
 	e.recordSignals(i, head, resp.Status, sentAt)
@@ -78,7 +78,7 @@
 	e.rejections.Add(1)
 	e.g.stats.rejections.Inc()
 	resp.Body.Discard()
-	return nil, breaker.Rejected, fmt.Errorf("%w: status %d, at fault %q", errNotExecuted, resp.Status, head.FaultyInstance)
+	return nil, breaker.Rejected, fmt.Errorf("%w: status %d, at fault %q", errNotRun, resp.Status, head.FaultyInstance)
 }
 
 // recordSignals records the backoff, leaving notice and rate limit in the head of a response.
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -15,7 +15,7 @@
 )
 
 // extraSends is how many sends a request may make beyond its attempts, to instances that turn out
-// not to execute it.
+// not to run it.
 const extraSends = 3
 
 var errEventGap = errors.New("an event is missing")
@@ -117,9 +117,9 @@
 	if s.hedge != nil && s.adoptHedge(cause) {
 		return nil
 	}
-	// A request that no instance has executed may be sent again on any route.
-	notExecuted := errors.Is(cause, errNotExecuted) && s.attempts == 0 && s.maySend()
-	if !s.mayRetry() && !notExecuted {
+	// A request that no instance has run may be sent again on any route.
+	notRun := errors.Is(cause, errNotRun) && s.attempts == 0 && s.maySend()
+	if !s.mayRetry() && !notRun {
 		return cause
 	}
 	if err := s.checkQuarantine(); err != nil {
@@ -152,14 +152,14 @@
 	return true
 }
 
-// noteFailure records that an attempt failed. A request that the instance did not execute does not
+// noteFailure records that an attempt failed. A request that the instance did not run does not
 // count against the route's attempts.
 func (s *stream) noteFailure(err error) {
-	if errors.Is(err, errNotExecuted) {
+	if errors.Is(err, errNotRun) {
 		s.attempts--
 		return
 	}
-	s.maybeExecuted = true
+	s.mayHaveRun = true
 }
 
 // switchTo makes a hedge's attempt the current one.
@@ -184,7 +184,7 @@
 	return s.g.node.View().Routing.Services[s.service].Engine
 }
 
-// mayRetry reports whether the request may be executed once more.
+// mayRetry reports whether the request may be run once more.
 func (s *stream) mayRetry() bool {
 	return s.route.Idempotent() && s.attempts < s.route.MaxAttempts && s.maySend()
 }
@@ -220,10 +220,10 @@
 func (s *stream) forwardFailure(resp *h1.Response) error {
 	body, err := readResponse(resp)
 	if err != nil {
-		return errors.Join(errMaybeExecuted, err)
+		return errors.Join(errMayHaveRun, err)
 	}
 	if s.headSent {
-		return fmt.Errorf("%w: status %d", errMaybeExecuted, resp.Status)
+		return fmt.Errorf("%w: status %d", errMayHaveRun, resp.Status)
 	}
 	s.writeHead(resp.Status, resp.Header)
 	_, err = s.w.Write(body)
@@ -244,7 +244,7 @@
 		return nil
 	}
 	if s.hasLast && event.ID != s.lastID+1 {
-		return fmt.Errorf("%w: %w: got event %d after %d", errMaybeExecuted, errEventGap, event.ID, s.lastID)
+		return fmt.Errorf("%w: %w: got event %d after %d", errMayHaveRun, errEventGap, event.ID, s.lastID)
 	}
 	s.lastID, s.hasLast = event.ID, true
 	return nil
--- a/gateway/unary.go
+++ b/gateway/unary.go
@@ -18,7 +18,7 @@
 const (
 	// maxResponseBytes bounds a response that is buffered before it is forwarded.
 	maxResponseBytes = 16 << 20
-	// slowTimeoutFactor is how many times its latency target a repeatable request waits before it
+	// slowTimeoutFactor is how many times its latency target an idempotent request waits before it
 	// is sent to another instance.
 	slowTimeoutFactor = 1.5
 	// minSlowTimeout is the shortest such wait.
@@ -49,8 +49,8 @@
 			e.unmarkTried(i)
 			continue
 		}
-		e.maybeExecuted = e.maybeExecuted || (err != nil && !errors.Is(err, errNotExecuted))
-		if err == nil || last || ctx.Err() != nil || !(e.route.Idempotent() || errors.Is(err, errNotExecuted)) {
+		e.mayHaveRun = e.mayHaveRun || (err != nil && !errors.Is(err, errNotRun))
+		if err == nil || last || ctx.Err() != nil || !(e.route.Idempotent() || errors.Is(err, errNotRun)) {
 			return err
 		}
 		if quarantined := e.checkQuarantine(); quarantined != nil {
@@ -64,10 +64,10 @@
 }
 
 // pickInstance returns the instance to send the request to next; a rate-limited one still needs a
-// permit. A request on trial gets the instance that is assigned to it, if that is available.
+// permit. An isolated request gets the instance that is assigned to it, if that is available.
 func (e *exchange) pickInstance() (models.UpstreamInstance, bool) {
 	all := e.g.node.View().Services[e.service]
-	if place := e.trialPlace(); place != nil && len(all) > 0 {
+	if place := e.isolationIndex(); place != nil && len(all) > 0 {
 		sorted := slices.SortedFunc(slices.Values(all), func(a, b models.UpstreamInstance) int { return cmp.Compare(a.ID, b.ID) })
 		pinned := sorted[place(len(sorted))]
 		if !slices.Contains(e.tried, pinned.ID) && e.g.node.Breakers().Check(pinned) == nil {
@@ -93,13 +93,13 @@
 	}
 	body, err := readResponse(resp)
 	if err != nil {
-		return errors.Join(errMaybeExecuted, err)
+		return errors.Join(errMayHaveRun, err)
 	}
 	if resp.Status >= http.StatusInternalServerError && e.route.Idempotent() && !last {
-		return errMaybeExecuted
+		return errMayHaveRun
 	}
 	if resp.Status < http.StatusMultipleChoices && !platform.DecodeResponse(resp.Status, resp.Header).Signed {
-		return errors.Join(errMaybeExecuted, errUnsigned)
+		return errors.Join(errMayHaveRun, errUnsigned)
 	}
 	e.setContentLength(resp, body)
 	e.writeHead(resp.Status, resp.Header)
