--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -25,7 +25,7 @@
 
 // Digest identifies a request in logs and in messages between daemons, which contain neither bodies
 // nor keys. The hash is collision-resistant, so a caller can't craft a request with the digest of
-// another caller's request to have that request refused.
+// another caller's request to have that request rejected.
 type Digest [sha256.Size]byte
 
 // Digest returns the digest of the request.
--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -15,13 +15,13 @@
 	// contestedCrashLimit is the number of crashed instances that is enough whatever other requests
 	// share them.
 	contestedCrashLimit = 5
-	// quarantineTime is how long a request is refused after its last crash. After that it may be
+	// quarantineTime is how long a request is rejected after its last crash. After that it may be
 	// sent once, since the instances may have been updated; another crash starts the quarantine
 	// again.
 	quarantineTime = 15 * time.Minute
 )
 
-// Standing is the evaluation of a request.
+// Status is the evaluation of a request.
 type Status struct {
 	// Crashes is the number of instances that crashed with the request, less the crashes attributed
 	// to other requests.
@@ -32,36 +32,36 @@
 	Last time.Time
 }
 
-// OnTrial reports whether one more crash may be decisive. Such a request is isolated: it runs on an
-// instance without other requests on trial.
+// NeedsIsolation reports whether one more crash may be decisive. Such a request is isolated: it
+// runs on an instance without other isolated requests.
 func (s Status) NeedsIsolation() bool { return !s.Quarantined && s.Crashes >= CrashLimit-1 }
 
-// Standing returns the evaluation of a request.
+// Status returns the evaluation of a request.
 func (l *List) Status(d Digest) Status {
-	if s, known := l.standings[d]; known {
+	if s, known := l.statuses[d]; known {
 		return s
 	}
 	return summarize(l.unattributed(l.suspects[d]))
 }
 
-// Place returns which of the given number of places a request on trial is sent to. Requests on
-// trial get different places as long as there are enough, on all daemons that know the same
+// IsolationIndex returns which of n groups or instances an isolated request is sent to. Isolated
+// requests get different ones as long as there are enough, on all daemons that know the same
 // crashes. Otherwise, requests that share the few groups of a model would all be blamed for the
 // same crashes.
-func (l *List) IsolationIndex(d Digest, places int) int {
+func (l *List) IsolationIndex(d Digest, n int) int {
 	before := 0
 	for other := range l.suspects {
 		if bytes.Compare(other[:], d[:]) < 0 && l.Status(other).NeedsIsolation() {
 			before++
 		}
 	}
-	return before % places
+	return before % n
 }
 
 // Quarantined returns the requests that must not be sent.
 func (l *List) Quarantined() map[Digest]Status {
 	out := map[Digest]Status{}
-	for d, s := range l.standings {
+	for d, s := range l.statuses {
 		if s.Quarantined {
 			out[d] = s
 		}
@@ -75,7 +75,7 @@
 // shared instances with a crashing request are cleared once that request is identified. While
 // another request was on nearly all of the same instances, neither is identified.
 func (l *List) evaluate(now time.Time) {
-	l.standings, l.attributed = map[Digest]Status{}, map[*crash]bool{}
+	l.statuses, l.attributed = map[Digest]Status{}, map[*crash]bool{}
 	candidates := map[Digest][]*crash{}
 	for d, crashes := range l.suspects {
 		if len(crashes) >= CrashLimit {
@@ -114,7 +114,7 @@
 		s := summarize(crashes)
 		identified := len(crashes)-l.maxShared(d, crashes) >= minLead || len(crashes) >= contestedCrashLimit
 		s.Quarantined = identified && now.Sub(s.Last) < quarantineTime
-		l.standings[d] = s
+		l.statuses[d] = s
 	}
 	for _, crashes := range top {
 		for _, c := range crashes {
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -21,7 +21,7 @@
 // Crash is the crash of an instance, with the requests that it may have been running.
 type Crash struct {
 	Instance models.InstanceID
-	// Born is when the instance started, to distinguish restarts under the same ID; zero if not
+	// StartedAt is when the instance started, to distinguish restarts under the same ID; zero if not
 	// known.
 	StartedAt time.Time
 	At        time.Time
@@ -41,9 +41,9 @@
 	version uint64
 	// suspects holds the crashes of each request from which it is not cleared.
 	suspects map[Digest][]*crash
-	// standings holds the evaluation of the requests that were top suspects, attributed the crashes
+	// statuses holds the evaluation of the requests that were top suspects, attributed the crashes
 	// attributed to them.
-	standings  map[Digest]Status
+	statuses   map[Digest]Status
 	attributed map[*crash]bool
 }
 
@@ -164,7 +164,7 @@
 	return out, l.version
 }
 
-// Against returns the crashes that a request is a suspect of, each with this request only.
+// CrashesOf returns the crashes that a request is a suspect of, each with this request only.
 func (l *List) CrashesOf(d Digest) []Crash {
 	var out []Crash
 	for _, c := range l.suspects[d] {
@@ -173,7 +173,7 @@
 	return out
 }
 
-// Own reports whether this daemon itself recorded anything about a request.
+// RecordedHere reports whether this daemon itself recorded anything about a request.
 func (l *List) RecordedHere(d Digest) bool {
 	return slices.ContainsFunc(l.crashes, func(c *crash) bool {
 		i, present := c.requests[d]
@@ -215,7 +215,7 @@
 // isEvidence reports whether a quarantined request is a suspect of the crash.
 func (l *List) isEvidence(c *crash) bool {
 	for d, i := range c.requests {
-		if !i.cleared && l.standings[d].Quarantined {
+		if !i.cleared && l.statuses[d].Quarantined {
 			return true
 		}
 	}
--- a/quarantine/list_test.go
+++ b/quarantine/list_test.go
@@ -25,8 +25,8 @@
 //	TIME crash INSTANCE REQUEST...   the instance crashed with these requests
 //	TIME clear REQUEST               the request succeeded
 //	TIME prune                       prune the list
-//	want REQUEST N [quarantined|on-trial]
-//	                                 check the standing of the request and its N crashes
+//	want REQUEST N [quarantined|needs-isolation]
+//	                                 check the status of the request and its N crashes
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	qt.Assert(t, err, qt.IsNil)
@@ -49,7 +49,7 @@
 		}
 		where := qt.Commentf("%s:%d: %s", file, n+1, line)
 		if fields[0] == "want" {
-			c.Assert(fields[1]+" "+formatStanding(l.Status(digestOf(fields[1]))), qt.Equals, strings.Join(fields[1:], " "), where)
+			c.Assert(fields[1]+" "+formatStatus(l.Status(digestOf(fields[1]))), qt.Equals, strings.Join(fields[1:], " "), where)
 			continue
 		}
 		after, err := time.ParseDuration(fields[0])
@@ -76,13 +76,13 @@
 	return out
 }
 
-func formatStanding(s Status) string {
+func formatStatus(s Status) string {
 	text := fmt.Sprint(s.Crashes)
 	switch {
 	case s.Quarantined:
 		text += " quarantined"
 	case s.NeedsIsolation():
-		text += " on-trial"
+		text += " needs-isolation"
 	}
 	return text
 }
@@ -171,15 +171,15 @@
 	groups    int
 	now       time.Time
 	instances int
-	// refused counts the harmless requests that were refused, crashed the instances that the
+	// rejected counts the harmless requests that were rejected, crashed the instances that the
 	// crashing request crashed.
-	refused, crashed int
+	rejected, crashed int
 }
 
 // A request that crashes every group it runs on is retried again and again and shares each group
 // with other requests. In addition, one group in a thousand crashes by itself in the time of a
 // request. Requests of a crashed group are sent again: to a random group after one crash, each to a
-// group of its own after two. No harmless request must be refused, and the crashing request must be
+// group of its own after two. No harmless request must be rejected, and the crashing request must be
 // found after a few groups.
 func TestHarmlessRequestsAreServed(t *testing.T) {
 	const (
@@ -189,18 +189,18 @@
 		rounds      = 12
 	)
 	for _, groups := range []int{3, 5, 12} {
-		refused, most, sum := 0, 0, 0
+		rejected, most, sum := 0, 0, 0
 		for seed := range uint64(simulations) {
 			s := &simulation{r: rand.New(rand.NewPCG(seed, 39)), groups: groups, now: scriptStart}
 			s.run(harmless, rounds, crashRate)
-			refused += s.refused
+			rejected += s.rejected
 			most = max(most, s.crashed)
 			sum += s.crashed
 		}
 		t.Logf("%d groups, %d simulations, %d harmless requests a round: %d refused; the crashing request crashed %.2f groups on average, %d at most",
-			groups, simulations, harmless, refused, float64(sum)/simulations, most)
+			groups, simulations, harmless, rejected, float64(sum)/simulations, most)
 		c := qt.New(t)
-		c.Check(refused, qt.Equals, 0)
+		c.Check(rejected, qt.Equals, 0)
 		c.Check(most <= 2*CrashLimit, qt.IsTrue, qt.Commentf("%d", most))
 	}
 }
@@ -226,15 +226,15 @@
 	s.now = s.now.Add(300 * time.Millisecond)
 	assigned := make([][]string, s.groups)
 	for _, name := range waiting {
-		standing := s.list.Status(digestOf(name))
-		if standing.Quarantined {
+		status := s.list.Status(digestOf(name))
+		if status.Quarantined {
 			if name != "guilty" {
-				s.refused++
+				s.rejected++
 			}
 			continue
 		}
 		at := s.r.IntN(s.groups)
-		if standing.NeedsIsolation() {
+		if status.NeedsIsolation() {
 			at = s.list.IsolationIndex(digestOf(name), s.groups)
 		}
 		assigned[at] = append(assigned[at], name)
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -12,12 +12,12 @@
 	// reservedPermits is the part of burst that is reserved for more urgent requests while they
 	// wait.
 	reservedPermits = 1
-	// urgentWindow is how long a refused request counts as waiting.
+	// urgentWindow is how long a rejected request counts as waiting.
 	urgentWindow = time.Second
 	// unreservedInterval is the number of permits of which one is granted regardless of urgency, so
 	// that the least urgent requests don't starve.
 	unreservedInterval = 4
-	// askersPerPermit is how many refused askers may be given the same time to ask again.
+	// askersPerPermit is how many rejected askers may be given the same time to ask again.
 	askersPerPermit = 8
 	// maxWait bounds the time until an asker may ask again.
 	maxWait = 2 * time.Second
@@ -33,9 +33,9 @@
 	Rate     float64           `msgpack:"r"`
 }
 
-// Ask is a request for a permit to send one request to one of several instances.
+// PermitRequest is a request for a permit to send one request to one of several instances.
 type PermitRequest struct {
-	// Rank is the priority of the request, 0 is the most urgent.
+	// Priority is the priority of the request, 0 is the most urgent.
 	Priority int `msgpack:"k"`
 	// Wanted holds the instances in order of preference.
 	Wanted []Wanted `msgpack:"w"`
@@ -44,9 +44,9 @@
 	Charge bool `msgpack:"c,omitempty"`
 }
 
-// Grant is the answer to an Ask.
+// Grant is the response to a PermitRequest.
 type Grant struct {
-	// Granted is set if the request may be sent to the instance with index At in Wanted.
+	// Granted is set if the request may be sent to Wanted[Index].
 	Granted bool `msgpack:"g,omitempty"`
 	Index   int  `msgpack:"a,omitempty"`
 	// Waits holds for each wanted instance how long asking again is useless; zero for instances
@@ -68,25 +68,25 @@
 	rate      float64
 	// granted counts all permits.
 	granted int
-	// denied counts the asks refused since the last permit.
+	// denied counts the requests rejected since the last permit.
 	denied int
-	// urgentRank is the rank of the most urgent request refused within urgentWindow, valid until
-	// urgentUntil.
-	urgentRank  int
-	urgentUntil time.Time
+	// urgentPriority is the priority of the most urgent request rejected within urgentWindow, valid
+	// until urgentUntil.
+	urgentPriority int
+	urgentUntil    time.Time
 }
 
-// Ask grants a permit for the first of the wanted instances that may get another request now. The
+// Decide grants a permit for the first of the wanted instances that may get another request now. The
 // function rate returns the rate at which this daemon may grant permits for an instance.
-func (g *Granter) Decide(ask PermitRequest, rate func(Wanted) float64, now time.Time) Grant {
-	waits := make([]time.Duration, len(ask.Wanted))
-	if ask.Charge && len(ask.Wanted) > 0 {
-		b := g.bucket(ask.Wanted[0].Instance, now)
-		b.drain(rate(ask.Wanted[0]), now)
+func (g *Granter) Decide(req PermitRequest, rate func(Wanted) float64, now time.Time) Grant {
+	waits := make([]time.Duration, len(req.Wanted))
+	if req.Charge && len(req.Wanted) > 0 {
+		b := g.bucket(req.Wanted[0].Instance, now)
+		b.drain(rate(req.Wanted[0]), now)
 		b.level = min(b.level+1, 2*burst)
 		return Grant{Granted: true, Waits: waits}
 	}
-	for n, w := range ask.Wanted {
+	for n, w := range req.Wanted {
 		r := rate(w)
 		if r == models.NoRateLimit {
 			return Grant{Granted: true, Index: n, Waits: waits}
@@ -96,7 +96,7 @@
 			waits[n] = maxWait
 			continue
 		}
-		if waits[n] = g.bucket(w.Instance, now).take(ask.Priority, r, now); waits[n] == 0 {
+		if waits[n] = g.bucket(w.Instance, now).take(req.Priority, r, now); waits[n] == 0 {
 			return Grant{Granted: true, Index: n, Waits: waits}
 		}
 	}
@@ -125,17 +125,17 @@
 }
 
 // take takes one permit and returns zero, or returns how long no permit will be available.
-func (b *bucket) take(rank int, rate float64, now time.Time) time.Duration {
+func (b *bucket) take(priority int, rate float64, now time.Time) time.Duration {
 	b.drain(rate, now)
 	required := 1.0
 	waiting := now.Before(b.urgentUntil)
-	if waiting && rank > b.urgentRank && b.granted%unreservedInterval != 0 {
+	if waiting && priority > b.urgentPriority && b.granted%unreservedInterval != 0 {
 		required += reservedPermits
 	}
 	if excess := b.level + required - burst; excess > 0 {
 		b.denied++
-		if !waiting || rank <= b.urgentRank {
-			b.urgentRank, b.urgentUntil = rank, now.Add(urgentWindow)
+		if !waiting || priority <= b.urgentPriority {
+			b.urgentPriority, b.urgentUntil = priority, now.Add(urgentWindow)
 		}
 		wait := min(maxWait.Seconds(), excess/rate*(1+float64(b.denied)/askersPerPermit))
 		return time.Duration(wait*float64(time.Second)) + time.Millisecond
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -13,8 +13,8 @@
 
 func wantOne(id models.InstanceID) []Wanted { return []Wanted{{Instance: id, Rate: 1}} }
 
-// For any sequence of asks and rate changes, the number of permits never exceeds what the rate
-// allows plus the burst.
+// For any sequence of permit requests and rate changes, the number of permits never exceeds what
+// the rate allows plus the burst.
 func TestGrantsStayWithinRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
@@ -28,8 +28,8 @@
 			if rapid.IntRange(0, 9).Draw(t, "changes") == 0 {
 				rate = rapid.SampledFrom([]float64{0, 0.3, 1.4, 5}).Draw(t, "rate")
 			}
-			rank := rapid.IntRange(0, 9).Draw(t, "rank")
-			got := g.Decide(PermitRequest{Priority: rank, Wanted: wantOne("i")}, func(Wanted) float64 { return rate }, now)
+			priority := rapid.IntRange(0, 9).Draw(t, "rank")
+			got := g.Decide(PermitRequest{Priority: priority, Wanted: wantOne("i")}, func(Wanted) float64 { return rate }, now)
 			if !got.Granted {
 				if wait := got.Waits[0]; wait <= 0 || wait > maxWait+time.Millisecond {
 					t.Fatalf("the wait is %v", wait)
@@ -55,15 +55,15 @@
 	now := time.Unix(1_000_000, 0)
 	var g Granter
 	rate := func(Wanted) float64 { return 1 }
-	ask := func(rank int) bool {
-		return g.Decide(PermitRequest{Priority: rank, Wanted: wantOne("i")}, rate, now).Granted
+	req := func(priority int) bool {
+		return g.Decide(PermitRequest{Priority: priority, Wanted: wantOne("i")}, rate, now).Granted
 	}
 	granted := map[int]int{}
 	for range 400 {
 		now = now.Add(100 * time.Millisecond)
-		for _, rank := range []int{5, 0} {
-			if ask(rank) {
-				granted[rank]++
+		for _, priority := range []int{5, 0} {
+			if req(priority) {
+				granted[priority]++
 			}
 		}
 	}
@@ -93,11 +93,11 @@
 func ExampleGranter_Decide() {
 	var g Granter
 	now := time.Now()
-	ask := PermitRequest{Wanted: []Wanted{{Instance: "fabric-a-1", Rate: 2}, {Instance: "fabric-a-2", Rate: 2}}}
+	req := PermitRequest{Wanted: []Wanted{{Instance: "fabric-a-1", Rate: 2}, {Instance: "fabric-a-2", Rate: 2}}}
 	rate := func(w Wanted) float64 { return w.Rate }
-	fmt.Println(g.Decide(ask, rate, now).Granted)
-	later := g.Decide(ask, rate, now.Add(time.Second))
-	fmt.Println(later.Granted, ask.Wanted[later.Index].Instance)
+	fmt.Println(g.Decide(req, rate, now).Granted)
+	later := g.Decide(req, rate, now.Add(time.Second))
+	fmt.Println(later.Granted, req.Wanted[later.Index].Instance)
 	// Output:
 	// false
 	// true fabric-a-1
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -22,35 +22,35 @@
 	// every rampDoublingTime meanwhile.
 	rampUpTime       = 3 * time.Second
 	rampDoublingTime = 500 * time.Millisecond
-	// endedRetention is how long an ended limit is kept, so that outdated sightings of it are
+	// endedRetention is how long an ended limit is kept, so that outdated observations of it are
 	// recognized.
 	endedRetention = time.Minute
 	// maxSpans bounds the number of spans kept per instance.
 	maxSpans = 8
 )
 
-// Sighting is the limit that an instance announced in the header of one response.
+// Observation is the limit that an instance announced in the header of one response.
 type Observation struct {
 	Instance models.InstanceID
-	// Born is when the instance started, to distinguish restarts under the same ID; zero if not
+	// StartedAt is when the instance started, to distinguish restarts under the same ID; zero if not
 	// known.
 	StartedAt time.Time
-	// Rate is the limit in requests per second, models.NoLimit if the response had none.
+	// Rate is the limit in requests per second, models.NoRateLimit if the response had none.
 	Rate float64
-	// Asked is when the request was sent, Heard when the header of the response arrived. The
+	// SentAt is when the request was sent, ReceivedAt when the header of the response arrived. The
 	// instance announced the limit between the two.
 	SentAt, ReceivedAt time.Time
-	// By is the daemon that received the response, empty for this daemon. Number increases with
+	// Receiver is the daemon that received the response, empty for this daemon. Seq increases with
 	// each response that the daemon receives.
 	Receiver models.DaemonID
 	Seq      int64
 }
 
-// Source is the daemon that a sighting came from, empty for this daemon.
+// Source is the daemon that an observation came from, empty for this daemon.
 type Source = models.DaemonID
 
-// Limits holds the known limits of all instances. Sightings may be added in any order and any
-// number of times. A later sighting replaces an earlier one. If two overlap in time, it is not
+// Limits holds the known limits of all instances. Observations may be added in any order and any
+// number of times. A later observation replaces an earlier one. If two overlap in time, it is not
 // known which is newer, and the lower rate applies. Limits is not safe for concurrent use.
 type Limits struct {
 	limits map[models.InstanceID]*limit
@@ -61,12 +61,12 @@
 // limit is the state of one instance between two restarts.
 type limit struct {
 	instance models.UpstreamInstance
-	// spans holds the sightings that no known sighting follows, merged by rate.
+	// spans holds the observations that no known observation follows, merged by rate.
 	spans []span
-	// lastNumbers is the number of the last sighting by each daemon. The times of a relayed
-	// sighting get later by the time that the messages take, so a sighting that comes back by
+	// lastSeqs is the number of the last observation by each daemon. The times of a relayed
+	// observation get later by the time that the messages take, so an observation that comes back by
 	// another path must not count as new.
-	lastNumbers map[models.DaemonID]int64
+	lastSeqs map[models.DaemonID]int64
 	// lastRate is the rate before the limit ended at endedAt.
 	lastRate float64
 	endedAt  time.Time
@@ -76,14 +76,14 @@
 
 // span is a period in which an instance is known to have announced a rate.
 type span struct {
-	rate         float64
-	asked, heard time.Time
-	// by and number identify the sighting that was heard last.
-	by     models.DaemonID
-	number int64
+	rate               float64
+	sentAt, receivedAt time.Time
+	// receiver and seq identify the observation that was received last.
+	receiver models.DaemonID
+	seq      int64
 }
 
-// Change is the effect of a sighting on a limit.
+// Change is the effect of an observation on a limit.
 type Change int
 
 // The kinds of change.
@@ -94,35 +94,35 @@
 	Ended
 )
 
-// Note adds a sighting. It returns the change of the limit, and whether there is something to
+// Add adds an observation. It returns the change of the limit, and whether there is something to
 // publish to peers.
-func (l *Limits) Add(s Observation, source Source) (Change, bool) {
-	lim := l.limits[s.Instance]
-	if lim != nil && lim.instance.CompareIncarnation(s.StartedAt) == models.EarlierIncarnation {
+func (l *Limits) Add(o Observation, source Source) (Change, bool) {
+	lim := l.limits[o.Instance]
+	if lim != nil && lim.instance.CompareIncarnation(o.StartedAt) == models.EarlierIncarnation {
 		return Unchanged, false
 	}
-	if lim == nil && s.Rate == models.NoRateLimit {
+	if lim == nil && o.Rate == models.NoRateLimit {
 		return Unchanged, false
 	}
-	if lim == nil || lim.instance.CompareIncarnation(s.StartedAt) == models.LaterIncarnation {
+	if lim == nil || lim.instance.CompareIncarnation(o.StartedAt) == models.LaterIncarnation {
 		lim = &limit{
-			instance: models.UpstreamInstance{ID: s.Instance, StartedAt: s.StartedAt}, lastRate: models.NoRateLimit, lastNumbers: map[models.DaemonID]int64{},
+			instance: models.UpstreamInstance{ID: o.Instance, StartedAt: o.StartedAt}, lastRate: models.NoRateLimit, lastSeqs: map[models.DaemonID]int64{},
 		}
 		if l.limits == nil {
 			l.limits = map[models.InstanceID]*limit{}
 		}
-		l.limits[s.Instance] = lim
+		l.limits[o.Instance] = lim
 	}
-	if s.Seq > 0 && s.Seq <= lim.lastNumbers[s.Receiver] {
+	if o.Seq > 0 && o.Seq <= lim.lastSeqs[o.Receiver] {
 		return Unchanged, false
 	}
-	lim.lastNumbers[s.Receiver] = s.Seq
+	lim.lastSeqs[o.Receiver] = o.Seq
 	before, spans := lim.rate(), len(lim.spans)
-	newer := lim.merge(span{s.Rate, s.SentAt, s.ReceivedAt, s.Receiver, s.Seq})
+	newer := lim.merge(span{o.Rate, o.SentAt, o.ReceivedAt, o.Receiver, o.Seq})
 	after := lim.rate()
 	publish := after != before || len(lim.spans) != spans
 	if !newer && source != "" {
-		// A peer that sends an outdated sighting must receive the sighting that replaced it.
+		// A peer that sends an outdated observation must receive the observation that replaced it.
 		publish, source = true, ""
 	}
 	if publish {
@@ -149,11 +149,11 @@
 // merge adds a span unless a known span is later, and reports whether it was added. Spans that are
 // earlier than s are dropped.
 func (l *limit) merge(s span) bool {
-	if slices.ContainsFunc(l.spans, func(other span) bool { return other.asked.After(s.heard) }) {
+	if slices.ContainsFunc(l.spans, func(other span) bool { return other.sentAt.After(s.receivedAt) }) {
 		return false
 	}
 	before := l.rate()
-	l.spans = slices.DeleteFunc(l.spans, func(other span) bool { return s.asked.After(other.heard) })
+	l.spans = slices.DeleteFunc(l.spans, func(other span) bool { return s.sentAt.After(other.receivedAt) })
 	at := slices.IndexFunc(l.spans, func(other span) bool { return other.rate == s.rate })
 	switch {
 	case at >= 0:
@@ -163,7 +163,7 @@
 		l.dropHighest()
 	}
 	if before != models.NoRateLimit && l.rate() == models.NoRateLimit {
-		l.lastRate, l.endedAt = before, s.heard
+		l.lastRate, l.endedAt = before, s.receivedAt
 	}
 	return true
 }
@@ -180,9 +180,9 @@
 
 // extend merges a span of the same rate.
 func (s *span) extend(o span) {
-	s.asked = later(s.asked, o.asked)
-	if o.heard.After(s.heard) {
-		s.heard, s.by, s.number = o.heard, o.by, o.number
+	s.sentAt = later(s.sentAt, o.sentAt)
+	if o.receivedAt.After(s.receivedAt) {
+		s.receivedAt, s.receiver, s.seq = o.receivedAt, o.receiver, o.seq
 	}
 }
 
@@ -193,7 +193,7 @@
 	return b
 }
 
-// rate is the limit in force, models.NoLimit if there is none.
+// rate is the limit in force, models.NoRateLimit if there is none.
 func (l *limit) rate() float64 {
 	rate := models.NoRateLimit
 	for _, s := range l.spans {
@@ -202,17 +202,17 @@
 	return rate
 }
 
-// lastHeard is the time of the last known sighting of the instance.
-func (l *limit) lastHeard() time.Time {
+// lastReceived is the time of the last known observation of the instance.
+func (l *limit) lastReceived() time.Time {
 	var at time.Time
 	for _, s := range l.spans {
-		at = later(at, s.heard)
+		at = later(at, s.receivedAt)
 	}
 	return at
 }
 
 // Rate is the number of requests per second that an instance may get from all daemons together,
-// models.NoLimit if it is not limited. After a limit has ended, the rate increases gradually.
+// models.NoRateLimit if it is not limited. After a limit has ended, the rate increases gradually.
 func (l *Limits) Rate(i models.UpstreamInstance, now time.Time) float64 {
 	lim := l.limits[i.ID]
 	if lim == nil || i.CompareIncarnation(lim.instance.StartedAt) == models.EarlierIncarnation {
@@ -228,7 +228,7 @@
 	return max(minRate, lim.lastRate) * math.Exp2(max(0, since.Seconds())/rampDoublingTime.Seconds())
 }
 
-// Named is the limit that an instance announces.
+// Announced is the limit that an instance announces.
 func (l *Limits) Announced(id models.InstanceID) float64 {
 	if lim := l.limits[id]; lim != nil {
 		return lim.rate()
@@ -236,7 +236,7 @@
 	return models.NoRateLimit
 }
 
-// InForce is the number of instances that announce a limit.
+// CountActive is the number of instances that announce a limit.
 func (l *Limits) CountActive() int {
 	n := 0
 	for _, lim := range l.limits {
@@ -250,7 +250,7 @@
 // Empty reports whether no limit is known, ended limits included.
 func (l *Limits) Empty() bool { return len(l.limits) == 0 }
 
-// Since returns the sightings added after a version from the included sources, and the current
+// Since returns the observations added after a version from the included sources, and the current
 // version.
 func (l *Limits) Since(seen uint64, include func(Source) bool) ([]Observation, uint64) {
 	var out []Observation
@@ -259,7 +259,7 @@
 			continue
 		}
 		for _, s := range lim.spans {
-			out = append(out, Observation{Instance: id, StartedAt: lim.instance.StartedAt, Rate: s.rate, SentAt: s.asked, ReceivedAt: s.heard, Receiver: s.by, Seq: s.number})
+			out = append(out, Observation{Instance: id, StartedAt: lim.instance.StartedAt, Rate: s.rate, SentAt: s.sentAt, ReceivedAt: s.receivedAt, Receiver: s.receiver, Seq: s.seq})
 		}
 	}
 	return out, l.version
@@ -270,7 +270,7 @@
 	for id, lim := range l.limits {
 		inForce := lim.rate() != models.NoRateLimit
 		switch {
-		case inForce && gone(id) && now.Sub(lim.lastHeard()) > endedRetention, !inForce && now.Sub(lim.endedAt) > endedRetention:
+		case inForce && gone(id) && now.Sub(lim.lastReceived()) > endedRetention, !inForce && now.Sub(lim.endedAt) > endedRetention:
 			delete(l.limits, id)
 		}
 	}
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -11,9 +11,9 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// drawSightings draws the sightings of an instance that announces several rates one after the
+// drawObservations draws the observations of an instance that announces several rates one after the
 // other.
-func drawSightings(t *rapid.T, began time.Time) []Observation {
+func drawObservations(t *rapid.T, began time.Time) []Observation {
 	var out []Observation
 	rates := rapid.SliceOfN(rapid.SampledFrom([]float64{0.5, 1.5, 2, 4, models.NoRateLimit}), 1, 5).Draw(t, "rates")
 	ms := func(most int, label string) time.Duration {
@@ -29,25 +29,25 @@
 	return out
 }
 
-// Daemons that receive the same sightings in another order, some of them twice, compute the same
-// limit, and never a limit above the rates of the last overlapping sightings.
-func TestSightingsMergeInAnyOrder(t *testing.T) {
+// Daemons that receive the same observations in another order, some of them twice, compute the same
+// limit, and never a limit above the rates of the last overlapping observations.
+func TestObservationsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		began := time.Unix(1_000_000, 0)
-		sightings := drawSightings(t, began)
+		observations := drawObservations(t, began)
 		want := models.NoRateLimit
-		for _, s := range sightings {
+		for _, s := range observations {
 			superseded := false
-			for _, other := range sightings {
+			for _, other := range observations {
 				superseded = superseded || other.SentAt.After(s.ReceivedAt)
 			}
 			if !superseded {
 				want = min(want, s.Rate)
 			}
 		}
-		order := rapid.Permutation(append(sightings, sightings[0], sightings[len(sightings)-1])).Draw(t, "order")
+		order := rapid.Permutation(append(observations, observations[0], observations[len(observations)-1])).Draw(t, "order")
 		var l Limits
-		// Nothing is kept before the first sighting with a limit.
+		// Nothing is kept before the first observation with a limit.
 		l.Add(Observation{Instance: "i1", Rate: 1, SentAt: began.Add(-2 * time.Second), ReceivedAt: began.Add(-time.Second)}, "")
 		for _, s := range order {
 			l.Add(s, "")
@@ -58,8 +58,8 @@
 	})
 }
 
-// A sighting that changes nothing is not published again, and an outdated sighting is answered with
-// the current one.
+// An observation that changes nothing is not published again, and an outdated observation is
+// answered with the current one.
 func TestKnownLimitsAreNotPublishedAgain(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
@@ -82,9 +82,9 @@
 	c.Assert(published, qt.DeepEquals, []Observation{{Instance: "i1", Rate: 2, SentAt: at(20), ReceivedAt: at(30)}})
 }
 
-// A sighting that is relayed repeatedly between daemons, each time with a later time, must not
+// An observation that is relayed repeatedly between daemons, each time with a later time, must not
 // delay the end of the limit.
-func TestRelayedSightingsAreIgnored(t *testing.T) {
+func TestRelayedObservationsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
