--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -26,7 +26,7 @@
 		p := NewPlanner(1, s.now)
 		now := s.now
 		for orders := 0; orders == 0; now = now.Add(simStep) {
-			w := s.world()
+			w := s.snapshot()
 			w.Now = now
 			began := time.Now()
 			orders = len(p.Step(w))
--- a/fleet/convert.go
+++ b/fleet/convert.go
@@ -17,7 +17,7 @@
 	// groups: their domain then has no spares to repair the next loss with.
 	minRepairGain = 0.02
 	minShiftGain  = 0.12
-	// safeUtilization is the fraction of busy slots up to which a model may always give up
+	// safeUtilization is the utilization up to which a model may always give up
 	// instances: its streams are not slowed down at that utilization.
 	safeUtilization = 0.35
 	// minShiftInterval is the minimum time from a planner's start, and from its last conversion,
--- a/fleet/formation.go
+++ b/fleet/formation.go
@@ -96,7 +96,7 @@
 }
 
 // adopt turns a group that another planner began to form into a formation. Its members are ordered
-// to join again. That takes no time, and the newer fence makes them refuse orders of the other
+// to join again. That takes no time, and the newer fence makes them reject orders of the other
 // planner before the group is opened.
 func (r *round) adopt(g *Group, profile models.ModelProfile) {
 	f := &formation{
--- a/fleet/layout.go
+++ b/fleet/layout.go
@@ -64,34 +64,34 @@
 }
 
 // computeLayout computes a layout for the given domains and demand.
-func (w Snapshot) computeLayout(in layoutInput) layout {
+func (s Snapshot) computeLayout(in layoutInput) layout {
 	if len(in.sizes) == 0 {
 		return layout{}
 	}
-	if w.hasSpares(in) {
-		return w.dedicateDomains(in)
+	if s.hasSpares(in) {
+		return s.dedicateDomains(in)
 	}
-	return w.spreadGroups(in)
+	return s.spreadGroups(in)
 }
 
 // hasSpares reports whether the largest domain has instances left over when filled with the largest
 // groups.
-func (w Snapshot) hasSpares(in layoutInput) bool {
+func (s Snapshot) hasSpares(in layoutInput) bool {
 	largest := 0
 	for _, size := range in.sizes {
 		largest = max(largest, size)
 	}
-	bySize := w.bySize()
+	bySize := s.bySize()
 	return largest%bySize[0].GroupSize != 0 || bySize[0].GroupSize == bySize[len(bySize)-1].GroupSize
 }
 
 // dedicateDomains assigns each domain to one model, always to the model with the fewest instances
 // for its demand.
-func (w Snapshot) dedicateDomains(in layoutInput) layout {
+func (s Snapshot) dedicateDomains(in layoutInput) layout {
 	out, supplied := layout{}, supply{}
 	room := maps.Clone(in.sizes)
 	for len(room) > 0 {
-		m := slices.MinFunc(w.bySize(), func(a, b models.ModelProfile) int {
+		m := slices.MinFunc(s.bySize(), func(a, b models.ModelProfile) int {
 			return cmp.Compare(float64(supplied[a.Name])/in.demand[a.Name], float64(supplied[b.Name])/in.demand[b.Name])
 		})
 		domain := in.domainWithMostRoom(room, out, m)
@@ -105,25 +105,25 @@
 
 // spreadGroups computes the layout that is best after every domain has lost an instance, unless a
 // model would have no group in it.
-func (w Snapshot) spreadGroups(in layoutInput) layout {
+func (s Snapshot) spreadGroups(in layoutInput) layout {
 	reduced := in
 	reduced.sizes = map[models.Domain]int{}
 	for domain, size := range in.sizes {
 		reduced.sizes[domain] = size - 1
 	}
-	counts := w.optimizeFill(reduced).groupCounts()
-	for _, m := range w.Profile.Models {
+	counts := s.optimizeFill(reduced).groupCounts()
+	for _, m := range s.Profile.Models {
 		if counts[m.Name] == 0 {
-			return w.optimizeFill(in)
+			return s.optimizeFill(in)
 		}
 	}
-	out, _ := w.fillDomains(in, counts)
+	out, _ := s.fillDomains(in, counts)
 	return out
 }
 
 // optimizeFill searches for the number of groups of each model with the lowest congestion. It
 // starts with numbers proportional to the demand and changes them one group at a time.
-func (w Snapshot) optimizeFill(in layoutInput) layout {
+func (s Snapshot) optimizeFill(in layoutInput) layout {
 	totalInstances, totalDemand := 0, 0.0
 	for _, size := range in.sizes {
 		totalInstances += size
@@ -131,19 +131,19 @@
 	for _, demand := range in.demand {
 		totalDemand += demand
 	}
-	bySize := w.bySize()
+	bySize := s.bySize()
 	counts := map[models.ModelName]int{}
 	for _, m := range bySize {
 		counts[m.Name] = int(in.demand[m.Name] / totalDemand * float64(totalInstances) / float64(m.GroupSize))
 	}
-	best, lowest := w.fillDomains(in, counts)
+	best, lowest := s.fillDomains(in, counts)
 	for improved := true; improved; {
 		improved = false
 		for _, m := range bySize[:len(bySize)-1] {
 			for _, step := range []int{-1, 1} {
 				trial := maps.Clone(counts)
 				trial[m.Name] = max(0, trial[m.Name]+step)
-				if l, congestion := w.fillDomains(in, trial); congestion < lowest {
+				if l, congestion := s.fillDomains(in, trial); congestion < lowest {
 					best, lowest, counts, improved = l, congestion, trial, true
 				}
 			}
@@ -165,12 +165,12 @@
 
 // fillDomains places the given number of groups of each model, and as many groups of the smallest
 // model as fit. It returns the layout and its congestion.
-func (w Snapshot) fillDomains(in layoutInput, counts map[models.ModelName]int) (layout, float64) {
+func (s Snapshot) fillDomains(in layoutInput, counts map[models.ModelName]int) (layout, float64) {
 	room, out, supplied := maps.Clone(in.sizes), layout{}, supply{}
 	for domain := range room {
 		out[domain] = map[models.ModelName]int{}
 	}
-	bySize := w.bySize()
+	bySize := s.bySize()
 	smallest := bySize[len(bySize)-1]
 	for _, m := range bySize {
 		for n := 0; n < counts[m.Name] || m.Name == smallest.Name; n++ {
@@ -183,7 +183,7 @@
 			supplied[m.Name] += m.GroupSize
 		}
 	}
-	return out, w.congestion(supplied)
+	return out, s.congestion(supplied)
 }
 
 // domainWithMostRoom returns the domain with the most unassigned instances; ties go to the zone
--- a/fleet/planner.go
+++ b/fleet/planner.go
@@ -3,7 +3,7 @@
 // state of the instances, and returns orders.
 //
 // The instances are the source of truth. A new planner adopts the groups that it finds. A replaced
-// planner is fenced off: every instance refuses orders with an older fence than it has seen.
+// planner is fenced off: every instance rejects orders with an older fence than it has seen.
 package fleet
 
 import (
@@ -22,16 +22,16 @@
 	// orderRetryInterval is how long an order may stay unanswered or without effect before it is
 	// issued again under a newer fence.
 	orderRetryInterval = 600 * time.Millisecond
-	// unfitBackoff is how long an instance that refused an order gets no new group.
+	// unfitBackoff is how long an instance that rejected an order gets no new group.
 	unfitBackoff = 2 * time.Second
 	// deadlineSlack is added to the expected time of a formation, staging or warming to get its
 	// deadline; deadlineFactor allows for loads that slow each other down.
 	deadlineSlack  = 3 * time.Second
 	deadlineFactor = 2
-	// Rejoin is how long an instance takes to join a group of the model that it ran last, as
+	// RejoinTime is how long an instance takes to join a group of the model that it ran last, as
 	// specified by the engines' vendors.
 	RejoinTime = 200 * time.Millisecond
-	// cutRetryInterval is how soon a head that began to close receives the order again: its answer
+	// cutRetryInterval is how soon a head that began to close receives the order again: its response
 	// tells when it has closed.
 	cutRetryInterval = 30 * time.Millisecond
 	// finishRetryInterval is the same for a head that finishes its requests, which takes about a
@@ -43,35 +43,35 @@
 	loadRateFraction = 0.8
 )
 
-// World is the planner's input: the known state at one moment.
+// Snapshot is the planner's input: the known state at one moment.
 type Snapshot struct {
 	Now     time.Time
 	Profile *models.EngineProfile
 	// Instances holds the instances of the model service that have an entry in the store.
 	Instances map[models.InstanceID]models.UpstreamInstance
-	// Lost holds instances that have an entry but do not answer.
+	// Unreachable holds instances that have an entry but do not answer.
 	Unreachable map[models.InstanceID]bool
 	// Unlisted holds members of groups that have no entry any more. Their groups may go on, but
 	// they join no new groups.
 	Unlisted map[models.InstanceID]bool
-	// Unproven holds instances that the planner has not queried in its own term. Their known state
+	// Unverified holds instances that the planner has not queried in its own term. Their known state
 	// may be older than the last orders of the previous planner, so they join no new groups.
 	Unverified map[models.InstanceID]bool
 	// Demand is the fraction of all instances that each model needs.
 	Demand map[models.ModelName]float64
-	// Busy is the number of requests in flight in each model's groups.
+	// InFlight is the number of requests in flight in each model's groups.
 	InFlight map[models.ModelName]float64
-	// Withheld is the number of slots of each model's groups that can't be used because their heads
-	// announce rate limits.
+	// LimitedSlots is the number of slots of each model's groups that can't be used because their
+	// heads announce rate limits.
 	LimitedSlots map[models.ModelName]float64
-	// Traffic is set once requests have arrived. Until then loads are cheap.
+	// HasTraffic is set once requests have arrived. Until then loads are cheap.
 	HasTraffic bool
 }
 
 // usable reports whether an instance may be a member of a group.
-func (w Snapshot) usable(id models.InstanceID) bool {
-	i, present := w.Instances[id]
-	return present && !w.Unreachable[id] && !w.Unlisted[id] && !i.Draining
+func (s Snapshot) usable(id models.InstanceID) bool {
+	i, present := s.Instances[id]
+	return present && !s.Unreachable[id] && !s.Unlisted[id] && !i.Draining
 }
 
 // maxOrders is the number of fences and epochs of a term, less a reserve for the orders of one
@@ -91,7 +91,7 @@
 	sent map[models.InstanceID]*sentOrder
 	// startTimes is the last known start time of each instance.
 	startTimes map[models.InstanceID]time.Time
-	// backoffUntil is how long instances that refused an order get no new group.
+	// backoffUntil is how long instances that rejected an order get no new group.
 	backoffUntil map[models.InstanceID]time.Time
 	// layout is the plan for groups formed before there is traffic, layoutBasis its input.
 	layout      layout
@@ -167,12 +167,12 @@
 }
 
 // Step runs one planning round and returns the orders that are due.
-func (p *Planner) Step(w Snapshot) []types.GroupOrder {
-	if w.Profile == nil || len(w.Profile.Models) == 0 {
+func (p *Planner) Step(s Snapshot) []types.GroupOrder {
+	if s.Profile == nil || len(s.Profile.Models) == 0 {
 		return nil
 	}
-	r := &round{Planner: p, Snapshot: w, groups: Groups(w.Instances), reserved: map[models.InstanceID]bool{}, assigned: supply{}, assignedByDomain: map[models.Domain]supply{}}
-	r.arrivals.observe(w.Instances, w.Now)
+	r := &round{Planner: p, Snapshot: s, groups: Groups(s.Instances), reserved: map[models.InstanceID]bool{}, assigned: supply{}, assignedByDomain: map[models.Domain]supply{}}
+	r.arrivals.observe(s.Instances, s.Now)
 	r.detectRestarts()
 	r.pruneState()
 	r.advanceFormations()
@@ -191,7 +191,8 @@
 	return r.orders
 }
 
-// Expects returns the kind of the order that the instance is executing, empty if there is none.
+// OrderInProgress returns the kind of the order that the instance is executing, empty if there is
+// none.
 func (p *Planner) OrderInProgress(id models.InstanceID) types.GroupOrderKind {
 	if s := p.sent[id]; s != nil && s.outcome == types.OrderBegun {
 		return s.order.Kind
@@ -209,7 +210,7 @@
 // Counts returns the counts after the last Step.
 func (p *Planner) Counts() Counts { return p.counts }
 
-// Note records the outcome of an order.
+// RecordOutcome records the outcome of an order.
 func (p *Planner) RecordOutcome(o types.GroupOrder, outcome types.OrderOutcome, now time.Time) {
 	if (models.UpstreamInstance{StartedAt: p.startTimes[o.Instance]}).CompareIncarnation(o.Born) != models.SameIncarnation {
 		// The instance has restarted since the order.
--- a/fleet/property_test.go
+++ b/fleet/property_test.go
@@ -56,7 +56,7 @@
 func (s *sim) injectFault(t *rapid.T, term int64) int64 {
 	ids := slices.Sorted(maps.Keys(s.instances))
 	i := s.instances[rapid.SampledFrom(ids).Draw(t, "instance")]
-	switch rapid.SampledFrom([]string{"kill", "cut", "heal", "suspect", "drain", "add", "planner", "busy", "shift"}).Draw(t, "fault") {
+	switch rapid.SampledFrom([]string{"kill", "cut", "heal", "suspect", "drain", "add", "planner", "in-flight", "shift"}).Draw(t, "fault") {
 	case "kill":
 		i.dead = true
 	case "cut":
@@ -73,8 +73,8 @@
 	case "planner":
 		term++
 		s.planners = append(s.planners[max(0, len(s.planners)-1):], NewPlanner(term, s.now))
-	case "busy":
-		s.busy["big"] = float64(rapid.IntRange(0, 80).Draw(t, "busy"))
+	case "in-flight":
+		s.requests["big"] = float64(rapid.IntRange(0, 80).Draw(t, "requests in flight"))
 	case "shift":
 		s.demand["big"] = rapid.Float64Range(0, 1).Draw(t, "need")
 		s.demand["small"] = 1 - s.demand["big"]
--- a/fleet/script_test.go
+++ b/fleet/script_test.go
@@ -36,7 +36,7 @@
 //	late FRACTION           from now on this fraction of the orders is
 //	                        not answered and executed late
 //	demand MODEL FRACTION   set the fraction of the instances that a model needs
-//	busy MODEL N            set the requests in flight in the model's groups
+//	in-flight MODEL N       set the requests in flight in the model's groups
 //	run DURATION            advance the time
 //	kill ID...              kill the instances
 //	gone ID...              remove the entries of the instances
@@ -44,8 +44,8 @@
 //	restart ID...           restart the instances under the same IDs
 //	restart-heads MODEL N   restart the heads of N serving groups
 //	restart-members MODEL N restart a member other than the head in N serving groups
-//	suspect ID...           planners consider the instances lost
-//	trust ID...             planners don't consider them lost any more
+//	suspect ID...           planners consider the instances unreachable
+//	trust ID...             planners consider them reachable again
 //	serving MODEL OP N      check the number of complete serving groups
 //	staged MODEL OP N       check the number of hosts that have the model's weights
 //	idle OP N               check the number of instances in no complete serving group
@@ -98,7 +98,7 @@
 		return nil
 	}
 	switch fields[0] {
-	case "domain", "planner", "only", "late", "demand", "busy", "run":
+	case "domain", "planner", "only", "late", "demand", "in-flight", "run":
 		return s.numericCommand(fields)
 	case "traffic":
 		s.traffic = true
@@ -208,8 +208,8 @@
 		s.lateFraction = number
 	case "demand":
 		s.demand[models.ModelName(fields[1])] = number
-	case "busy":
-		s.busy[models.ModelName(fields[1])] = number
+	case "in-flight":
+		s.requests[models.ModelName(fields[1])] = number
 	}
 	return nil
 }
--- a/fleet/sim_test.go
+++ b/fleet/sim_test.go
@@ -39,7 +39,7 @@
 	at      time.Time
 	order   types.GroupOrder
 	planner *Planner
-	// unanswered orders are executed without an answer.
+	// unanswered orders are executed without a response.
 	unanswered bool
 }
 
@@ -55,7 +55,7 @@
 	memberLists map[models.GroupKey][]models.InstanceID
 	loads       []time.Time
 	demand      map[models.ModelName]float64
-	busy        map[models.ModelName]float64
+	requests    map[models.ModelName]float64
 	traffic     bool
 	// lateFraction is the fraction of the orders that are executed 2 to 12 s late and not answered.
 	lateFraction float64
@@ -65,7 +65,7 @@
 	ignoreFences bool
 	// cheapLoads reduces load times to a tenth until there is traffic.
 	cheapLoads bool
-	// suspected holds the instances that planners consider lost.
+	// suspected holds the instances that planners consider unreachable.
 	suspected map[models.InstanceID]bool
 }
 
@@ -73,7 +73,7 @@
 	return &sim{
 		now: time.Unix(0, 0), profile: profile, instances: map[models.InstanceID]*simInstance{},
 		everReady: map[models.GroupKey]map[models.InstanceID]bool{}, memberLists: map[models.GroupKey][]models.InstanceID{},
-		demand: map[models.ModelName]float64{}, busy: map[models.ModelName]float64{},
+		demand: map[models.ModelName]float64{}, requests: map[models.ModelName]float64{},
 		rand: rand.New(rand.NewPCG(seed, 1)), suspected: map[models.InstanceID]bool{},
 	}
 }
@@ -98,7 +98,7 @@
 			s.advance(s.instances[id])
 		}
 		for _, p := range s.planners {
-			for _, o := range p.Step(s.world()) {
+			for _, o := range p.Step(s.snapshot()) {
 				s.send(p, o)
 			}
 		}
@@ -106,10 +106,10 @@
 	}
 }
 
-func (s *sim) world() Snapshot {
+func (s *sim) snapshot() Snapshot {
 	w := Snapshot{
 		Now: s.now, Profile: s.profile, Instances: map[models.InstanceID]models.UpstreamInstance{},
-		Unreachable: map[models.InstanceID]bool{}, Demand: s.demand, InFlight: s.busy, HasTraffic: s.traffic,
+		Unreachable: map[models.InstanceID]bool{}, Demand: s.demand, InFlight: s.requests, HasTraffic: s.traffic,
 	}
 	for id, i := range s.instances {
 		w.Instances[id] = i.UpstreamInstance
@@ -315,7 +315,7 @@
 // serving counts the complete serving groups of a model.
 func (s *sim) serving(model models.ModelName) int {
 	n := 0
-	for _, g := range Groups(s.world().Instances) {
+	for _, g := range Groups(s.snapshot().Instances) {
 		profile, _ := s.profile.Model(g.Model)
 		complete := g.Serving() && g.Model == model && g.complete(profile.GroupSize)
 		for _, id := range g.Members {
--- a/fleet/staging.go
+++ b/fleet/staging.go
@@ -16,12 +16,12 @@
 	// prestagedGroups is the number of groups of a larger model for which weights are staged in
 	// domains without a group of that model.
 	prestagedGroups = 2
-	// highUtilization is the fraction of busy slots from which a model is short of instances: from
-	// 0.75 on, an engine's pauses get longer. lowUtilization is the fraction up to which another
+	// highUtilization is the utilization from which a model is short of instances: from
+	// 0.75 on, an engine's pauses get longer. lowUtilization is the utilization up to which another
 	// model can do without new instances.
 	highUtilization = 0.8
 	lowUtilization  = 0.62
-	// prestageUtilization is the fraction of busy slots from which a smaller model's weights are
+	// prestageUtilization is the utilization from which a smaller model's weights are
 	// staged on hosts of larger groups, which are harder to replace.
 	prestageUtilization = 0.6
 	// reservedLoads is how many of the weight store's concurrent loads are reserved for repairs and
--- a/fleet/supply.go
+++ b/fleet/supply.go
@@ -14,22 +14,22 @@
 type supply map[models.ModelName]int
 
 // demandOf returns the fraction of all instances that the model needs.
-func (w Snapshot) demandOf(m models.ModelProfile) float64 { return max(minDemand, w.Demand[m.Name]) }
+func (s Snapshot) demandOf(m models.ModelProfile) float64 { return max(minDemand, s.Demand[m.Name]) }
 
 // marginalGain is the gain from one more instance: the decrease in the waiting time of a request,
 // times the number of requests.
-func (w Snapshot) marginalGain(m models.ModelProfile, s supply) float64 {
-	ratio := w.demandOf(m) / effectiveSupply(m, s)
+func (s Snapshot) marginalGain(m models.ModelProfile, sup supply) float64 {
+	ratio := s.demandOf(m) / effectiveSupply(m, sup)
 	return ratio * ratio
 }
 
 // congestion is a measure of how badly all models together are supplied. The waiting time of a
 // model's requests grows with its demand over its supply, so each model adds its demand times that
 // ratio.
-func (w Snapshot) congestion(s supply) float64 {
+func (s Snapshot) congestion(sup supply) float64 {
 	sum := 0.0
-	for _, m := range w.Profile.Models {
-		sum += w.demandOf(m) * w.demandOf(m) / effectiveSupply(m, s)
+	for _, m := range s.Profile.Models {
+		sum += s.demandOf(m) * s.demandOf(m) / effectiveSupply(m, sup)
 	}
 	return sum
 }
@@ -43,16 +43,16 @@
 	return max(float64(s[m.Name]), noGroupFraction*float64(m.GroupSize))
 }
 
-// utilization is the fraction of the model's slots that are busy if its groups have this many
+// utilization is the fraction of the model's slots that are in use if its groups have this many
 // instances.
-func (w Snapshot) utilization(m models.ModelProfile, instances int) float64 {
-	slots := float64(instances/m.GroupSize*w.Profile.Slots) - w.LimitedSlots[m.Name]
-	return w.InFlight[m.Name] / max(1, slots)
+func (s Snapshot) utilization(m models.ModelProfile, instances int) float64 {
+	slots := float64(instances/m.GroupSize*s.Profile.Slots) - s.LimitedSlots[m.Name]
+	return s.InFlight[m.Name] / max(1, slots)
 }
 
 // bySize lists the models by group size, largest first.
-func (w Snapshot) bySize() []models.ModelProfile {
-	out := slices.Clone(w.Profile.Models)
+func (s Snapshot) bySize() []models.ModelProfile {
+	out := slices.Clone(s.Profile.Models)
 	slices.SortStableFunc(out, func(a, b models.ModelProfile) int { return b.GroupSize - a.GroupSize })
 	return out
 }
--- a/fleet/supply_test.go
+++ b/fleet/supply_test.go
@@ -8,9 +8,9 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// TestWithheldSlotsAreNotIdle checks that the slots of groups whose heads announce rate limits do
+// TestLimitedSlotsAreNotIdle checks that the slots of groups whose heads announce rate limits do
 // not count as idle, so that these groups don't become donors.
-func TestWithheldSlotsAreNotIdle(t *testing.T) {
+func TestLimitedSlotsAreNotIdle(t *testing.T) {
 	c := qt.New(t)
 	m := models.ModelProfile{Name: "m", GroupSize: 2}
 	w := Snapshot{Profile: &models.EngineProfile{Slots: 10, Models: []models.ModelProfile{m}}, InFlight: map[models.ModelName]float64{"m": 12}}
--- a/fleet/warming.go
+++ b/fleet/warming.go
@@ -8,8 +8,8 @@
 )
 
 // warming is a spare that joins a group of its own, which is never opened, and leaves it again. An
-// instance joins a group of the model that it ran last within Rejoin rather than within Warm, the
-// time with the weights only on its host, so a broken group is repaired faster.
+// instance joins a group of the model that it ran last within RejoinTime rather than within
+// WarmLoadTime, the time with the weights only on its host, so a broken group is repaired faster.
 type warming struct {
 	key      models.GroupKey
 	model    models.ModelName
@@ -23,8 +23,8 @@
 		i := r.Instances[id]
 		member := i.Group.Key == w.key && i.Group.State != models.MemberNone
 		ready := member && i.Group.State == models.MemberReady
-		_, refused := r.backoffUntil[id]
-		if !ready && !refused && r.usable(id) && !r.Now.After(w.deadline) {
+		_, rejected := r.backoffUntil[id]
+		if !ready && !rejected && r.usable(id) && !r.Now.After(w.deadline) {
 			r.reserved[id] = true
 			r.orderWarmingJoin(id, w)
 			continue
--- a/membership/granters.go
+++ b/membership/granters.go
@@ -18,16 +18,16 @@
 
 // Granter returns the daemon that grants permits for the instances of a zone, empty if none is
 // known.
-func (a *Topology) Granter(zone models.Zone) models.DaemonID {
-	if id, known := a.Granters[zone]; known {
+func (t *Topology) Granter(zone models.Zone) models.DaemonID {
+	if id, known := t.Granters[zone]; known {
 		return id
 	}
-	return a.Granters[otherZones]
+	return t.Granters[otherZones]
 }
 
 // ShareOf returns the share for the instances of a zone.
-func (a *Topology) ShareOf(shares map[models.Zone]float64, zone models.Zone) float64 {
-	if _, known := a.Granters[zone]; known {
+func (t *Topology) ShareOf(shares map[models.Zone]float64, zone models.Zone) float64 {
+	if _, known := t.Granters[zone]; known {
 		return shares[zone]
 	}
 	return shares[otherZones]
@@ -36,38 +36,38 @@
 // addGranters determines the granters. In a mesh, the granter of a zone is its highest-ranked live
 // daemon; with relays, its highest-ranked live relay. Only relays receive heartbeats from relays of
 // other zones. They pass the granters on to the daemons that use them as relays.
-func (r *Roster) addGranters(a *Topology, relays map[models.Zone][]Daemon) {
-	a.Granters = map[models.Zone]models.DaemonID{}
-	a.voteRelay, _ = r.firstLive(relays[r.self.Zone])
+func (r *Roster) addGranters(t *Topology, relays map[models.Zone][]Daemon) {
+	t.Granters = map[models.Zone]models.DaemonID{}
+	t.voteRelay, _ = r.firstLive(relays[r.self.Zone])
 	switch {
-	case a.IsMesh:
-		for _, d := range a.PlannerCandidates {
-			// Planners are in order of rank.
-			if _, known := a.Granters[d.Zone]; !known {
-				a.Granters[d.Zone] = d.ID
+	case t.IsMesh:
+		for _, d := range t.PlannerCandidates {
+			// PlannerCandidates is in order of rank.
+			if _, known := t.Granters[d.Zone]; !known {
+				t.Granters[d.Zone] = d.ID
 			}
 		}
-	case a.voteRelay == r.self.ID:
+	case t.voteRelay == r.self.ID:
 		for zone, zoneRelays := range relays {
 			if id, live := r.firstLive(zoneRelays); live {
-				a.Granters[zone] = id
+				t.Granters[zone] = id
 			}
 		}
-	case a.voteRelay != "":
-		maps.Copy(a.Granters, r.members[a.voteRelay].Granters)
-		a.Granters[r.self.Zone] = a.voteRelay
+	case t.voteRelay != "":
+		maps.Copy(t.Granters, r.members[t.voteRelay].Granters)
+		t.Granters[r.self.Zone] = t.voteRelay
 	}
-	delete(a.Granters, otherZones)
-	if len(a.Granters) == 0 {
+	delete(t.Granters, otherZones)
+	if len(t.Granters) == 0 {
 		return
 	}
 	// Zones without live daemons get an entry too. Otherwise, a daemon that others ask for permits
 	// of such a zone would be taken for the granter of all zones without daemons.
-	fallback := a.Granters[slices.Min(slices.Collect(maps.Keys(a.Granters)))]
-	a.Granters[otherZones] = fallback
+	fallback := t.Granters[slices.Min(slices.Collect(maps.Keys(t.Granters)))]
+	t.Granters[otherZones] = fallback
 	for _, m := range r.members {
-		if _, known := a.Granters[m.Zone]; !known {
-			a.Granters[m.Zone] = fallback
+		if _, known := t.Granters[m.Zone]; !known {
+			t.Granters[m.Zone] = fallback
 		}
 	}
 }
@@ -76,7 +76,7 @@
 func (r *Roster) firstLive(daemons []Daemon) (models.DaemonID, bool) {
 	at := slices.IndexFunc(daemons, func(d Daemon) bool {
 		m := r.members[d.ID]
-		return d.ID == r.self.ID || (m != nil && !m.lastHeard.IsZero())
+		return d.ID == r.self.ID || (m != nil && !m.lastHeartbeat.IsZero())
 	})
 	if at < 0 {
 		return "", false
@@ -95,19 +95,19 @@
 // voteValid reports whether the vote in the member's last heartbeat is still valid.
 func (m *member) voteValid(now time.Time) bool {
 	lifetime := max(minVoteLifetime, time.Duration(voteLifetimeIntervals*float64(m.Interval)))
-	return !m.lastHeard.IsZero() && now.Sub(m.lastHeard) <= lifetime
+	return !m.lastHeartbeat.IsZero() && now.Sub(m.lastHeartbeat) <= lifetime
 }
 
 // Votes returns the number of votes that this daemon has for another daemon as a granter, by zone
 // of the instances. With relays, one relay of each zone also casts the votes of the daemons of its
 // zone that ask it.
-func (r *Roster) Votes(a *Topology, to models.DaemonID) map[models.Zone]int {
+func (r *Roster) Votes(t *Topology, to models.DaemonID) map[models.Zone]int {
 	weight := 1
 	switch {
-	case a.IsMesh || to == a.voteRelay:
-	case a.voteRelay == r.self.ID:
+	case t.IsMesh || to == t.voteRelay:
+	case t.voteRelay == r.self.ID:
 		for _, m := range r.members {
-			if !m.lastHeard.IsZero() && m.Zone == r.self.Zone && m.Votes[m.Zone] > 0 {
+			if !m.lastHeartbeat.IsZero() && m.Zone == r.self.Zone && m.Votes[m.Zone] > 0 {
 				weight++
 			}
 		}
@@ -115,7 +115,7 @@
 		return nil
 	}
 	votes := map[models.Zone]int{}
-	for zone, id := range a.Granters {
+	for zone, id := range t.Granters {
 		if id == to {
 			votes[zone] = weight
 		}
@@ -128,14 +128,14 @@
 // With fewer votes, it grants half of the fraction of its votes, since the others may vote for a
 // daemon that this one does not hear. All granters together never grant more than 1.25 times a
 // rate.
-func (r *Roster) Shares(a *Topology, now time.Time) map[models.Zone]float64 {
+func (r *Roster) Shares(t *Topology, now time.Time) map[models.Zone]float64 {
 	total := len(r.members) + 1
 	for _, m := range r.members {
 		// Sizes reported by daemons that are silent now count too.
 		total = max(total, m.Size)
 	}
 	shares := map[models.Zone]float64{}
-	for zone, id := range a.Granters {
+	for zone, id := range t.Granters {
 		if id != r.self.ID {
 			continue
 		}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -21,14 +21,14 @@
 
 // Policy holds the parameters of the topology.
 type Policy struct {
-	// Few is the maximum number of daemons, this daemon included, that form a full mesh.
+	// MaxMeshSize is the maximum number of daemons, this daemon included, that form a full mesh.
 	MaxMeshSize int
 	// RelaysPerZone is the number of relays of an availability zone.
 	RelaysPerZone int
 	// FirstHeartbeatTimeout is how long this daemon waits for the first heartbeat of a daemon that
 	// should send heartbeats to it.
 	FirstHeartbeatTimeout time.Duration
-	// Beats is the number of consecutive heartbeats that a live daemon may miss.
+	// MaxMissedHeartbeats is the number of consecutive heartbeats that a live daemon may miss.
 	MaxMissedHeartbeats int
 	// SilentBackoff is how long a daemon that became silent is skipped.
 	SilentBackoff time.Duration
@@ -43,7 +43,7 @@
 		// With two relays, the other one takes over without a gap in the broadcasts if one is lost.
 		// A third relay would send every broadcast to each daemon once more.
 		RelaysPerZone: 2,
-		// As long as Beats heartbeats of a relay.
+		// The time of MaxMissedHeartbeats heartbeats of a relay.
 		FirstHeartbeatTimeout: 1200 * time.Millisecond,
 		MaxMissedHeartbeats:   4,
 		// Longer than a daemon takes to restart, which is 0.6 to 4 s.
@@ -55,12 +55,12 @@
 type Daemon struct {
 	ID   models.DaemonID
 	Zone models.Zone
-	// Power is the fraction of a core that the daemon may use.
+	// CPUCores is the fraction of a core that the daemon may use.
 	CPUCores float64
 }
 
-// Before reports whether a daemon ranks higher than another: the one with more CPU, or with equal
-// CPU by a hash of the IDs.
+// RanksBefore reports whether a daemon ranks higher than another: the one with more CPU, or with
+// equal CPU by a hash of the IDs.
 func (d Daemon) RanksBefore(o Daemon) bool {
 	if d.CPUCores != o.CPUCores {
 		return d.CPUCores > o.CPUCores
@@ -77,17 +77,17 @@
 	return h.Sum64()
 }
 
-// Beat holds the fields of a heartbeat that the topology depends on.
+// Heartbeat holds the fields of a heartbeat that the topology depends on.
 type Heartbeat struct {
 	Daemon
-	// Every is the sender's heartbeat interval for this daemon.
+	// Interval is the sender's heartbeat interval for this daemon.
 	Interval time.Duration
-	// Relies is set if the sender uses this daemon as a relay, RelaysFirst if it uses this daemon's
+	// UsesRelay is set if the sender uses this daemon as a relay, UsesLoads if it uses this daemon's
 	// load totals.
 	UsesRelay, UsesLoads bool
 	// Size is the number of daemons that the sender knows, itself included.
 	Size int
-	// Grants is the sender's number of votes for this daemon as a granter of permits, by zone of
+	// Votes is the sender's number of votes for this daemon as a granter of permits, by zone of
 	// the instances.
 	Votes map[models.Zone]int
 	// Granters holds the granters that the sender knows. Only relays fill it in.
@@ -104,8 +104,8 @@
 // member is the state of another daemon.
 type member struct {
 	Heartbeat
-	// lastHeard is when its last heartbeat arrived, zero if it is silent.
-	lastHeard time.Time
+	// lastHeartbeat is when its last heartbeat arrived, zero if it is silent.
+	lastHeartbeat time.Time
 	// expectedSince is when it was first expected to send heartbeats to this daemon, zero if none
 	// are expected.
 	expectedSince time.Time
@@ -118,7 +118,7 @@
 	return &Roster{self: self, policy: p, members: map[models.DaemonID]*member{}}
 }
 
-// Enter adds a daemon or updates its description.
+// Add adds a daemon or updates its description.
 func (r *Roster) Add(d Daemon) {
 	if d.ID == r.self.ID {
 		return
@@ -130,31 +130,31 @@
 	r.members[d.ID] = &member{Heartbeat: Heartbeat{Daemon: d}}
 }
 
-// Hear records a heartbeat. It reports whether the topology may change.
+// RecordHeartbeat records a heartbeat. It reports whether the topology may change.
 func (r *Roster) RecordHeartbeat(b Heartbeat, at time.Time) bool {
 	if b.ID == r.self.ID {
 		return false
 	}
 	r.Add(b.Daemon)
 	m := r.members[b.ID]
-	changed := m.lastHeard.IsZero() || m.UsesRelay != b.UsesRelay || m.UsesLoads != b.UsesLoads || m.Size != b.Size ||
+	changed := m.lastHeartbeat.IsZero() || m.UsesRelay != b.UsesRelay || m.UsesLoads != b.UsesLoads || m.Size != b.Size ||
 		!maps.Equal(m.Granters, b.Granters)
-	m.Heartbeat, m.lastHeard, m.skipUntil = b, at, time.Time{}
+	m.Heartbeat, m.lastHeartbeat, m.skipUntil = b, at, time.Time{}
 	return changed
 }
 
-// Notice marks daemons as silent whose heartbeats are overdue, and returns those that were live
+// MarkSilent marks daemons as silent whose heartbeats are overdue, and returns those that were live
 // before.
 func (r *Roster) MarkSilent(now time.Time) []models.DaemonID {
 	var silent []models.DaemonID
 	for id, m := range r.members {
 		switch {
-		case !m.lastHeard.IsZero() && now.Sub(m.lastHeard) > time.Duration(r.policy.MaxMissedHeartbeats)*m.Interval:
+		case !m.lastHeartbeat.IsZero() && now.Sub(m.lastHeartbeat) > time.Duration(r.policy.MaxMissedHeartbeats)*m.Interval:
 			silent = append(silent, id)
-		case !m.lastHeard.IsZero(), m.expectedSince.IsZero(), now.Sub(m.expectedSince) <= r.policy.FirstHeartbeatTimeout:
+		case !m.lastHeartbeat.IsZero(), m.expectedSince.IsZero(), now.Sub(m.expectedSince) <= r.policy.FirstHeartbeatTimeout:
 			continue
 		}
-		m.lastHeard, m.expectedSince = time.Time{}, time.Time{}
+		m.lastHeartbeat, m.expectedSince = time.Time{}, time.Time{}
 		m.UsesRelay, m.UsesLoads, m.Votes, m.Granters = false, false, nil, nil
 		m.skipUntil = now.Add(r.policy.SilentBackoff)
 	}
--- a/membership/script_test.go
+++ b/membership/script_test.go
@@ -19,19 +19,19 @@
 const (
 	// step is the time step of the simulation.
 	step = 50 * time.Millisecond
-	// arrangeInterval is how often a daemon computes its topology again without changes.
-	arrangeInterval = 300 * time.Millisecond
+	// topologyInterval is how often a daemon computes its topology again without changes.
+	topologyInterval = 300 * time.Millisecond
 )
 
 // daemon is a simulated daemon.
 type daemon struct {
 	membership.Daemon
-	roster      *membership.Roster
-	arrangement *membership.Topology
-	up          bool
-	// arrangedAt is when the topology was last computed; stale is set by a heartbeat that may
+	roster   *membership.Roster
+	topology *membership.Topology
+	up       bool
+	// topologyAt is when the topology was last computed; stale is set by a heartbeat that may
 	// change it.
-	arrangedAt time.Time
+	topologyAt time.Time
 	stale      bool
 	// lastSent is when the last heartbeat was sent to each other daemon.
 	lastSent map[models.DaemonID]time.Time
@@ -164,7 +164,7 @@
 				d.roster.Add(other.Daemon)
 			}
 		}
-		d.arrangement, d.arrangedAt = d.roster.Topology(s.now), s.now
+		d.topology, d.topologyAt = d.roster.Topology(s.now), s.now
 	}
 	for _, d := range s.daemons {
 		if s.registered != nil {
@@ -213,15 +213,15 @@
 			}
 			d.lastSent[id] = s.now
 			changed := to.roster.RecordHeartbeat(membership.Heartbeat{
-				Daemon: d.Daemon, Interval: every, UsesRelay: link.UsesRelay, UsesLoads: link.UsesLoads, Size: d.arrangement.Size,
-				Votes: d.roster.Votes(d.arrangement, id), Granters: d.arrangement.Granters,
+				Daemon: d.Daemon, Interval: every, UsesRelay: link.UsesRelay, UsesLoads: link.UsesLoads, Size: d.topology.Size,
+				Votes: d.roster.Votes(d.topology, id), Granters: d.topology.Granters,
 			}, s.now)
 			to.stale = to.stale || changed
 		}
 	}
 	for _, d := range s.daemons {
 		if d.up {
-			d.rearrange(s.now)
+			d.updateTopology(s.now)
 		}
 	}
 	for zone, sum := range s.shares() {
@@ -239,9 +239,9 @@
 		if !d.up {
 			continue
 		}
-		shares := d.roster.Shares(d.arrangement, s.now)
+		shares := d.roster.Shares(d.topology, s.now)
 		for zone := range sums {
-			sums[zone] += d.arrangement.ShareOf(shares, zone)
+			sums[zone] += d.topology.ShareOf(shares, zone)
 		}
 	}
 	return sums
@@ -255,7 +255,7 @@
 		for _, a := range s.daemons {
 			for _, b := range s.daemons {
 				if s.reaches(a, b) && s.reaches(b, a) && (!s.cut[zone] || a.Zone == b.Zone) {
-					s.c.Assert(a.arrangement.Granter(zone), qt.Equals, b.arrangement.Granter(zone), qt.Commentf("%s and %s for %q", a.ID, b.ID, zone))
+					s.c.Assert(a.topology.Granter(zone), qt.Equals, b.topology.Granter(zone), qt.Commentf("%s and %s for %q", a.ID, b.ID, zone))
 				}
 			}
 		}
@@ -287,20 +287,20 @@
 	return out
 }
 
-// rearrange computes the topology again if it may have changed or arrangeInterval is over.
-func (d *daemon) rearrange(now time.Time) {
+// updateTopology computes the topology again if it may have changed or topologyInterval is over.
+func (d *daemon) updateTopology(now time.Time) {
 	silent := d.roster.MarkSilent(now)
-	if len(silent) == 0 && !d.stale && now.Sub(d.arrangedAt) < arrangeInterval {
+	if len(silent) == 0 && !d.stale && now.Sub(d.topologyAt) < topologyInterval {
 		return
 	}
-	d.arrangement, d.arrangedAt, d.stale = d.roster.Topology(now), now, false
+	d.topology, d.topologyAt, d.stale = d.roster.Topology(now), now, false
 }
 
 func (d *daemon) links() map[models.DaemonID]membership.Link {
 	if !d.up {
 		return nil
 	}
-	return d.arrangement.Links
+	return d.topology.Links
 }
 
 func (s *simulation) countLinks() int {
@@ -331,7 +331,7 @@
 // broadcast forwards a message as daemons do: from a daemon that is not a relay to the relay that
 // it uses, and from relays to their zones and to the other relays.
 func (s *simulation) broadcast(from *daemon, heard map[models.DaemonID]bool) {
-	relayed := from.arrangement.IsMesh || from.arrangement.IsRelay
+	relayed := from.topology.IsMesh || from.topology.IsRelay
 	for id, link := range from.links() {
 		if to := s.byID[id]; s.reaches(from, to) && (relayed || link.UsesLoads) {
 			heard[id] = true
@@ -341,7 +341,7 @@
 }
 
 func (s *simulation) forward(from, by *daemon, allZones bool, heard map[models.DaemonID]bool) {
-	if by.arrangement.IsMesh || (from.Zone == by.Zone && !allZones) {
+	if by.topology.IsMesh || (from.Zone == by.Zone && !allZones) {
 		return
 	}
 	for id, link := range by.links() {
@@ -357,15 +357,15 @@
 func (s *simulation) checkLoads() {
 	first := map[models.Zone]models.DaemonID{}
 	for _, d := range s.daemons {
-		if !d.up || d.arrangement.IsMesh {
+		if !d.up || d.topology.IsMesh {
 			continue
 		}
 		if of, known := first[d.Zone]; known {
-			s.c.Check(d.arrangement.LoadRelay, qt.Equals, of, qt.Commentf("%s", d.ID))
+			s.c.Check(d.topology.LoadRelay, qt.Equals, of, qt.Commentf("%s", d.ID))
 			continue
 		}
-		first[d.Zone] = d.arrangement.LoadRelay
-		s.c.Check(s.byID[d.arrangement.LoadRelay].up, qt.IsTrue, qt.Commentf("%s uses the load totals of %s", d.ID, d.arrangement.LoadRelay))
+		first[d.Zone] = d.topology.LoadRelay
+		s.c.Check(s.byID[d.topology.LoadRelay].up, qt.IsTrue, qt.Commentf("%s uses the load totals of %s", d.ID, d.topology.LoadRelay))
 	}
 }
 
@@ -376,7 +376,7 @@
 		if !d.up {
 			continue
 		}
-		for _, p := range d.arrangement.PlannerCandidates {
+		for _, p := range d.topology.PlannerCandidates {
 			if p.ID == d.ID {
 				n++
 			}
--- a/membership/arrange.go
+++ b/membership/topology.go
@@ -7,21 +7,21 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Arrangement is the communication topology as one daemon sees it. It is immutable.
+// Topology is the communication topology as one daemon sees it. It is immutable.
 type Topology struct {
 	// Size is the number of daemons, this daemon included.
 	Size int
-	// Zone is the number of known daemons in this daemon's zone, itself included.
+	// ZoneSize is the number of known daemons in this daemon's zone, itself included.
 	ZoneSize int
-	// Mesh reports a full mesh: every daemon sends heartbeats to every other one, and there are no
-	// relays.
+	// IsMesh reports whether there is a full mesh: every daemon sends heartbeats to every other
+	// one, and there are no relays.
 	IsMesh bool
-	// Relay reports whether this daemon is a relay of its zone.
+	// IsRelay reports whether this daemon is a relay of its zone.
 	IsRelay bool
-	// First is the relay of the zone whose load totals this daemon uses; it may be this daemon
+	// LoadRelay is the relay of the zone whose load totals this daemon uses; it may be this daemon
 	// itself. It is empty in a mesh.
 	LoadRelay models.DaemonID
-	// Planners holds the daemons that are candidates for planner, in order of rank: all live
+	// PlannerCandidates holds the daemons that are candidates for planner, in order of rank: all live
 	// daemons in a mesh, otherwise the relays of all zones.
 	PlannerCandidates []Daemon
 	// Granters holds the daemons that grant permits for rate-limited instances, by availability
@@ -37,40 +37,40 @@
 
 // Link describes what one daemon sends to another.
 type Link struct {
-	// Often selects the short heartbeat interval, since the receiver relies on the heartbeats.
+	// Frequent selects the short heartbeat interval, since the receiver relies on the heartbeats.
 	Frequent bool
-	// Relies is set if this daemon uses the receiver as a relay. RelaysFirst is set if it also uses
+	// UsesRelay is set if this daemon uses the receiver as a relay. UsesLoads is set if it also uses
 	// the receiver's load totals, and reports its own load to it.
 	UsesRelay, UsesLoads bool
-	// Member is set if this daemon forwards broadcasts to the receiver: the receiver is in the same
+	// Forwards is set if this daemon forwards broadcasts to the receiver: the receiver is in the same
 	// zone, and this daemon is a relay of the zone or used as one by the receiver.
 	Forwards bool
-	// Totals is set if the receiver uses this daemon's load totals.
+	// SendsTotals is set if the receiver uses this daemon's load totals.
 	SendsTotals bool
-	// Across is set if the receiver is in another zone, as a relay or as a daemon that uses this
+	// CrossZone is set if the receiver is in another zone, as a relay or as a daemon that uses this
 	// daemon as one.
 	CrossZone bool
 }
 
-// Arrange returns the present topology.
+// Topology returns the current topology.
 func (r *Roster) Topology(now time.Time) *Topology {
-	a := &Topology{Size: r.clusterSize(), ZoneSize: r.zoneSize(), Links: map[models.DaemonID]Link{}}
+	t := &Topology{Size: r.clusterSize(), ZoneSize: r.zoneSize(), Links: map[models.DaemonID]Link{}}
 	relays := map[models.Zone][]Daemon{}
-	if a.IsMesh = a.Size <= r.policy.MaxMeshSize; a.IsMesh {
-		r.linkAll(a)
+	if t.IsMesh = t.Size <= r.policy.MaxMeshSize; t.IsMesh {
+		r.linkAll(t)
 	} else {
 		relays = r.selectRelays(now)
-		r.linkRelays(a, relays)
+		r.linkRelays(t, relays)
 	}
-	slices.SortFunc(a.PlannerCandidates, func(x, y Daemon) int {
+	slices.SortFunc(t.PlannerCandidates, func(x, y Daemon) int {
 		if x.RanksBefore(y) {
 			return -1
 		}
 		return 1
 	})
-	r.addGranters(a, relays)
+	r.addGranters(t, relays)
 	for id, m := range r.members {
-		_, linked := a.Links[id]
+		_, linked := t.Links[id]
 		switch {
 		case !linked:
 			m.expectedSince = time.Time{}
@@ -78,7 +78,7 @@
 			m.expectedSince = now
 		}
 	}
-	return a
+	return t
 }
 
 // clusterSize is the number of daemons according to the roster and to the heartbeats of live
@@ -86,7 +86,7 @@
 func (r *Roster) clusterSize() int {
 	size := len(r.members) + 1
 	for _, m := range r.members {
-		if !m.lastHeard.IsZero() {
+		if !m.lastHeartbeat.IsZero() {
 			size = max(size, m.Size)
 		}
 	}
@@ -105,12 +105,12 @@
 }
 
 // linkAll links this daemon to all others.
-func (r *Roster) linkAll(a *Topology) {
-	a.PlannerCandidates = append(a.PlannerCandidates, r.self)
+func (r *Roster) linkAll(t *Topology) {
+	t.PlannerCandidates = append(t.PlannerCandidates, r.self)
 	for id, m := range r.members {
-		a.Links[id] = Link{Frequent: true}
-		if !m.lastHeard.IsZero() {
-			a.PlannerCandidates = append(a.PlannerCandidates, m.Daemon)
+		t.Links[id] = Link{Frequent: true}
+		if !m.lastHeartbeat.IsZero() {
+			t.PlannerCandidates = append(t.PlannerCandidates, m.Daemon)
 		}
 	}
 }
@@ -157,29 +157,29 @@
 
 // linkRelays links this daemon to the relays of its zone and to the daemons that use it as a relay.
 // If it is a relay itself, it also links to its zone and to the relays of the other zones.
-func (r *Roster) linkRelays(a *Topology, relays map[models.Zone][]Daemon) {
+func (r *Roster) linkRelays(t *Topology, relays map[models.Zone][]Daemon) {
 	own := relays[r.self.Zone]
-	a.LoadRelay = own[0].ID
+	t.LoadRelay = own[0].ID
 	for _, zoneRelays := range relays {
-		a.PlannerCandidates = append(a.PlannerCandidates, zoneRelays...)
+		t.PlannerCandidates = append(t.PlannerCandidates, zoneRelays...)
 	}
 	for _, d := range own {
 		if d.ID == r.self.ID {
-			a.IsRelay = true
+			t.IsRelay = true
 			continue
 		}
-		a.Links[d.ID] = Link{UsesRelay: true, UsesLoads: d.ID == a.LoadRelay}
+		t.Links[d.ID] = Link{UsesRelay: true, UsesLoads: d.ID == t.LoadRelay}
 	}
 	for id, m := range r.members {
 		own := m.Zone == r.self.Zone
-		if !m.UsesRelay && (!own || !a.IsRelay) {
+		if !m.UsesRelay && (!own || !t.IsRelay) {
 			continue
 		}
-		link := a.Links[id]
+		link := t.Links[id]
 		link.Frequent, link.Forwards, link.CrossZone, link.SendsTotals = true, own, !own, m.UsesLoads
-		a.Links[id] = link
+		t.Links[id] = link
 	}
-	if !a.IsRelay {
+	if !t.IsRelay {
 		return
 	}
 	for zone, zoneRelays := range relays {
@@ -187,7 +187,7 @@
 			continue
 		}
 		for _, d := range zoneRelays {
-			a.Links[d.ID] = Link{Frequent: true, UsesRelay: true, CrossZone: true}
+			t.Links[d.ID] = Link{Frequent: true, UsesRelay: true, CrossZone: true}
 		}
 	}
 }
