--- a/commands/ask.go
+++ b/commands/ask.go
@@ -116,7 +116,7 @@
 	case a.Change == nil:
 		return nil
 	case a.Change.Result == api.ChangeRefused:
-		return fmt.Errorf("%w: %s%s", ErrRefused, a.Change.Reason, retryHint(a.Change))
+		return fmt.Errorf("%w: %s%s", ErrRejected, a.Change.Reason, retryHint(a.Change))
 	case a.Change.Result == api.ChangeUnknown:
 		return fmt.Errorf("%w: %s", ErrUnknown, a.Change.Reason)
 	default:
--- a/commands/commands.go
+++ b/commands/commands.go
@@ -26,8 +26,8 @@
 	// ExitUsage means that a flag, an argument, a setting or a command of the operators'
 	// language is invalid.
 	ExitUsage = 2
-	// ExitRefused means that a change was refused and did not take effect.
-	ExitRefused = 3
+	// ExitRejected means that a change was rejected and did not take effect.
+	ExitRejected = 3
 	// ExitUnknown means that a change may have taken effect.
 	ExitUnknown = 4
 	// ExitUnreachable means that no daemon answered.
@@ -37,7 +37,7 @@
 // Errors with their own exit code.
 var (
 	ErrUsage       = errors.New("usage")
-	ErrRefused     = errors.New("refused")
+	ErrRejected    = errors.New("refused")
 	ErrUnknown     = errors.New("outcome unknown")
 	ErrUnreachable = errors.New("no daemon answered")
 )
@@ -121,8 +121,8 @@
 		return ExitOK
 	case errors.Is(err, ErrUsage), errors.Is(err, config.ErrSetting):
 		return ExitUsage
-	case errors.Is(err, ErrRefused):
-		return ExitRefused
+	case errors.Is(err, ErrRejected):
+		return ExitRejected
 	case errors.Is(err, ErrUnknown):
 		return ExitUnknown
 	case errors.Is(err, ErrUnreachable):
--- a/config/gateway.go
+++ b/config/gateway.go
@@ -25,7 +25,7 @@
 	LeaseMin time.Duration
 	// InstanceHeartbeat is the interval at which instances write their entries.
 	InstanceHeartbeat time.Duration
-	// KeysBound is the maximum time after which a revoked API key is refused, ConfigBound the
+	// KeysBound is the maximum time after which a revoked API key is rejected, ConfigBound the
 	// maximum time after which a new configuration is in force.
 	KeysBound   time.Duration
 	ConfigBound time.Duration
--- a/config/load.go
+++ b/config/load.go
@@ -18,9 +18,9 @@
 	// Rate is in requests per second.
 	Rate     float64
 	Duration time.Duration
-	// Prompt is the mean length of a prompt, in bytes; Answer that of an answer, in tokens.
-	Prompt int
-	Answer int
+	// PromptBytes is the mean length of a prompt, OutputTokens that of a response.
+	PromptBytes  int
+	OutputTokens int
 	// Prefixes is the number of distinct prefixes that prompts share; 0 for none.
 	Prefixes int
 	Timeout  time.Duration
@@ -49,17 +49,17 @@
 func LoadLoadTest(c *cli.Context) (LoadTest, error) {
 	r := &reader{c: c}
 	l := LoadTest{
-		Targets:  r.dialAddrs("target"),
-		Tokens:   c.StringSlice("caller-token"),
-		Model:    name[models.ModelName](r, "model"),
-		Rate:     c.Float64("rate"),
-		Duration: r.duration("duration", 100*time.Millisecond, 24*time.Hour),
-		Prompt:   r.count("prompt", 1, 1<<20),
-		Answer:   r.count("answer", 1, 1<<20),
-		Prefixes: r.count("prefixes", 0, 1<<20),
-		Timeout:  r.duration("timeout", time.Millisecond, time.Hour),
-		Seed:     r.count("seed", 0, 1<<30),
-		JSON:     c.Bool("json"),
+		Targets:      r.dialAddrs("target"),
+		Tokens:       c.StringSlice("caller-token"),
+		Model:        name[models.ModelName](r, "model"),
+		Rate:         c.Float64("rate"),
+		Duration:     r.duration("duration", 100*time.Millisecond, 24*time.Hour),
+		PromptBytes:  r.count("prompt", 1, 1<<20),
+		OutputTokens: r.count("answer", 1, 1<<20),
+		Prefixes:     r.count("prefixes", 0, 1<<20),
+		Timeout:      r.duration("timeout", time.Millisecond, time.Hour),
+		Seed:         r.count("seed", 0, 1<<30),
+		JSON:         c.Bool("json"),
 	}
 	if len(l.Targets) == 0 {
 		r.addError("target", errEmpty)
