--- a/breaker/property_test.go
+++ b/breaker/property_test.go
@@ -27,7 +27,7 @@
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1:
 				delay := time.Duration(rapid.IntRange(0, 400).Draw(t, "late")) * time.Millisecond
-				backoff := time.Duration(rapid.IntRange(1, 5000).Draw(t, "rest")) * time.Millisecond
+				backoff := time.Duration(rapid.IntRange(1, 5000).Draw(t, "backoff")) * time.Millisecond
 				received := now.Add(-delay)
 				b.Apply(Signal{Instance: "i", ReceivedAt: received, Backoff: backoff}, "")
 				if end := received.Add(backoff); end.After(until) {
@@ -84,17 +84,17 @@
 func TestSignalOrderIndependence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var signals []Signal
-		for range rapid.IntRange(1, 8).Draw(t, "words") {
-			received := epoch.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "heard")) * time.Millisecond)
+		for range rapid.IntRange(1, 8).Draw(t, "signals") {
+			received := epoch.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "received")) * time.Millisecond)
 			signals = append(signals, Signal{
-				Instance: "i", ReceivedAt: received, Backoff: time.Duration(rapid.IntRange(0, 3000).Draw(t, "rest")) * time.Millisecond,
+				Instance: "i", ReceivedAt: received, Backoff: time.Duration(rapid.IntRange(0, 3000).Draw(t, "backoff")) * time.Millisecond,
 				Leaving: rapid.IntRange(0, 9).Draw(t, "leaving") == 0,
 			})
 		}
 		until := func(order []Signal) (time.Time, bool) {
 			b := New(rand.New(rand.NewPCG(1, 1)))
-			for _, w := range order {
-				b.Apply(w, "")
+			for _, signal := range order {
+				b.Apply(signal, "")
 			}
 			br := b.breakers["i"]
 			if br == nil {
--- a/breaker/script_test.go
+++ b/breaker/script_test.go
@@ -178,13 +178,13 @@
 	signals, _ := s.b.Since(seen, func(from Source) bool { return from != "d2" }, s.now)
 	slices.SortFunc(signals, func(a, b Signal) int { return cmp.Compare(a.Backoff, b.Backoff) })
 	var out []string
-	for _, w := range signals {
-		text := string(w.Instance)
-		if w.Leaving {
+	for _, signal := range signals {
+		text := string(signal.Instance)
+		if signal.Leaving {
 			text += " leaving"
 		}
-		if w.Backoff > 0 {
-			text += " backoff=" + w.Backoff.String()
+		if signal.Backoff > 0 {
+			text += " backoff=" + signal.Backoff.String()
 		}
 		out = append(out, text)
 	}
--- a/cluster/permits.go
+++ b/cluster/permits.go
@@ -125,7 +125,7 @@
 	if rate == models.NoRateLimit {
 		return
 	}
-	_, err := p.ask(ctx, i.Zone, ratelimit.PermitRequest{Charge: true, Wanted: []ratelimit.Wanted{{Instance: i.ID, Rate: rate}}})
+	_, err := p.ask(ctx, i.Zone, ratelimit.PermitRequest{Charge: true, Candidates: []ratelimit.Candidate{{Instance: i.ID, Rate: rate}}})
 	if err != nil {
 		p.n.log.Debug().Str("instance", string(i.ID)).Err(err).Msg("report-not-charged")
 	}
@@ -156,7 +156,7 @@
 	if v.Arranged != nil {
 		share = v.Arranged.ShareOf(v.shares, zone)
 	}
-	rate := func(w ratelimit.Wanted) float64 {
+	rate := func(w ratelimit.Candidate) float64 {
 		i, known := v.All[w.Instance]
 		if !known {
 			i.ID = w.Instance
--- a/cluster/permits_test.go
+++ b/cluster/permits_test.go
@@ -36,7 +36,7 @@
 // keepAsking asks until the context ends, as a gateway does that leaves the instance alone
 // when it is told to.
 func (a *askers) keepAsking(ctx context.Context, p *peerNode, pause time.Duration) error {
-	ask := ratelimit.PermitRequest{Wanted: []ratelimit.Wanted{{Instance: "i1", Rate: a.rate}}}
+	ask := ratelimit.PermitRequest{Candidates: []ratelimit.Candidate{{Instance: "i1", Rate: a.rate}}}
 	for ctx.Err() == nil {
 		grant, err := p.AskPermit(ctx, a.zone, ask)
 		wait := pause
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -130,7 +130,7 @@
 	if !suspect && !s.isStalled(a, stallTimeout) {
 		return stallPollInterval
 	}
-	if !s.mayRetry() || s.status().NeedsIsolation() {
+	if !s.mayRetry() || s.quarantineStatus().NeedsIsolation() {
 		// A request suspected of crashing instances is not sent to two at once.
 		return idlePollInterval
 	}
--- a/gateway/permit.go
+++ b/gateway/permit.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// maxPermitAsks is how many times a request asks for a permit, each time for other instances,
+	// maxPermitRequests is how many times a request asks for a permit, each time for other instances,
 	// before it counts as rejected.
-	maxPermitAsks = 8
-	// maxPermitCandidates bounds how many instances one ask names.
+	maxPermitRequests = 8
+	// maxPermitCandidates bounds how many instances a permit request names.
 	maxPermitCandidates = 32
 	// permitLifetime is for how long a permit may be used.
 	permitLifetime = 300 * time.Millisecond
@@ -52,7 +52,7 @@
 	now := time.Now()
 	ask := ratelimit.PermitRequest{Priority: e.permitRank(now)}
 	for _, i := range instances {
-		ask.Wanted = append(ask.Wanted, ratelimit.Wanted{Instance: i.ID, Rate: e.g.node.Limits().Rate(i, now)})
+		ask.Candidates = append(ask.Candidates, ratelimit.Candidate{Instance: i.ID, Rate: e.g.node.Limits().Rate(i, now)})
 	}
 	grant, err := e.g.node.AskPermit(ctx, instances[0].Zone, ask)
 	if err != nil {
@@ -151,7 +151,7 @@
 
 // pickPermittedInstance returns an instance that needs no permit, or one with a permit.
 func (e *exchange) pickPermittedInstance(ctx context.Context) (models.UpstreamInstance, permit, bool) {
-	for range maxPermitAsks {
+	for range maxPermitRequests {
 		i, found := e.pickInstance()
 		if !found || !e.g.needsPermit(i) {
 			return i, permit{}, found
--- a/gateway/permit_test.go
+++ b/gateway/permit_test.go
@@ -102,7 +102,7 @@
 	asks := 0
 	s.node.permit = func(ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 		asks++
-		s.c.Check(ask.Wanted, qt.DeepEquals, []ratelimit.Wanted{{Instance: "p1", Rate: 2}})
+		s.c.Check(ask.Candidates, qt.DeepEquals, []ratelimit.Candidate{{Instance: "p1", Rate: 2}})
 		return ratelimit.Grant{Granted: true, Waits: []time.Duration{0}}, nil
 	}
 	time.Sleep(unansweredExclusion)
@@ -122,7 +122,7 @@
 	s.setLimit("p2")
 	const wait = 1500 * time.Millisecond
 	s.node.permit = func(ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
-		waits := make([]time.Duration, len(ask.Wanted))
+		waits := make([]time.Duration, len(ask.Candidates))
 		for n := range waits {
 			waits[n] = wait
 		}
@@ -162,7 +162,7 @@
 	asks := 0
 	s.node.permit = func(ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 		if asks++; asks > 1 {
-			return ratelimit.Grant{Granted: true, Index: len(ask.Wanted) - 1, Waits: make([]time.Duration, len(ask.Wanted))}, nil
+			return ratelimit.Grant{Granted: true, Index: len(ask.Candidates) - 1, Waits: make([]time.Duration, len(ask.Candidates))}, nil
 		}
 		return ratelimit.Grant{Waits: []time.Duration{10 * time.Millisecond, 15 * time.Millisecond}}, nil
 	}
--- a/gateway/pick.go
+++ b/gateway/pick.go
@@ -27,7 +27,7 @@
 	if engine == nil {
 		return dest, false, false
 	}
-	for range maxPermitAsks {
+	for range maxPermitRequests {
 		group, load, found := s.g.scheduler.pickGroup(s.g.node, engine, s.criteria())
 		if found && len(s.tried) == 0 {
 			s.pickedLoad = load
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -11,8 +11,8 @@
 	"github.com/lupinkeel/lupinkeel/quarantine"
 )
 
-// status returns the crashes that all daemons know the request to have caused.
-func (e *exchange) status() quarantine.Status {
+// quarantineStatus returns the crashes that all daemons know the request to have caused.
+func (e *exchange) quarantineStatus() quarantine.Status {
 	quarantined := e.g.node.Quarantine()
 	if !quarantined.Holds() {
 		return quarantine.Status{}
@@ -36,7 +36,7 @@
 // caller has received is, unless it is isolated.
 func (e *exchange) checkQuarantine() error {
 	e.awaitProbe()
-	s := e.status()
+	s := e.quarantineStatus()
 	suspect := s.Crashes > 0 && (!e.headSent || s.NeedsIsolation())
 	switch {
 	case s.Quarantined:
@@ -84,7 +84,7 @@
 // isolationIndex returns the function that places an isolated request: the same instance at all
 // daemons. It is nil for requests that are not isolated.
 func (e *exchange) isolationIndex() func(int) int {
-	if !e.status().NeedsIsolation() {
+	if !e.quarantineStatus().NeedsIsolation() {
 		return nil
 	}
 	return func(places int) int { return e.g.node.Quarantine().Place(e.digest(), places) }
@@ -92,7 +92,7 @@
 
 // clear clears the crashes of a request that has ended well.
 func (e *exchange) clear() {
-	if e.status().Crashes > 0 {
+	if e.quarantineStatus().Crashes > 0 {
 		e.g.node.Quarantine().EndedWell(e.digest())
 	}
 }
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -25,8 +25,8 @@
 	if err != nil {
 		return nil, errors.Join(errNotRun, errNotAdmitted, err)
 	}
-	resp, end, err := e.sendAdmitted(ctx, i, p, a, readTimeout)
-	e.g.node.Breakers().Settle(admission, end)
+	resp, outcome, err := e.sendAdmitted(ctx, i, p, a, readTimeout)
+	e.g.node.Breakers().Settle(admission, outcome)
 	return resp, err
 }
 
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -21,14 +21,14 @@
 	askersPerPermit = 8
 	// maxWait bounds the time until an asker may ask again.
 	maxWait = 2 * time.Second
-	// bucketIdleTimeout is how long a bucket is kept without an ask: an unused bucket has drained
-	// long before.
+	// bucketIdleTimeout is how long a bucket is kept without a permit request: an unused bucket has
+	// drained long before.
 	bucketIdleTimeout = time.Minute
 )
 
-// Wanted is an instance that a request may be sent to, and its rate limit in requests per second as
-// known to the asker.
-type Wanted struct {
+// Candidate is an instance that a request may be sent to, and its rate limit in requests per second
+// as known to the asker.
+type Candidate struct {
 	Instance models.InstanceID `msgpack:"i"`
 	Rate     float64           `msgpack:"r"`
 }
@@ -37,8 +37,8 @@
 type PermitRequest struct {
 	// Priority is the priority of the request, 0 is the most urgent.
 	Priority int `msgpack:"k"`
-	// Wanted holds the instances in order of preference.
-	Wanted []Wanted `msgpack:"w"`
+	// Candidates holds the instances in order of preference.
+	Candidates []Candidate `msgpack:"w"`
 	// Charge reports that something was sent to the first instance without a permit. It counts
 	// against the instance's rate.
 	Charge bool `msgpack:"c,omitempty"`
@@ -46,10 +46,10 @@
 
 // Grant is the response to a PermitRequest.
 type Grant struct {
-	// Granted is set if the request may be sent to Wanted[Index].
+	// Granted is set if the request may be sent to Candidates[Index].
 	Granted bool `msgpack:"g,omitempty"`
 	Index   int  `msgpack:"a,omitempty"`
-	// Waits holds for each wanted instance how long asking again is useless; zero for instances
+	// Waits holds for each candidate how long asking again is useless; zero for instances
 	// that were not checked.
 	Waits []time.Duration `msgpack:"w,omitempty"`
 }
@@ -76,17 +76,17 @@
 	urgentUntil    time.Time
 }
 
-// Decide grants a permit for the first of the wanted instances that may get another request now. The
+// Decide grants a permit for the first of the candidates that may get another request now. The
 // function rate returns the rate at which this daemon may grant permits for an instance.
-func (g *Granter) Decide(req PermitRequest, rate func(Wanted) float64, now time.Time) Grant {
-	waits := make([]time.Duration, len(req.Wanted))
-	if req.Charge && len(req.Wanted) > 0 {
-		b := g.bucket(req.Wanted[0].Instance, now)
-		b.drain(rate(req.Wanted[0]), now)
+func (g *Granter) Decide(req PermitRequest, rate func(Candidate) float64, now time.Time) Grant {
+	waits := make([]time.Duration, len(req.Candidates))
+	if req.Charge && len(req.Candidates) > 0 {
+		b := g.bucket(req.Candidates[0].Instance, now)
+		b.drain(rate(req.Candidates[0]), now)
 		b.level = min(b.level+1, 2*burst)
 		return Grant{Granted: true, Waits: waits}
 	}
-	for n, w := range req.Wanted {
+	for n, w := range req.Candidates {
 		r := rate(w)
 		if r == models.NoRateLimit {
 			return Grant{Granted: true, Index: n, Waits: waits}
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -11,7 +11,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-func wantOne(id models.InstanceID) []Wanted { return []Wanted{{Instance: id, Rate: 1}} }
+func wantOne(id models.InstanceID) []Candidate { return []Candidate{{Instance: id, Rate: 1}} }
 
 // For any sequence of permit requests and rate changes, the number of permits never exceeds what
 // the rate allows plus the burst.
@@ -22,14 +22,14 @@
 		var granted []time.Time
 		rate, sum := 2.0, 0.0
 		var sums []float64
-		for range rapid.IntRange(1, 200).Draw(t, "asks") {
+		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			step := time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond
 			now, sum = now.Add(step), sum+rate*step.Seconds()
 			if rapid.IntRange(0, 9).Draw(t, "changes") == 0 {
 				rate = rapid.SampledFrom([]float64{0, 0.3, 1.4, 5}).Draw(t, "rate")
 			}
-			priority := rapid.IntRange(0, 9).Draw(t, "rank")
-			got := g.Decide(PermitRequest{Priority: priority, Wanted: wantOne("i")}, func(Wanted) float64 { return rate }, now)
+			priority := rapid.IntRange(0, 9).Draw(t, "priority")
+			got := g.Decide(PermitRequest{Priority: priority, Candidates: wantOne("i")}, func(Candidate) float64 { return rate }, now)
 			if !got.Granted {
 				if wait := got.Waits[0]; wait <= 0 || wait > maxWait+time.Millisecond {
 					t.Fatalf("the wait is %v", wait)
@@ -54,9 +54,9 @@
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	var g Granter
-	rate := func(Wanted) float64 { return 1 }
+	rate := func(Candidate) float64 { return 1 }
 	req := func(priority int) bool {
-		return g.Decide(PermitRequest{Priority: priority, Wanted: wantOne("i")}, rate, now).Granted
+		return g.Decide(PermitRequest{Priority: priority, Candidates: wantOne("i")}, rate, now).Granted
 	}
 	granted := map[int]int{}
 	for range 400 {
@@ -76,14 +76,14 @@
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	var g Granter
-	rate := func(Wanted) float64 { return 1 }
+	rate := func(Candidate) float64 { return 1 }
 	granted := 0
 	for n := range 100 {
 		now = now.Add(100 * time.Millisecond)
 		if n%20 == 0 {
-			g.Decide(PermitRequest{Wanted: wantOne("i"), Charge: true}, rate, now)
+			g.Decide(PermitRequest{Candidates: wantOne("i"), Charge: true}, rate, now)
 		}
-		if g.Decide(PermitRequest{Wanted: wantOne("i")}, rate, now).Granted {
+		if g.Decide(PermitRequest{Candidates: wantOne("i")}, rate, now).Granted {
 			granted++
 		}
 	}
@@ -93,11 +93,11 @@
 func ExampleGranter_Decide() {
 	var g Granter
 	now := time.Now()
-	req := PermitRequest{Wanted: []Wanted{{Instance: "fabric-a-1", Rate: 2}, {Instance: "fabric-a-2", Rate: 2}}}
-	rate := func(w Wanted) float64 { return w.Rate }
+	req := PermitRequest{Candidates: []Candidate{{Instance: "fabric-a-1", Rate: 2}, {Instance: "fabric-a-2", Rate: 2}}}
+	rate := func(w Candidate) float64 { return w.Rate }
 	fmt.Println(g.Decide(req, rate, now).Granted)
 	later := g.Decide(req, rate, now.Add(time.Second))
-	fmt.Println(later.Granted, req.Wanted[later.Index].Instance)
+	fmt.Println(later.Granted, req.Candidates[later.Index].Instance)
 	// Output:
 	// false
 	// true fabric-a-1
--- a/ratelimit/strategies_test.go
+++ b/ratelimit/strategies_test.go
@@ -22,8 +22,8 @@
 	maxPerWindow = 1.5*simRate*4 + 5
 	// minUsed is the fraction of the rate that must be used if the demand is higher.
 	minUsed = 0.8
-	// maxWanted is the maximum number of instances in an ask.
-	maxWanted = 8
+	// maxCandidates is the maximum number of instances in a permit request.
+	maxCandidates = 8
 )
 
 // strategy decides which instance a request that arrives at a daemon is sent to.
@@ -79,8 +79,8 @@
 	instances int
 	granters  [3]Granter
 	// retryAt is when a daemon may ask for an instance again.
-	retryAt map[[2]int]time.Time
-	asks    int
+	retryAt  map[[2]int]time.Time
+	requests int
 }
 
 func (d *centralGranter) send(daemon int, now time.Time, r *rand.Rand) (int, bool) {
@@ -94,16 +94,16 @@
 		var ask PermitRequest
 		var ids []int
 		for _, i := range order {
-			if i%3 == at && len(ids) < maxWanted && now.After(d.retryAt[[2]int{daemon, i}]) {
+			if i%3 == at && len(ids) < maxCandidates && now.After(d.retryAt[[2]int{daemon, i}]) {
 				ids = append(ids, i)
-				ask.Wanted = append(ask.Wanted, Wanted{Instance: models.InstanceID(fmt.Sprint(i)), Rate: simRate})
+				ask.Candidates = append(ask.Candidates, Candidate{Instance: models.InstanceID(fmt.Sprint(i)), Rate: simRate})
 			}
 		}
 		if len(ids) == 0 {
 			continue
 		}
-		d.asks++
-		grant := d.granters[at].Decide(ask, func(Wanted) float64 { return simRate }, now)
+		d.requests++
+		grant := d.granters[at].Decide(ask, func(Candidate) float64 { return simRate }, now)
 		for n, wait := range grant.Waits {
 			if wait > 0 {
 				d.retryAt[[2]int{daemon, ids[n]}] = now.Add(wait)
@@ -162,7 +162,7 @@
 				used, worst, came := simulate(d, test.daemons, test.instances, test.demand)
 				t.Logf("%T: %.2f of the rate used, at most %d in %v", d, used, worst, window)
 				if d == strategy(granted) {
-					t.Logf("%d requests, %d asks", came, granted.asks)
+					t.Logf("%d requests, %d permit requests", came, granted.requests)
 					qt.Check(t, used >= minUsed, qt.IsTrue, qt.Commentf("%v used", used))
 					qt.Check(t, float64(worst) <= maxPerWindow, qt.IsTrue, qt.Commentf("%d in %v", worst, window))
 				}
