--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -12,44 +12,44 @@
 	// reservedPermits is the part of burst that is reserved for more urgent requests while they
 	// wait.
 	reservedPermits = 1
-	// urgentWindow is how long a refused request counts as waiting.
+	// urgentWindow is how long a rejected request counts as waiting.
 	urgentWindow = time.Second
 	// unreservedInterval is the number of permits of which one is granted regardless of urgency, so
 	// that the least urgent requests don't starve.
 	unreservedInterval = 4
-	// askersPerPermit is how many refused askers may be given the same time to ask again.
+	// askersPerPermit is how many rejected askers may be given the same time to ask again.
 	askersPerPermit = 8
 	// maxWait bounds the time until an asker may ask again.
 	maxWait = 2 * time.Second
-	// bucketIdleTimeout is how long a bucket is kept without an ask: an unused bucket has drained
-	// long before.
+	// bucketIdleTimeout is how long a bucket is kept without a permit request: an unused bucket has
+	// drained long before.
 	bucketIdleTimeout = time.Minute
 )
 
-// Wanted is an instance that a request may be sent to, and its rate limit in requests per second as
-// known to the asker.
+// Candidate is an instance that a request may be sent to, and its rate limit in requests per second
+// as known to the asker.
 type Candidate struct {
 	Instance models.InstanceID `msgpack:"i"`
 	Rate     float64           `msgpack:"r"`
 }
 
-// Ask is a request for a permit to send one request to one of several instances.
+// PermitRequest is a request for a permit to send one request to one of several instances.
 type PermitRequest struct {
-	// Rank is the priority of the request, 0 is the most urgent.
+	// Priority is the priority of the request, 0 is the most urgent.
 	Priority int `msgpack:"k"`
-	// Wanted holds the instances in order of preference.
+	// Candidates holds the instances in order of preference.
 	Candidates []Candidate `msgpack:"w"`
 	// Charge reports that something was sent to the first instance without a permit. It counts
 	// against the instance's rate.
 	Charge bool `msgpack:"c,omitempty"`
 }
 
-// Grant is the answer to an Ask.
+// Grant is the response to a PermitRequest.
 type Grant struct {
-	// Granted is set if the request may be sent to the instance with index At in Wanted.
+	// Granted is set if the request may be sent to Candidates[Index].
 	Granted bool `msgpack:"g,omitempty"`
 	Index   int  `msgpack:"a,omitempty"`
-	// Waits holds for each wanted instance how long asking again is useless; zero for instances
+	// Waits holds for each candidate how long asking again is useless; zero for instances
 	// that were not checked.
 	Waits []time.Duration `msgpack:"w,omitempty"`
 }
@@ -68,25 +68,25 @@
 	rate      float64
 	// granted counts all permits.
 	granted int
-	// denied counts the asks refused since the last permit.
+	// denied counts the requests rejected since the last permit.
 	denied int
-	// urgentRank is the rank of the most urgent request refused within urgentWindow, valid until
-	// urgentUntil.
-	urgentRank  int
-	urgentUntil time.Time
+	// urgentPriority is the priority of the most urgent request rejected within urgentWindow, valid
+	// until urgentUntil.
+	urgentPriority int
+	urgentUntil    time.Time
 }
 
-// Ask grants a permit for the first of the wanted instances that may get another request now. The
+// Decide grants a permit for the first of the candidates that may get another request now. The
 // function rate returns the rate at which this daemon may grant permits for an instance.
-func (g *Granter) Decide(ask PermitRequest, rate func(Candidate) float64, now time.Time) Grant {
-	waits := make([]time.Duration, len(ask.Candidates))
-	if ask.Charge && len(ask.Candidates) > 0 {
-		b := g.bucket(ask.Candidates[0].Instance, now)
-		b.drain(rate(ask.Candidates[0]), now)
+func (g *Granter) Decide(req PermitRequest, rate func(Candidate) float64, now time.Time) Grant {
+	waits := make([]time.Duration, len(req.Candidates))
+	if req.Charge && len(req.Candidates) > 0 {
+		b := g.bucket(req.Candidates[0].Instance, now)
+		b.drain(rate(req.Candidates[0]), now)
 		b.level = min(b.level+1, 2*burst)
 		return Grant{Granted: true, Waits: waits}
 	}
-	for n, w := range ask.Candidates {
+	for n, w := range req.Candidates {
 		r := rate(w)
 		if r == models.NoRateLimit {
 			return Grant{Granted: true, Index: n, Waits: waits}
@@ -96,7 +96,7 @@
 			waits[n] = maxWait
 			continue
 		}
-		if waits[n] = g.bucket(w.Instance, now).take(ask.Priority, r, now); waits[n] == 0 {
+		if waits[n] = g.bucket(w.Instance, now).take(req.Priority, r, now); waits[n] == 0 {
 			return Grant{Granted: true, Index: n, Waits: waits}
 		}
 	}
@@ -125,17 +125,17 @@
 }
 
 // take takes one permit and returns zero, or returns how long no permit will be available.
-func (b *bucket) take(rank int, rate float64, now time.Time) time.Duration {
+func (b *bucket) take(priority int, rate float64, now time.Time) time.Duration {
 	b.drain(rate, now)
 	required := 1.0
 	waiting := now.Before(b.urgentUntil)
-	if waiting && rank > b.urgentRank && b.granted%unreservedInterval != 0 {
+	if waiting && priority > b.urgentPriority && b.granted%unreservedInterval != 0 {
 		required += reservedPermits
 	}
 	if excess := b.level + required - burst; excess > 0 {
 		b.denied++
-		if !waiting || rank <= b.urgentRank {
-			b.urgentRank, b.urgentUntil = rank, now.Add(urgentWindow)
+		if !waiting || priority <= b.urgentPriority {
+			b.urgentPriority, b.urgentUntil = priority, now.Add(urgentWindow)
 		}
 		wait := min(maxWait.Seconds(), excess/rate*(1+float64(b.denied)/askersPerPermit))
 		return time.Duration(wait*float64(time.Second)) + time.Millisecond
