--- a/cluster/lease_test.go
+++ b/cluster/lease_test.go
@@ -35,7 +35,7 @@
 	until := time.Now().Add(time.Minute)
 	o.handleLease(leaseHeld{term: 5, until: until})
 	c.Assert(o.fleet.planner, qt.IsNotNil)
-	o.stopPlanning("the lease expired")
+	o.stopPlanning("the lease ended")
 	o.handleLease(leaseHeld{term: 5, until: until})
 	c.Assert(o.fleet.planner, qt.IsNil)
 	c.Assert(o.n.lastEndedTerm.Load(), qt.Equals, int64(5))
--- a/cluster/planning.go
+++ b/cluster/planning.go
@@ -77,7 +77,7 @@
 	started := time.Now()
 	f.lastPlan = throttle{started: now}
 	if o.leaseExpired(now) {
-		o.stopPlanning("the lease expired")
+		o.stopPlanning("the lease ended")
 		return
 	}
 	if f.planner.Superseded() {
@@ -143,7 +143,7 @@
 // sendOrders sends queued orders, unless the lease has ended.
 func (o *owner) sendOrders() {
 	if o.fleet.planner != nil && o.leaseExpired(time.Now()) {
-		o.stopPlanning("the lease expired")
+		o.stopPlanning("the lease ended")
 	}
 	o.startCalls()
 }
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -29,29 +29,29 @@
 
 // Errors for requests that no instance answered.
 var (
-	errNoConfig       = errors.New("no configuration has been received yet")
-	errStaleConfig    = errors.New("the configuration may have changed")
+	errNoConfig       = errors.New("no configuration is known yet")
+	errStaleConfig    = errors.New("the keys may have changed")
 	errNoRoute        = errors.New("no route matches this host and path")
 	errUnknownKey     = errors.New("the key is unknown")
 	errBodyTooLong    = errors.New("the request body is too long")
 	errBodyIncomplete = errors.New("the request body is incomplete")
 	errNoInstance     = errors.New("no instance is available for this request")
-	errAllFull        = errors.New("all instances are at capacity")
+	errAllFull        = errors.New("all instances are full")
 	errNotRun         = errors.New("the instance did not run the request")
 	errMayHaveRun     = errors.New("the request may have been run")
-	errRetryBudget    = errors.New("the retry budget is exhausted")
+	errRetryBudget    = errors.New("too many requests are being repeated")
 	// errAllLimited: no permit to send the request to any of them comes in time.
-	errAllLimited = errors.New("all instances are rate-limited")
+	errAllLimited = errors.New("all instances had named limits")
 	// errAllBackingOff: the backoff of none of them ends in time.
-	errAllBackingOff = errors.New("all instances asked for a backoff")
+	errAllBackingOff = errors.New("all instances had asked for rest")
 	// errNotAdmitted: the request was not sent, since the instance must not get any.
 	errNotAdmitted = errors.New("the instance must not be sent requests now")
 	// errNoPermit: the instance announced a rate limit after it was picked, or the permit expired.
 	errNoPermit = errors.New("the instance is rate-limited, and there is no valid permit for it")
 	// errQuarantined: several instances crashed while they ran the request.
-	errQuarantined = errors.New("the request is quarantined: it crashes the instances that execute it")
+	errQuarantined = errors.New("the request crashes the instances that run it")
 	// errLastInstance: an instance crashed while it ran the request, and only one is left.
-	errLastInstance = errors.New("an instance crashed executing the request, and only one instance is left")
+	errLastInstance = errors.New("an instance crashed with the request, and the last one is spared")
 )
 
 // reject answers a request that no instance has run.
--- a/router/request.go
+++ b/router/request.go
@@ -79,7 +79,7 @@
 // request never reached an upstream. The request may be sent again.
 func (r *Request) NotRun() error {
 	if r.phase != PhaseSent {
-		return r.phaseError("requeue")
+		return r.phaseError("take back")
 	}
 	r.phase = PhaseQueued
 	return nil
@@ -103,7 +103,7 @@
 // may have run, so that this request must not be sent.
 func (r *Request) KeyInUse() error {
 	if r.phase != PhaseQueued {
-		return r.phaseError("hold")
+		return r.phaseError("hold back")
 	}
 	r.mayHaveRun = true
 	r.phase = PhaseSent
