--- a/api/buffered.go
+++ b/api/buffered.go
@@ -12,7 +12,7 @@
 )
 
 // forwardBuffered reads the whole response before it sends any of it to the caller.
-func (e *exchange) forwardBuffered(_ context.Context, target router.Target, resp *upstream.Answer) error {
+func (e *exchange) forwardBuffered(_ context.Context, target router.Target, resp *upstream.Response) error {
 	data, err := resp.ReadAll(maxBufferedResponse)
 	if err != nil {
 		return err
--- a/api/callers.go
+++ b/api/callers.go
@@ -24,7 +24,7 @@
 	HeaderRepeatable = "Lupinkeel-Repeatable"
 	// HeaderKey identifies a request that must run at most once, regardless of how often and to
 	// which daemons it is sent.
-	HeaderKey = "Idempotency-Key"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 // beginExchange does the checks common to all requests. If one fails it sends the error response
--- a/api/chat.go
+++ b/api/chat.go
@@ -92,7 +92,7 @@
 		}
 	}()
 	forward := e.forward
-	e.forward = func(ctx context.Context, t router.Target, resp *upstream.Answer) error {
+	e.forward = func(ctx context.Context, t router.Target, resp *upstream.Response) error {
 		lastTarget = t.Addr
 		return forward(ctx, t, resp)
 	}
@@ -116,7 +116,7 @@
 
 // forwardStream forwards complete events until the [DONE] event. It sends the caller nothing
 // before the first event.
-func (e *exchange) forwardStream(ctx context.Context, target router.Target, resp *upstream.Answer) error {
+func (e *exchange) forwardStream(ctx context.Context, target router.Target, resp *upstream.Response) error {
 	if resp.Status != http.StatusOK {
 		return e.forwardBuffered(ctx, target, resp)
 	}
--- a/api/exchange.go
+++ b/api/exchange.go
@@ -43,7 +43,7 @@
 	// newCall returns the call of an attempt at the target.
 	newCall func(router.Target) upstream.Call
 	// forward forwards an upstream's response. It returns an error for an incomplete response.
-	forward func(context.Context, router.Target, *upstream.Answer) error
+	forward func(context.Context, router.Target, *upstream.Response) error
 }
 
 // run processes the request to its end.
@@ -166,7 +166,7 @@
 
 // writeHeader sends the response header, with where the request ran, and marks the response as
 // started.
-func (e *exchange) writeHeader(target router.Target, resp *upstream.Answer) error {
+func (e *exchange) writeHeader(target router.Target, resp *upstream.Response) error {
 	if err := e.req.Respond(); err != nil {
 		return err
 	}
--- a/api/options.go
+++ b/api/options.go
@@ -48,11 +48,11 @@
 			return out, fmt.Errorf("%w: header %s is %q, not a duration such as 30s", ErrBadBody, HeaderTimeout, text)
 		}
 	}
-	if out.key = r.Header.Get(HeaderKey); out.key != "" {
+	if out.key = r.Header.Get(HeaderIdempotencyKey); out.key != "" {
 		out.repeatable = false
 	}
 	if len(out.key) > maxKeyLen {
-		return out, fmt.Errorf("%w: header %s has %d bytes, allowed are %d", ErrBadBody, HeaderKey, len(out.key), maxKeyLen)
+		return out, fmt.Errorf("%w: header %s has %d bytes, allowed are %d", ErrBadBody, HeaderIdempotencyKey, len(out.key), maxKeyLen)
 	}
 	return out, nil
 }
--- a/cluster/breakers.go
+++ b/cluster/breakers.go
@@ -45,20 +45,20 @@
 }
 
 // Heard records a signal from an answer that this daemon received.
-func (b *Breakers) Heard(s breaker.Signal) {
-	if b.Note(s, "") {
+func (b *Breakers) Observe(s breaker.Signal) {
+	if b.Record(s, "") {
 		b.onChange()
 	}
 }
 
 // HeardHead records the signals in the head of an answer that this daemon received.
-func (b *Breakers) HeardHead(id models.InstanceID, born time.Time, head models.ResponseHead) {
-	b.Heard(breaker.Signal{Instance: id, StartedAt: born, ReceivedAt: time.Now(), Backoff: head.Backoff, Leaving: head.Leaving})
+func (b *Breakers) ObserveHead(id models.InstanceID, born time.Time, head models.ResponseHead) {
+	b.Observe(breaker.Signal{Instance: id, StartedAt: born, ReceivedAt: time.Now(), Backoff: head.Backoff, Leaving: head.Leaving})
 }
 
 // Note records a signal that the daemon from received, this one if from is empty. It logs the
 // change and reports whether there is a change to send to other daemons.
-func (b *Breakers) Note(s breaker.Signal, from breaker.Source) bool {
+func (b *Breakers) Record(s breaker.Signal, from breaker.Source) bool {
 	if s.IsEmpty() {
 		return false
 	}
@@ -217,7 +217,7 @@
 func (n *Node) handleSignals(updates []SignalUpdate, from models.DaemonID) {
 	now, changed := time.Now(), false
 	for _, u := range updates {
-		changed = n.breakers.Note(breaker.Signal{
+		changed = n.breakers.Record(breaker.Signal{
 			Instance: u.Instance, StartedAt: u.Born, ReceivedAt: now.Add(-u.Age), Backoff: u.Rest, Leaving: u.Leaving,
 		}, from) || changed
 	}
--- a/cluster/breakers_test.go
+++ b/cluster/breakers_test.go
@@ -25,8 +25,8 @@
 			peers := startPeers(t, test.daemons, test.zones)
 			backingOff, leaving := models.UpstreamInstance{ID: "i1"}, models.UpstreamInstance{ID: "i2"}
 			observer := peers[test.daemons-1]
-			observer.breakers.Heard(breaker.Signal{Instance: backingOff.ID, ReceivedAt: time.Now(), Backoff: time.Minute})
-			observer.breakers.Heard(breaker.Signal{Instance: leaving.ID, ReceivedAt: time.Now(), Leaving: true})
+			observer.breakers.Observe(breaker.Signal{Instance: backingOff.ID, ReceivedAt: time.Now(), Backoff: time.Minute})
+			observer.breakers.Observe(breaker.Signal{Instance: leaving.ID, ReceivedAt: time.Now(), Leaving: true})
 			knows := func(p *testPeer) bool {
 				return errors.Is(p.breakers.Blocks(leaving), breaker.ErrLeaving) && p.breakers.IsBusy(backingOff)
 			}
@@ -56,7 +56,7 @@
 	_, withheld := o.busy(engine, time.Now())
 	c.Assert(withheld["m"], qt.Equals, 0.0)
 	o.fleet.busy = nil
-	o.n.breakers.Heard(breaker.Signal{Instance: "i1", ReceivedAt: time.Now(), Backoff: time.Minute})
+	o.n.breakers.Observe(breaker.Signal{Instance: "i1", ReceivedAt: time.Now(), Backoff: time.Minute})
 	_, withheld = o.busy(engine, time.Now())
 	c.Assert(withheld["m"], qt.Equals, 8.0)
 	c.Assert(o.fleet.serving(time.Now())["m"], qt.HasLen, 2)
@@ -74,7 +74,7 @@
 		return int(o.n.stats.reports.Get() - before)
 	}
 	c.Assert(probesSent(), qt.Equals, 1)
-	o.n.breakers.Heard(breaker.Signal{Instance: i.ID, ReceivedAt: time.Now(), Backoff: 30 * time.Millisecond})
+	o.n.breakers.Observe(breaker.Signal{Instance: i.ID, ReceivedAt: time.Now(), Backoff: 30 * time.Millisecond})
 	c.Assert(probesSent(), qt.Equals, 1)
 	c.Assert(probesSent(), qt.Equals, 0)
 	time.Sleep(30 * time.Millisecond)
--- a/cluster/candidacy.go
+++ b/cluster/candidacy.go
@@ -110,7 +110,7 @@
 // processor power. Unless the topology is a mesh, only relays are eligible: they are linked to each
 // other, and updates reach everyone through them.
 func (o *owner) rank() (ahead, stronger int, eligible bool) {
-	self := membership.Daemon{ID: o.n.cfg.ID, Zone: o.n.cfg.Zone, CPUCores: o.n.cfg.Power}
+	self := membership.Daemon{ID: o.n.cfg.ID, Zone: o.n.cfg.Zone, CPUCores: o.n.cfg.CPUCores}
 	for _, d := range o.peers.topology.PlannerCandidates {
 		if d.ID == self.ID {
 			eligible = true
--- a/cluster/candidacy_test.go
+++ b/cluster/candidacy_test.go
@@ -14,7 +14,7 @@
 // newRunningOwner returns an owner with an uptime.
 func newRunningOwner(t *testing.T, id models.DaemonID, power float64, uptime time.Duration) *owner {
 	o := newTestOwner(t)
-	o.n.cfg.ID, o.n.cfg.Power, o.n.started = id, power, time.Now().Add(-uptime).UnixNano()
+	o.n.cfg.ID, o.n.cfg.CPUCores, o.n.started = id, power, time.Now().Add(-uptime).UnixNano()
 	o.peers = newPeersState(o.n.cfg)
 	return o
 }
@@ -85,7 +85,7 @@
 	addPeers(5, 0.2, 0.2, 0.2, 0.2)
 	o.handleLease(leaseHeld{term: 6, until: time.Now().Add(time.Minute)})
 	c.Assert(isCandidate(), qt.IsTrue, qt.Commentf("a planner among equals continues"))
-	o.n.StandAside()
+	o.n.Resign()
 	c.Assert(isCandidate(), qt.IsFalse, qt.Commentf("it has resigned"))
 
 	start("tenth", 0.05, time.Minute)
@@ -103,7 +103,7 @@
 		eligible bool
 	}{{0.2, false}, {0.8, true}} {
 		o := newTestOwner(t)
-		o.n.cfg.Power, o.n.cfg.Zone = test.power, "a"
+		o.n.cfg.CPUCores, o.n.cfg.Zone = test.power, "a"
 		o.peers = newPeersState(o.n.cfg)
 		for i := range 3 * meshLimit {
 			zone := models.Zone("abc"[i%3 : i%3+1])
--- a/cluster/config_watch.go
+++ b/cluster/config_watch.go
@@ -39,7 +39,7 @@
 // usesRelay reports whether the node gets data from a relay instead of reading the store.
 func (n *Node) usesRelay() bool {
 	v := n.View()
-	return !v.mesh() && !v.Arranged.IsRelay
+	return !v.mesh() && !v.Topology.IsRelay
 }
 
 // followConfig reads the configuration from the store.
@@ -98,7 +98,7 @@
 			return false
 		}
 	}
-	return n.planning.Load() || n.clock.Since(v.Proven) > bound
+	return n.planning.Load() || n.clock.Since(v.ConfirmedAt) > bound
 }
 
 // errConfirmationLate cancels a long poll because a confirmation is due.
--- a/cluster/config_watch_test.go
+++ b/cluster/config_watch_test.go
@@ -56,7 +56,7 @@
 	c.Assert(o.n.View().configBehind, qt.IsFalse)
 	c.Assert(o.n.mustReadConfig(), qt.IsTrue)
 
-	o.n.cfg.Power = 2
+	o.n.cfg.CPUCores = 2
 	o.peers.roster = membership.NewRoster(membership.Daemon{ID: "d1", CPUCores: 2}, membership.DefaultPolicy())
 	addPeers(o, meshLimit+1, 7)
 	c.Assert(o.n.usesRelay(), qt.IsFalse, qt.Commentf("it is eligible as planner"))
--- a/cluster/demand.go
+++ b/cluster/demand.go
@@ -112,5 +112,5 @@
 	}
 	c := o.fleet.planner.Counts()
 	o.n.log.Info().Int("forming", c.Forming).Int("ending", c.Ending).Int("staging", c.Staging).Int("loading", c.Loading).
-		Int("free", c.Free).Int("orders", o.fleet.ordersInFlight).Int("questions", o.fleet.probesInFlight).Int("calls-most", o.fleet.callLimit.Most()).Msg("plan")
+		Int("free", c.Free).Int("orders", o.fleet.ordersInFlight).Int("questions", o.fleet.probesInFlight).Int("calls-most", o.fleet.callLimit.Max()).Msg("plan")
 }
--- a/cluster/entries_progress_test.go
+++ b/cluster/entries_progress_test.go
@@ -196,7 +196,7 @@
 // another one.
 func (s *progressScript) signalLeaving(verb string, o *owner, of string) {
 	if verb == "signal" {
-		o.n.breakers.Heard(breaker.Signal{Instance: models.InstanceID(of), ReceivedAt: time.Now(), Leaving: true})
+		o.n.breakers.Observe(breaker.Signal{Instance: models.InstanceID(of), ReceivedAt: time.Now(), Leaving: true})
 		o.drainInbox()
 		return
 	}
--- a/cluster/limits.go
+++ b/cluster/limits.go
@@ -42,7 +42,7 @@
 }
 
 // Heard records the limit in an answer that this daemon received.
-func (l *Limits) Heard(s ratelimit.Observation) {
+func (l *Limits) Observe(s ratelimit.Observation) {
 	if s.Rate == models.NoRateLimit && !l.Any() {
 		return
 	}
--- a/cluster/limits_test.go
+++ b/cluster/limits_test.go
@@ -23,7 +23,7 @@
 			c := qt.New(t)
 			peers := startPeers(t, test.daemons, test.zones)
 			observe := func(p *testPeer, rate float64) {
-				p.limits.Heard(ratelimit.Observation{Instance: "i1", Rate: rate, SentAt: time.Now().Add(-time.Millisecond), ReceivedAt: time.Now()})
+				p.limits.Observe(ratelimit.Observation{Instance: "i1", Rate: rate, SentAt: time.Now().Add(-time.Millisecond), ReceivedAt: time.Now()})
 				time.Sleep(5 * time.Millisecond)
 			}
 			hasLimit := func(rate float64) func(*testPeer) bool {
--- a/cluster/link.go
+++ b/cluster/link.go
@@ -174,7 +174,7 @@
 	if !v.configRequesters[t.link.id] || v.version() <= t.sentConfig {
 		return nil
 	}
-	c := ConfigCopy{Version: v.version(), Age: time.Since(v.Proven), Data: v.config}
+	c := ConfigCopy{Version: v.version(), Age: time.Since(v.ConfirmedAt), Data: v.config}
 	t.sentConfig = c.Version
 	return t.send(frameConfig, c)
 }
--- a/cluster/links.go
+++ b/cluster/links.go
@@ -210,7 +210,7 @@
 		l.n.log.Error().Err(err).Msg("news-not-encoded")
 		return sharedFrame{}, false
 	}
-	return sharedFrame{plain: f, compressed: f.Packed()}, true
+	return sharedFrame{plain: f, compressed: f.Compressed()}, true
 }
 
 // notifyLoads makes the links to daemons that get this one's loads send them at once.
--- a/cluster/loads.go
+++ b/cluster/loads.go
@@ -86,14 +86,14 @@
 
 // without subtracts a part of the load, which may have changed since the total was taken.
 func (l Load) without(part Load) Load {
-	return Load{Requests: max(0, l.Requests-part.Requests), Unread: max(0, l.Unread-part.Unread)}
+	return Load{Requests: max(0, l.Requests-part.Requests), PrefillTokens: max(0, l.PrefillTokens-part.PrefillTokens)}
 }
 
 // set replaces a sender's load on one instance. The caller must hold the lock.
 func (p *peerLoads) set(from *daemonLoads, id models.InstanceID, load Load) {
 	sum, before := p.sum[id], from.loads[id]
 	sum.Requests += load.Requests - before.Requests
-	sum.Unread += load.Unread - before.Unread
+	sum.PrefillTokens += load.PrefillTokens - before.PrefillTokens
 	p.sum[id], from.loads[id] = sum, load
 	if load == (Load{}) {
 		delete(from.loads, id)
@@ -195,7 +195,7 @@
 func addLoads(sum, loads map[models.InstanceID]Load) {
 	for id, load := range loads {
 		s := sum[id]
-		sum[id] = Load{Requests: s.Requests + load.Requests, Unread: s.Unread + load.Unread}
+		sum[id] = Load{Requests: s.Requests + load.Requests, PrefillTokens: s.PrefillTokens + load.PrefillTokens}
 	}
 }
 
--- a/cluster/loads_test.go
+++ b/cluster/loads_test.go
@@ -52,9 +52,9 @@
 func TestLoadTotals(t *testing.T) {
 	c := qt.New(t)
 	p := newPeerLoads()
-	own := map[models.InstanceID]Load{"i-1": {Requests: 1, Unread: 100}}
+	own := map[models.InstanceID]Load{"i-1": {Requests: 1, PrefillTokens: 100}}
 	loads := func(requests int) map[models.InstanceID]Load {
-		return map[models.InstanceID]Load{"i-1": {Requests: requests, Unread: 100 * requests}}
+		return map[models.InstanceID]Load{"i-1": {Requests: requests, PrefillTokens: 100 * requests}}
 	}
 	apply := func(from models.DaemonID, zone models.Zone, of loadScope, change uint64, requests int) {
 		update := Update{From: from, LoadsVersion: change, Scope: of, Full: change == 1, Loads: loads(requests)}
@@ -62,7 +62,7 @@
 	}
 
 	apply("r1", "a", scopeCluster, 1, 7)
-	c.Assert(p.loadOn("i-1"), qt.Equals, Load{Requests: 6, Unread: 600})
+	c.Assert(p.loadOn("i-1"), qt.Equals, Load{Requests: 6, PrefillTokens: 600})
 	apply("r2", "a", scopeCluster, 2, 9)
 	c.Assert(p.loadOn("i-1").Requests, qt.Equals, 6, qt.Commentf("a change to another relay's totals"))
 	apply("r2", "a", scopeCluster, 1, 9)
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -32,7 +32,7 @@
 	// Store is the address of the platform's store.
 	Store netip.AddrPort
 	// Power is the number of processor cores that the process may use, usually a fraction of one.
-	Power float64
+	CPUCores float64
 	// LeaseMin is the shortest lease that the store grants.
 	LeaseMin time.Duration
 	// InstanceHeartbeat is the interval at which an instance rewrites its entry in the store.
@@ -161,7 +161,7 @@
 	})
 	n.stats.set.NewGauge("lupinkeel_daemons", func() float64 { return float64(n.View().Daemons) })
 	n.stats.set.NewGauge("lupinkeel_relay", func() float64 {
-		if a := n.View().Arranged; a != nil && a.IsRelay {
+		if a := n.View().Topology; a != nil && a.IsRelay {
 			return 1
 		}
 		return 0
@@ -228,7 +228,7 @@
 // StandAside makes the node give up the planner's lease and not run for it again. It is called
 // before the process stops, while the node can still announce the end of its term, so that another
 // daemon takes over at once.
-func (n *Node) StandAside() { n.resigned.Store(true) }
+func (n *Node) Resign() { n.resigned.Store(true) }
 
 // Run runs the node until the context ends.
 func (n *Node) Run(ctx context.Context) error {
@@ -301,7 +301,7 @@
 // recordAnswerHead records the backoff and leaving signals in an instance's answer to an order or a
 // probe.
 func (n *Node) recordAnswerHead(id models.InstanceID, head models.ResponseHead) {
-	n.breakers.HeardHead(id, n.View().All[id].StartedAt, head)
+	n.breakers.ObserveHead(id, n.View().All[id].StartedAt, head)
 }
 
 // sendProbe asks an instance for a report in the background. It returns false if the instance's
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -188,10 +188,10 @@
 
 // updatePeersView updates the configuration, the other daemons and this node's role in a view.
 func (o *owner) updatePeersView(v *View, now time.Time) {
-	v.Routing, v.Proven, v.config = o.config.routing, o.config.confirmedAt, o.config.data
-	v.Arranged, v.Daemons = o.peers.topology, 0
-	if o.n.isRosterReady() || v.Arranged.Size > 1 {
-		v.Daemons = v.Arranged.Size
+	v.Routing, v.ConfirmedAt, v.config = o.config.routing, o.config.confirmedAt, o.config.data
+	v.Topology, v.Daemons = o.peers.topology, 0
+	if o.n.isRosterReady() || v.Topology.Size > 1 {
+		v.Daemons = v.Topology.Size
 	}
 	v.zoneWork = o.zoneWorkUpdate()
 	v.Planner, v.Term = o.fleet.planner != nil, max(o.peers.term, o.fleet.term())
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -55,7 +55,7 @@
 }
 
 func newPeersState(cfg Settings) peersState {
-	self := membership.Daemon{ID: cfg.ID, Zone: cfg.Zone, CPUCores: cfg.Power}
+	self := membership.Daemon{ID: cfg.ID, Zone: cfg.Zone, CPUCores: cfg.CPUCores}
 	roster := membership.NewRoster(self, membership.DefaultPolicy())
 	return peersState{
 		seen: map[models.DaemonID]peerStatus{}, addrs: map[models.DaemonID]peerAddr{}, roster: roster, topology: roster.Topology(time.Now()),
@@ -128,7 +128,7 @@
 	b := Heartbeat{
 		From: n.cfg.ID, Incarnation: n.started, Addr: n.cfg.Peer.String(), Zone: n.cfg.Zone, Term: v.Term,
 		IsPlanner: n.planning.Load(),
-		Power:     n.cfg.Power, AcceptsCompressed: true, ConfigSource: v.configSource, Work: map[models.ModelName]float32{}, Stalled: v.stalled,
+		Power:     n.cfg.CPUCores, AcceptsCompressed: true, ConfigSource: v.configSource, Work: map[models.ModelName]float32{}, Stalled: v.stalled,
 		UsesRelay: l.UsesRelay, UsesPrimaryRelay: l.UsesLoads, Size: v.Daemons,
 		MissedUpdates: n.missedUpdates.pending() && n.requestsSnapshotFrom(to, l), EntriesAge: n.entriesAge(), Era: n.era.Load(),
 	}
@@ -141,14 +141,14 @@
 	if n.limits.Any() {
 		b.Grants = v.votes[to]
 		if l.Forwards {
-			b.Granters = v.Arranged.Granters
+			b.Granters = v.Topology.Granters
 		}
 	}
 	for model, work := range n.traffic.Work() {
 		b.Work[model] = float32(work)
 	}
 	if v.Routing != nil {
-		b.ConfigVersion, b.ConfigAge = v.Routing.Version, n.clock.Since(v.Proven)
+		b.ConfigVersion, b.ConfigAge = v.Routing.Version, n.clock.Since(v.ConfirmedAt)
 	}
 	return b
 }
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -40,7 +40,7 @@
 func TestForward(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
-	o.n.cfg.Zone, o.n.cfg.Power = "a", 1
+	o.n.cfg.Zone, o.n.cfg.CPUCores = "a", 1
 	o.peers = newPeersState(o.n.cfg)
 	t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
 	for i := range 30 {
--- a/cluster/peerserver_test.go
+++ b/cluster/peerserver_test.go
@@ -30,13 +30,13 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(from.From, qt.Equals, models.DaemonID("d-2"))
 	c.Assert(from.Incarnation, qt.Equals, int64(7))
-	own := frameOf(Update{LoadsVersion: 12, Full: true, Loads: map[models.InstanceID]Load{"i-1e5e60a8b1": {Requests: 3, Unread: 640}}})
+	own := frameOf(Update{LoadsVersion: 12, Full: true, Loads: map[models.InstanceID]Load{"i-1e5e60a8b1": {Requests: 3, PrefillTokens: 640}}})
 	c.Assert(len(own) <= 32, qt.IsTrue, qt.Commentf("%d bytes", len(own)))
 	for _, body := range [][]byte{own, frameOf(Update{From: "d-3", Incarnation: 1, LoadsVersion: 1, Full: true, Loads: map[models.InstanceID]Load{"i-2": {Requests: 1}}})} {
 		_, err := s.handleFrame(context.Background(), frameLoads, body, from)
 		c.Assert(err, qt.IsNil)
 	}
-	c.Assert(n.peerLoads.loadOn("i-1e5e60a8b1"), qt.Equals, Load{Requests: 3, Unread: 640})
+	c.Assert(n.peerLoads.loadOn("i-1e5e60a8b1"), qt.Equals, Load{Requests: 3, PrefillTokens: 640})
 	c.Assert(n.peerLoads.byDaemon["d-2"].incarnation, qt.Equals, int64(7))
 	c.Assert(n.peerLoads.byDaemon["d-3"].loads["i-2"].Requests, qt.Equals, 1)
 }
--- a/cluster/permits.go
+++ b/cluster/permits.go
@@ -132,10 +132,10 @@
 
 func (p *permits) request(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	v := p.n.View()
-	if v.Arranged == nil {
+	if v.Topology == nil {
 		return ratelimit.Grant{}, ErrNoGranter
 	}
-	id := v.Arranged.Granter(zone)
+	id := v.Topology.Granter(zone)
 	if id == p.n.cfg.ID {
 		return p.grant(zone, ask), nil
 	}
@@ -152,8 +152,8 @@
 func (p *permits) grant(zone models.Zone, ask ratelimit.PermitRequest) ratelimit.Grant {
 	v, now := p.n.View(), time.Now()
 	share := 0.0
-	if v.Arranged != nil {
-		share = v.Arranged.ShareOf(v.shares, zone)
+	if v.Topology != nil {
+		share = v.Topology.ShareOf(v.shares, zone)
 	}
 	rate := func(w ratelimit.Candidate) float64 {
 		i, known := v.All[w.Instance]
--- a/cluster/permits_test.go
+++ b/cluster/permits_test.go
@@ -100,10 +100,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			peers := startPeers(t, test.daemons, test.zones)
-			peers[0].limits.Heard(ratelimit.Observation{Instance: "i1", Rate: test.rate, SentAt: time.Now(), ReceivedAt: time.Now()})
-			granter := func() models.DaemonID { return peers[0].View().Arranged.Granter("z1") }
+			peers[0].limits.Observe(ratelimit.Observation{Instance: "i1", Rate: test.rate, SentAt: time.Now(), ReceivedAt: time.Now()})
+			granter := func() models.DaemonID { return peers[0].View().Topology.Granter("z1") }
 			waitAll(c, peers, discoveryTimeout, "agreed on the granter", func(p *testPeer) bool {
-				return p.View().granters != nil && p.View().Arranged.Granter("z1") == granter()
+				return p.View().granters != nil && p.View().Topology.Granter("z1") == granter()
 			})
 			a := &permitClients{zone: "z1", rate: test.rate}
 			ctx, cancel := context.WithCancel(context.Background())
--- a/cluster/planning.go
+++ b/cluster/planning.go
@@ -227,7 +227,7 @@
 	event.Str("order", string(m.order.Kind)).Str("instance", string(m.order.Instance)).Str("group", string(m.order.Group.Name)).
 		Int64("fence", m.order.Fence).Str("outcome", string(m.outcome)).Dur("took", m.took).Msg("order-ended")
 	o.fleet.ordersInFlight--
-	o.fleet.callLimit.Note(m.took)
+	o.fleet.callLimit.Observe(m.took)
 	o.sendOrders()
 	if p := o.fleet.planner; p != nil && fleet.TermOf(m.order.Fence) == o.fleet.heldTerm {
 		p.RecordOutcome(m.order, m.outcome, m.finishedAt)
--- a/cluster/planning_test.go
+++ b/cluster/planning_test.go
@@ -75,7 +75,7 @@
 	}{{3, true}, {60, false}} {
 		o := newTestOwner(t)
 		t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
-		o.n.cfg.Power = 1
+		o.n.cfg.CPUCores = 1
 		o.peers.roster = membership.NewRoster(membership.Daemon{ID: "d1", Zone: "z", CPUCores: 1}, membership.DefaultPolicy())
 		started := time.Unix(0, o.n.started)
 		for n := range test.daemons {
--- a/cluster/probes.go
+++ b/cluster/probes.go
@@ -54,7 +54,7 @@
 // gets half of the calls.
 func (o *owner) startCalls() {
 	f := &o.fleet
-	limit := f.callLimit.Most()
+	limit := f.callLimit.Max()
 	for f.probesInFlight+f.ordersInFlight < limit {
 		switch {
 		case len(f.probes) > 0 && (len(f.orders) == 0 || f.probesInFlight < limit/2 || f.ordersInFlight >= limit/2):
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -45,7 +45,7 @@
 }
 
 // Crashed records that an instance crashed with requests of this daemon in flight.
-func (q *Quarantine) Crashed(c quarantine.Crash) {
+func (q *Quarantine) RecordCrash(c quarantine.Crash) {
 	if q.record(c, "") {
 		q.onChange()
 	}
@@ -62,7 +62,7 @@
 }
 
 // EndedWell clears a request of suspicion because an instance answered it.
-func (q *Quarantine) EndedWell(d quarantine.Digest) {
+func (q *Quarantine) Clear(d quarantine.Digest) {
 	now := time.Now()
 	q.mu.Lock()
 	cleared := q.list.Clear(d, now)
@@ -74,7 +74,7 @@
 }
 
 // Standing returns how far a request is suspected of crashing instances.
-func (q *Quarantine) Standing(d quarantine.Digest) quarantine.Status {
+func (q *Quarantine) Suspicion(d quarantine.Digest) quarantine.Status {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.list.Status(d)
@@ -102,11 +102,11 @@
 }
 
 // Holds reports whether any crash is known. If not, requests need no digest.
-func (q *Quarantine) Holds() bool { return q.nonEmpty.Load() }
+func (q *Quarantine) Any() bool { return q.nonEmpty.Load() }
 
 // Prune drops expired crashes.
 func (q *Quarantine) Prune() {
-	if !q.Holds() {
+	if !q.Any() {
 		return
 	}
 	now := time.Now()
@@ -214,7 +214,7 @@
 func (t *linkWriter) sendFindings() error {
 	v := t.n.View()
 	scope := ownFindings
-	if !t.sentAllFindings || (!v.mesh() && v.Arranged.IsRelay) {
+	if !t.sentAllFindings || (!v.mesh() && v.Topology.IsRelay) {
 		scope = allFindings
 	}
 	crashes, lastCrash := t.n.quarantine.changesSince(t.sentCrashes, t.link.id, scope)
--- a/cluster/quarantine_store.go
+++ b/cluster/quarantine_store.go
@@ -82,7 +82,7 @@
 		at := now.Add(-max(0, now.Sub(c.At)))
 		q.record(quarantine.Crash{Instance: c.Instance, StartedAt: c.Born, At: at, Requests: map[quarantine.Digest]bool{d: false}}, storeSource)
 	}
-	if q.Standing(d).Crashes == 0 {
+	if q.Suspicion(d).Crashes == 0 {
 		// All its crashes have expired: an empty record is written.
 		q.enqueueWrite(d)
 	}
--- a/cluster/quarantine_test.go
+++ b/cluster/quarantine_test.go
@@ -86,7 +86,7 @@
 
 // hasCrashes reports whether the daemon attributes a number of crashes to a request.
 func (p *testPeer) hasCrashes(d quarantine.Digest, crashes int) bool {
-	return p.quarantine.Standing(d).Crashes == crashes
+	return p.quarantine.Suspicion(d).Crashes == crashes
 }
 
 // waitAll waits until a condition holds for all daemons, and returns how long that took.
@@ -127,19 +127,19 @@
 			peers := startPeers(t, test.daemons, test.zones)
 			guilty, other := quarantine.Request{Target: "/crashes"}.Digest(), quarantine.Request{Target: "/other"}.Digest()
 
-			peers[0].quarantine.Crashed(crashed("i1", guilty, other))
-			peers[1].quarantine.Crashed(crashed("i1", guilty))
+			peers[0].quarantine.RecordCrash(crashed("i1", guilty, other))
+			peers[1].quarantine.RecordCrash(crashed("i1", guilty))
 			waitAll(c, peers, propagationTimeout, "aware of one crash", func(p *testPeer) bool { return p.hasCrashes(guilty, 1) && p.hasCrashes(other, 1) })
-			peers[test.daemons-1].quarantine.Crashed(crashed("i2", guilty))
+			peers[test.daemons-1].quarantine.RecordCrash(crashed("i2", guilty))
 			waitAll(c, peers, propagationTimeout, "aware of two crashes", func(p *testPeer) bool { return p.hasCrashes(guilty, 2) })
-			peers[test.daemons/2].quarantine.Crashed(crashed("i3", guilty))
-			took := waitAll(c, peers, propagationTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Standing(guilty).Quarantined })
+			peers[test.daemons/2].quarantine.RecordCrash(crashed("i3", guilty))
+			took := waitAll(c, peers, propagationTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Suspicion(guilty).Quarantined })
 			t.Logf("all %d refuse the request after %v", test.daemons, took.Round(time.Millisecond))
-			peers[1].quarantine.EndedWell(other)
+			peers[1].quarantine.Clear(other)
 			waitAll(c, peers, propagationTimeout, "aware of the cleared request", func(p *testPeer) bool { return p.hasCrashes(other, 0) })
 
 			late := startNth(t, test.daemons, test.zones, peers)
-			took = waitAll(c, []*testPeer{late}, discoveryTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Standing(guilty).Quarantined })
+			took = waitAll(c, []*testPeer{late}, discoveryTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Suspicion(guilty).Quarantined })
 			t.Logf("a starting daemon refuses it after %v", took.Round(time.Millisecond))
 			c.Assert(late.hasCrashes(other, 0), qt.IsTrue)
 		})
--- a/cluster/reports.go
+++ b/cluster/reports.go
@@ -16,7 +16,7 @@
 // handleProbeResult applies the report of an instance, or the failure of the probe.
 func (o *owner) handleProbeResult(m probeFinished) {
 	o.fleet.probesInFlight--
-	o.fleet.callLimit.Note(m.took)
+	o.fleet.callLimit.Observe(m.took)
 	defer o.sendOrders()
 	k, known := o.fleet.instances[m.instance.ID]
 	switch {
--- a/cluster/restored_test.go
+++ b/cluster/restored_test.go
@@ -37,7 +37,7 @@
 		term, _ := n.beginTerm(t.Context())
 		return term
 	}
-	copied := backend.Copy()
+	copied := backend.Snapshot()
 	last := int64(0)
 	for range 2 {
 		for range 3 {
@@ -59,7 +59,7 @@
 	c.Assert(h.acquire(t.Context()), qt.IsNil)
 	first := h.term
 	c.Assert(first > 0, qt.IsTrue)
-	copied := backend.Copy()
+	copied := backend.Snapshot()
 	c.Assert(h.acquire(t.Context()), qt.IsNil)
 	c.Assert(h.term, qt.Equals, first)
 	backend.Restore(copied)
@@ -73,7 +73,7 @@
 func TestRegistersAfterRestore(t *testing.T) {
 	c := qt.New(t)
 	n, backend := restorableNode(t)
-	empty := backend.Copy()
+	empty := backend.Snapshot()
 	c.Assert(n.register(t.Context()), qt.IsNil)
 	registered := func() int {
 		records, _, err := n.store.Newest(t.Context(), rosterTopic)
@@ -161,7 +161,7 @@
 func TestReaderSkipsKnownRecords(t *testing.T) {
 	c := qt.New(t)
 	n, backend := restorableNode(t)
-	copied := backend.Copy()
+	copied := backend.Snapshot()
 	for range 3 {
 		backend.Put(platform.InstancesTopic, "i-1", []byte("{}"))
 	}
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -12,7 +12,7 @@
 type View struct {
 	Routing *models.Routing
 	// Proven is the time as of which Routing was last confirmed to be the newest.
-	Proven time.Time
+	ConfirmedAt time.Time
 	// Groups are the replica groups that accept requests, by model.
 	Groups map[models.ModelName][]Group
 	// Services are the instances of plain services that accept requests.
@@ -29,7 +29,7 @@
 	// is valid for fields that do not change in an instance's life, such as address and service.
 	All map[models.InstanceID]models.UpstreamInstance
 	// Arranged is the topology: the daemons to which this node sends, and what.
-	Arranged *membership.Topology
+	Topology *membership.Topology
 
 	// config is the encoded routing as the store holds it.
 	config []byte
@@ -65,15 +65,15 @@
 }
 
 // mesh reports whether each daemon sends to every other one directly, without relays.
-func (v *View) mesh() bool { return v.Arranged == nil || v.Arranged.IsMesh }
+func (v *View) mesh() bool { return v.Topology == nil || v.Topology.IsMesh }
 
 // Sharers returns the number of daemons that choose groups by the same load totals, including this
 // one.
-func (v *View) Sharers() int {
+func (v *View) LoadSharers() int {
 	if v.mesh() {
 		return 1
 	}
-	return v.Arranged.ZoneSize
+	return v.Topology.ZoneSize
 }
 
 // LoadsAge returns the typical age of other daemons' loads.
--- a/cluster/wire.go
+++ b/cluster/wire.go
@@ -136,7 +136,7 @@
 	// Requests is the number of requests in flight, Unread the number of prompt tokens of requests
 	// that have no answer yet.
 	Requests int `msgpack:"r,omitempty"`
-	Unread   int `msgpack:"u,omitempty"`
+	PrefillTokens   int `msgpack:"u,omitempty"`
 }
 
 // Update is any message between daemons that is not a heartbeat. Each one holds one of: loads,
--- a/commands/demo.go
+++ b/commands/demo.go
@@ -160,7 +160,7 @@
 
 func samples() []sample {
 	lastToken := standin.Token(samplePrompt+"\n", sampleTokens-1)
-	fullText := standin.Answer(samplePrompt+"\n", sampleTokens)
+	fullText := standin.Completion(samplePrompt+"\n", sampleTokens)
 	hasFullText := func(body string) bool { return strings.Contains(body, strings.TrimSpace(fullText)) }
 	hasFullStream := func(body string) bool {
 		return strings.Contains(body, strings.TrimSpace(lastToken)) && strings.HasSuffix(body, "data: [DONE]\n\n")
--- a/commands/gateway.go
+++ b/commands/gateway.go
@@ -42,7 +42,7 @@
 	if err := errors.Join(err, loadErr, levelErr); err != nil {
 		return err
 	}
-	out := logfmt.NewBounded(c.App.Writer, maxQueuedLogLines)
+	out := logfmt.NewAsync(c.App.Writer, maxQueuedLogLines)
 	ctx, cancel := context.WithCancel(context.WithoutCancel(c.Context))
 	logWriter := task.Start(ctx, "log", out.Run)
 	err = runGateway(c.Context, settings, explicit, logfmt.New(out, level))
@@ -72,7 +72,7 @@
 	set := metrics.NewSet()
 	traffic := gateway.Traffic()
 	node := cluster.New(cluster.Settings{
-		ID: s.ID, Zone: s.Zone, Peer: s.Peer, Store: s.Store, Power: s.CPUCores, LeaseMin: s.LeaseMin, InstanceHeartbeat: s.InstanceHeartbeat,
+		ID: s.ID, Zone: s.Zone, Peer: s.Peer, Store: s.Store, CPUCores: s.CPUCores, LeaseMin: s.LeaseMin, InstanceHeartbeat: s.InstanceHeartbeat,
 	}, traffic, set, log)
 	if err := node.Clock().CountSuspensions(timer.BootTime); err != nil {
 		log.Warn().Err(err).Msg("suspensions-not-counted")
@@ -86,7 +86,7 @@
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	running := task.Start(background, "node", node.Run)
-	defer context.AfterFunc(ctx, node.StandAside)()
+	defer context.AfterFunc(ctx, node.Resign)()
 	serving := task.Start(ctx, "gateway", g.Run)
 	sizing := task.Start(background, "heap", func(ctx context.Context) error { return tuneGC(ctx, node) })
 	reloading := task.Start(background, "reload", func(ctx context.Context) error { return reload(ctx, s, explicit, log) })
--- a/commands/load.go
+++ b/commands/load.go
@@ -55,7 +55,7 @@
 func printLoadReport(w io.Writer, r load.Report) {
 	var rows [][]string
 	for _, end := range []router.Outcome{
-		router.OutcomeComplete, router.OutcomeNotRun, router.OutcomeMayHaveRun, load.EndBroken, load.EndShort, load.EndDoubled, load.EndSilent,
+		router.OutcomeComplete, router.OutcomeNotRun, router.OutcomeMayHaveRun, load.EndBroken, load.EndTruncated, load.EndExtraEvents, load.EndNoResponse,
 	} {
 		rows = append(rows, []string{string(end), fmt.Sprint(r.Ends[end])})
 	}
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -58,7 +58,7 @@
 	detail  string
 }
 
-func (c chatRequest) want() string { return standin.Answer(c.prompt+"\n", c.tokens) }
+func (c chatRequest) want() string { return standin.Completion(c.prompt+"\n", c.tokens) }
 
 func (c chatRequest) send(ctx context.Context, addr netip.AddrPort) result {
 	body, err := json.Marshal(map[string]any{
@@ -77,7 +77,7 @@
 	}
 	req.Header.Set("Authorization", "Bearer "+callerToken)
 	if c.key != "" {
-		req.Header.Set(api.HeaderKey, c.key)
+		req.Header.Set(api.HeaderIdempotencyKey, c.key)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/fleet/convert.go
+++ b/fleet/convert.go
@@ -240,7 +240,7 @@
 		}
 		free = false
 		if g := r.groups[r.Instances[id].Group.Key]; g != nil {
-			r.endGroup(g.Key, g.Head, types.GroupFinish)
+			r.endGroup(g.Key, g.Head, types.GroupDrain)
 		}
 	}
 	if !free {
--- a/fleet/ending.go
+++ b/fleet/ending.go
@@ -48,7 +48,7 @@
 		r.ending[key] = &ending{key: key, head: head, kind: kind}
 		return
 	}
-	if kind == types.GroupCut && e.kind == types.GroupFinish {
+	if kind == types.GroupStop && e.kind == types.GroupDrain {
 		e.kind = kind
 	}
 }
--- a/fleet/evaluate.go
+++ b/fleet/evaluate.go
@@ -23,9 +23,9 @@
 		case actionAdopt:
 			r.adopt(g, profile)
 		case actionCut:
-			r.endGroup(key, g.Head, types.GroupCut)
+			r.endGroup(key, g.Head, types.GroupStop)
 		case actionFinish:
-			r.endGroup(key, g.Head, types.GroupFinish)
+			r.endGroup(key, g.Head, types.GroupDrain)
 		case actionDissolve:
 			r.endGroup(key, g.Head, types.GroupLeave)
 		case actionReleaseMembers:
--- a/fleet/planner.go
+++ b/fleet/planner.go
@@ -194,7 +194,7 @@
 // OrderInProgress returns the kind of the order that the instance is executing, empty if there is
 // none.
 func (p *Planner) OrderInProgress(id models.InstanceID) types.GroupOrderKind {
-	if s := p.sent[id]; s != nil && s.outcome == types.OrderBegun {
+	if s := p.sent[id]; s != nil && s.outcome == types.OrderStarted {
 		return s.order.Kind
 	}
 	return ""
@@ -222,11 +222,11 @@
 	switch outcome {
 	case types.OrderFenced:
 		p.handleFenced(o)
-	case types.OrderUnfit, types.OrderOtherInstance:
+	case types.OrderRejected, types.OrderOtherInstance:
 		if o.Kind == types.GroupJoin || outcome == types.OrderOtherInstance {
 			p.backoffUntil[o.Instance] = now.Add(unfitBackoff)
 		}
-	case types.OrderDone, types.OrderBegun:
+	case types.OrderDone, types.OrderStarted:
 		p.handleAccepted(o, outcome, now)
 	case types.OrderUnknown:
 		if o.Kind == types.GroupOpen {
--- a/fleet/planner_test.go
+++ b/fleet/planner_test.go
@@ -70,7 +70,7 @@
 	w.Unreachable = map[models.InstanceID]bool{"i-2": true}
 	orders := p.Step(w)
 	qt.Assert(t, orders, qt.HasLen, 1)
-	qt.Assert(t, orders[0].Kind, qt.Equals, types.GroupCut)
+	qt.Assert(t, orders[0].Kind, qt.Equals, types.GroupStop)
 	qt.Assert(t, orders[0].Instance, qt.Equals, models.InstanceID("i-1"))
 }
 
--- a/fleet/round.go
+++ b/fleet/round.go
@@ -92,10 +92,10 @@
 	if s.order.Kind != kind || s.order.Group != key {
 		return true
 	}
-	if s.outcome == types.OrderBegun && kind == types.GroupCut {
+	if s.outcome == types.OrderStarted && kind == types.GroupStop {
 		return r.Now.Sub(s.at) >= cutRetryInterval
 	}
-	if s.outcome == types.OrderBegun && kind == types.GroupFinish {
+	if s.outcome == types.OrderStarted && kind == types.GroupDrain {
 		return r.Now.Sub(s.at) >= finishRetryInterval
 	}
 	return r.Now.Sub(s.at) >= orderRetryInterval
--- a/fleet/sim_test.go
+++ b/fleet/sim_test.go
@@ -202,7 +202,7 @@
 		return s.executeJoin(i, o)
 	}
 	if i.Group.Key != o.Group {
-		return types.OrderUnfit
+		return types.OrderRejected
 	}
 	switch o.Kind {
 	case types.GroupOpen:
@@ -210,17 +210,17 @@
 			return types.OrderDone
 		}
 		if i.Group.State != models.MemberReady || i.Group.Rank != 0 {
-			return types.OrderUnfit
+			return types.OrderRejected
 		}
 		i.openAt = s.now.Add(s.profile.FormTime)
-		return types.OrderBegun
-	case types.GroupCut, types.GroupFinish:
+		return types.OrderStarted
+	case types.GroupStop, types.GroupDrain:
 		return s.executeClose(i, o)
 	case types.GroupLeave:
 		i.Group, i.openAt = models.Membership{}, time.Time{}
 		return types.OrderDone
 	default:
-		return types.OrderUnfit
+		return types.OrderRejected
 	}
 }
 
@@ -231,27 +231,27 @@
 	}
 	s.recordLoad()
 	i.staging, i.stagedAt = o.Model, s.now.Add(s.loadTime(model))
-	return types.OrderBegun
+	return types.OrderStarted
 }
 
 func (s *sim) executeClose(i *simInstance, o types.GroupOrder) types.OrderOutcome {
 	switch i.Group.State {
 	case models.MemberOpen:
 		i.Group.State, i.closedAt = models.MemberClosing, s.now.Add(simStep)
-		if o.Kind == types.GroupFinish {
+		if o.Kind == types.GroupDrain {
 			i.closedAt = s.now.Add(time.Second)
 		}
-		return types.OrderBegun
+		return types.OrderStarted
 	case models.MemberClosing:
-		if o.Kind == types.GroupCut {
+		if o.Kind == types.GroupStop {
 			i.closedAt = s.now
 		}
-		return types.OrderBegun
+		return types.OrderStarted
 	case models.MemberReady, models.MemberBroken:
 		// A head that is about to open still opens.
 		return types.OrderDone
 	default:
-		return types.OrderUnfit
+		return types.OrderRejected
 	}
 }
 
@@ -279,7 +279,7 @@
 	s.checkSingleMembership(i, o)
 	model, known := s.profile.Model(o.Model)
 	if !known {
-		return types.OrderUnfit
+		return types.OrderRejected
 	}
 	i.epoch = o.Group.Epoch
 	i.Group = models.Membership{Key: o.Group, Rank: slices.Index(o.Members, i.ID), State: models.MemberJoining}
@@ -294,7 +294,7 @@
 		s.recordLoad()
 		i.readyAt = s.now.Add(s.loadTime(model))
 	}
-	return types.OrderBegun
+	return types.OrderStarted
 }
 
 // checkSingleMembership checks that an instance joins no group while the head of its previous group
--- a/fleet/warming.go
+++ b/fleet/warming.go
@@ -39,7 +39,7 @@
 // orderWarmingJoin orders a spare to join its own group unless it has accepted the order.
 func (r *round) orderWarmingJoin(id models.InstanceID, w warming) {
 	s := r.sent[id]
-	accepted := s != nil && s.order.Group == w.key && (s.outcome == types.OrderBegun || s.outcome == types.OrderDone)
+	accepted := s != nil && s.order.Group == w.key && (s.outcome == types.OrderStarted || s.outcome == types.OrderDone)
 	if !accepted && r.orderDue(id, types.GroupJoin, w.key) {
 		r.issue(types.GroupOrder{Kind: types.GroupJoin, Instance: id, Group: w.key, Model: w.model, Members: []models.InstanceID{id}})
 	}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -32,7 +32,7 @@
 	resume  int64
 	resumed bool
 	// readTimeout is called when nothing is received from the group.
-	readTimeout h1.Patience
+	readTimeout h1.StallPolicy
 
 	response *h1.Response
 	events   *sse.Reader
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -28,7 +28,7 @@
 
 // signal records a backoff or leaving notice of an instance at the gateway.
 func (s *limitFixture) signal(id models.InstanceID, backoff time.Duration, leaving bool) {
-	s.node.breakers.Heard(breaker.Signal{Instance: id, StartedAt: s.node.view.All[id].StartedAt, ReceivedAt: time.Now(), Backoff: backoff, Leaving: leaving})
+	s.node.breakers.Observe(breaker.Signal{Instance: id, StartedAt: s.node.view.All[id].StartedAt, ReceivedAt: time.Now(), Backoff: backoff, Leaving: leaving})
 }
 
 // TestSignalAppliesToNextRequest checks that a backoff or a leaving notice in a response applies
@@ -139,9 +139,9 @@
 	s := newLimitFixture(t)
 	d := quarantine.Request{Workspace: "ws", Method: http.MethodPost, Host: "api.example", Target: "/again/x", Body: []byte("body")}.Digest()
 	for _, id := range []models.InstanceID{"i1", "i2"} {
-		s.node.quarantine.Crashed(quarantine.Crash{Instance: id, At: time.Now().Add(-time.Minute), Requests: map[quarantine.Digest]bool{d: false}})
+		s.node.quarantine.RecordCrash(quarantine.Crash{Instance: id, At: time.Now().Add(-time.Minute), Requests: map[quarantine.Digest]bool{d: false}})
 	}
-	s.c.Assert(s.node.quarantine.Standing(d).NeedsIsolation(), qt.IsTrue)
+	s.c.Assert(s.node.quarantine.Suspicion(d).NeedsIsolation(), qt.IsTrue)
 	own := []string{"p1", "p2"}[s.node.quarantine.Place(d, 2)]
 	s.signal(models.InstanceID(own), time.Minute, false)
 	s.send("a")
@@ -175,7 +175,7 @@
 		return i.ID
 	}
 	c.Assert(pick(), qt.Equals, models.InstanceID("b"))
-	node.breakers.Note(breaker.Signal{Instance: "b", ReceivedAt: time.Now(), Backoff: time.Minute}, "d2")
+	node.breakers.Record(breaker.Signal{Instance: "b", ReceivedAt: time.Now(), Backoff: time.Minute}, "d2")
 	for range 20 {
 		c.Assert(pick(), qt.Not(qt.Equals), models.InstanceID("b"))
 	}
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -118,7 +118,7 @@
 	for _, d := range requests {
 		crash.Requests[d] = false
 	}
-	cd.node.Quarantine().Crashed(crash)
+	cd.node.Quarantine().RecordCrash(crash)
 }
 
 // probe finds out whether an instance still accepts connections.
@@ -203,7 +203,7 @@
 // isDisconnect reports whether an error means that the instance closed the connection before the
 // response was complete.
 func isDisconnect(err error) bool {
-	for _, end := range []error{io.ErrUnexpectedEOF, sse.ErrCut, errEmptyStream, syscall.ECONNRESET, syscall.EPIPE} {
+	for _, end := range []error{io.ErrUnexpectedEOF, sse.ErrTruncated, errEmptyStream, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, end) {
 			return !errors.Is(err, errNotRun) && !errors.Is(err, h1.ErrStalled)
 		}
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -74,8 +74,8 @@
 // a crash: not a stall, nor a request that was not sent, nor an invalid response.
 func TestDisconnectErrors(t *testing.T) {
 	c := qt.New(t)
-	mayHaveRun := func(err error) error { return errors.Join(errMayHaveRun, fmt.Errorf("%w: %w", h1.ErrNoAnswer, err)) }
-	for _, cut := range []error{mayHaveRun(io.ErrUnexpectedEOF), mayHaveRun(syscall.ECONNRESET), errors.Join(errMayHaveRun, sse.ErrCut), errors.Join(errMayHaveRun, errEmptyStream)} {
+	mayHaveRun := func(err error) error { return errors.Join(errMayHaveRun, fmt.Errorf("%w: %w", h1.ErrNoResponse, err)) }
+	for _, cut := range []error{mayHaveRun(io.ErrUnexpectedEOF), mayHaveRun(syscall.ECONNRESET), errors.Join(errMayHaveRun, sse.ErrTruncated), errors.Join(errMayHaveRun, errEmptyStream)} {
 		c.Check(isDisconnect(cut), qt.IsTrue, qt.Commentf("%v", cut))
 	}
 	for _, other := range []error{
@@ -105,8 +105,8 @@
 	time.Sleep(probing + 100*time.Millisecond)
 	c.Assert(l.Close(), qt.IsNil)
 	<-cd.noteDisconnect(context.Background(), i, guilty)
-	c.Assert(node.quarantine.Standing(guilty).Crashes, qt.Equals, 1)
-	c.Assert(node.quarantine.Standing(reset).Crashes, qt.Equals, 0)
+	c.Assert(node.quarantine.Suspicion(guilty).Crashes, qt.Equals, 1)
+	c.Assert(node.quarantine.Suspicion(reset).Crashes, qt.Equals, 0)
 }
 
 // TestRestartLongAfterReset checks that a restart long after a reset connection does not count as a
@@ -123,5 +123,5 @@
 	i.StartedAt = i.StartedAt.Add(time.Minute)
 	node.view.All[i.ID] = i
 	cd.sweep(now.Add(restartWindow + 2*time.Second))
-	c.Assert(node.quarantine.Standing(d).Crashes, qt.Equals, 0)
+	c.Assert(node.quarantine.Suspicion(d).Crashes, qt.Equals, 0)
 }
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -43,7 +43,7 @@
 		{"stale, known key", routing, 5 * time.Second, "/keyed/", "k1", http.StatusServiceUnavailable},
 		{"no configuration", nil, 0, "/none/", "k1", http.StatusServiceUnavailable},
 	} {
-		view := &cluster.View{Routing: test.routing, Proven: time.Now().Add(-test.age), Daemons: 1}
+		view := &cluster.View{Routing: test.routing, ConfirmedAt: time.Now().Add(-test.age), Daemons: 1}
 		g := New(Settings{MaxKeysProofAge: 4 * time.Second, MaxConfigAge: 2 * time.Second, RetryWindow: time.Second},
 			&fakeNode{view: view, clock: timer.New(time.Now())}, newScheduler(), metrics.NewSet(), zerolog.Nop())
 		r := httptest.NewRequest(http.MethodPost, test.path, nil)
@@ -61,7 +61,7 @@
 // TestReady checks that readiness fails while the configuration is stale or the gateway stops.
 func TestReady(t *testing.T) {
 	c := qt.New(t)
-	view := &cluster.View{Routing: &models.Routing{}, Proven: time.Now()}
+	view := &cluster.View{Routing: &models.Routing{}, ConfirmedAt: time.Now()}
 	g := New(Settings{MaxKeysProofAge: 4 * time.Second, RetryWindow: time.Second}, &fakeNode{view: view, clock: timer.New(time.Now())}, newScheduler(), metrics.NewSet(), zerolog.Nop())
 	ready := func() int {
 		w := httptest.NewRecorder()
@@ -69,9 +69,9 @@
 		return w.Code
 	}
 	c.Assert(ready(), qt.Equals, http.StatusOK)
-	view.Proven = time.Now().Add(-5 * time.Second)
+	view.ConfirmedAt = time.Now().Add(-5 * time.Second)
 	c.Assert(ready(), qt.Equals, http.StatusServiceUnavailable)
-	view.Proven = time.Now()
+	view.ConfirmedAt = time.Now()
 	g.stopping.Store(true)
 	c.Assert(ready(), qt.Equals, http.StatusServiceUnavailable)
 }
@@ -85,7 +85,7 @@
 	var suspended time.Duration
 	clock := timer.New(start)
 	c.Assert(clock.CountSuspensions(func() (time.Duration, error) { return time.Since(start) + suspended, nil }), qt.IsNil)
-	view := &cluster.View{Routing: &models.Routing{}, Proven: time.Now()}
+	view := &cluster.View{Routing: &models.Routing{}, ConfirmedAt: time.Now()}
 	g := New(Settings{MaxKeysProofAge: 4 * time.Second, RetryWindow: time.Second}, &fakeNode{view: view, clock: clock}, newScheduler(), metrics.NewSet(), zerolog.Nop())
 	c.Assert(g.isCurrent(view, g.cfg.MaxKeysProofAge), qt.IsTrue)
 	suspended = 5 * time.Second
--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -41,7 +41,7 @@
 func passTime(engine *models.EngineProfile, model models.ModelProfile, load cluster.Load) time.Duration {
 	running := time.Duration(min(load.Requests, engine.Slots))
 	steps := time.Duration(max(1, engine.StepsPerSend)) * (engine.StepTime + running*engine.StepTimePerRequest)
-	return time.Duration(model.TimeFactor * float64(steps+engine.PrefillTime(load.Unread)))
+	return time.Duration(model.TimeFactor * float64(steps+engine.PrefillTime(load.PrefillTokens)))
 }
 
 // currentPassTime returns the expected duration of the pass that a group is running, from the
@@ -61,7 +61,7 @@
 // cost: most passes that take longer than expected prefill prompts that this daemon does not know
 // of yet.
 func failoverSlack(engine *models.EngineProfile, model models.ModelProfile, promptTokens int, pause time.Duration) time.Duration {
-	destLoad := cluster.Load{Requests: engine.Slots / 2, Unread: failoverPrompts * promptTokens}
+	destLoad := cluster.Load{Requests: engine.Slots / 2, PrefillTokens: failoverPrompts * promptTokens}
 	return pause - passTime(engine, model, destLoad) - 2*networkMargin
 }
 
--- a/gateway/pauses_test.go
+++ b/gateway/pauses_test.go
@@ -16,7 +16,7 @@
 	engine := &models.EngineProfile{Slots: 17, StepTime: 8 * time.Millisecond, StepTimePerRequest: 100 * time.Microsecond, PrefillTokensPerSecond: 40000, StepsPerSend: 5}
 	idle := passTime(engine, models.ModelProfile{TimeFactor: 1}, cluster.Load{})
 	c.Assert(idle, qt.Equals, 40*time.Millisecond)
-	busy := passTime(engine, models.ModelProfile{TimeFactor: 1}, cluster.Load{Requests: 10, Unread: 2000})
+	busy := passTime(engine, models.ModelProfile{TimeFactor: 1}, cluster.Load{Requests: 10, PrefillTokens: 2000})
 	c.Assert(busy, qt.Equals, 95*time.Millisecond)
 	over := passTime(engine, models.ModelProfile{TimeFactor: 0.5}, cluster.Load{Requests: 40})
 	c.Assert(over, qt.Equals, 24250*time.Microsecond)
@@ -122,7 +122,7 @@
 	}
 	for range passes {
 		pass := func(tokens int) time.Duration {
-			return passTime(engine, model, cluster.Load{Requests: runningRequests, Unread: tokens})
+			return passTime(engine, model, cluster.Load{Requests: runningRequests, PrefillTokens: tokens})
 		}
 		expected, actual := pass(prefillTokens(now-loadDelay)), pass(prefillTokens(now))
 		prefilled := len(waiting)
--- a/gateway/permit_test.go
+++ b/gateway/permit_test.go
@@ -79,7 +79,7 @@
 // setLimit records a rate limit of an instance at the gateway.
 func (s *limitFixture) setLimit(id models.InstanceID) {
 	i := s.node.view.All[id]
-	s.node.limits.Heard(ratelimit.Observation{Instance: id, StartedAt: i.StartedAt, Rate: 2, SentAt: time.Now(), ReceivedAt: time.Now()})
+	s.node.limits.Observe(ratelimit.Observation{Instance: id, StartedAt: i.StartedAt, Rate: 2, SentAt: time.Now(), ReceivedAt: time.Now()})
 }
 
 // TestLimitedInstanceNeedsPermit checks that a rate limit announced in a response applies from the
--- a/gateway/pick.go
+++ b/gateway/pick.go
@@ -147,7 +147,7 @@
 		// Its other requests fail over as well.
 		req.Displaced = max(req.Displaced, s.totalLoadLocked(node, id).Requests)
 	}
-	staleness := placement.Staleness{Age: view.LoadsAge(), Daemons: view.Sharers(), RequestRate: s.arrivals[head.Model].decayed(time.Now())}
+	staleness := placement.Staleness{Age: view.LoadsAge(), Daemons: view.LoadSharers(), RequestRate: s.arrivals[head.Model].decayed(time.Now())}
 	index := s.policy.Pick(engine, candidates, req, staleness, s.random)
 	return groups[index], candidates[index].Requests, true
 }
@@ -174,7 +174,7 @@
 func (s *scheduler) candidate(node Node, g cluster.Group) placement.Candidate {
 	load := s.totalLoadLocked(node, g.Head.ID)
 	return placement.Candidate{
-		Requests: load.Requests, PrefillTokens: load.Unread, SameZone: g.Head.Zone == s.zone, Failures: s.penalty(node, g.Head),
+		Requests: load.Requests, PrefillTokens: load.PrefillTokens, SameZone: g.Head.Zone == s.zone, Failures: s.penalty(node, g.Head),
 	}
 }
 
--- a/gateway/pick_test.go
+++ b/gateway/pick_test.go
@@ -97,7 +97,7 @@
 	// With many daemons, requests that other daemons place at the same moment count as well:
 	// prompts of 12,000 tokens were once placed on one of eight groups.
 	many := newPickNode()
-	many.view.Arranged = &membership.Topology{ZoneSize: 59}
+	many.view.Topology = &membership.Topology{ZoneSize: 59}
 	b.addLoad("b", 0, -1400)
 	picked = map[models.InstanceID]int{}
 	for range 300 {
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -14,10 +14,10 @@
 // quarantineStatus returns the crashes that all daemons know the request to have caused.
 func (e *exchange) quarantineStatus() quarantine.Status {
 	quarantined := e.g.node.Quarantine()
-	if !quarantined.Holds() {
+	if !quarantined.Any() {
 		return quarantine.Status{}
 	}
-	return quarantined.Standing(e.digest())
+	return quarantined.Suspicion(e.digest())
 }
 
 const (
@@ -93,7 +93,7 @@
 // clear clears the crashes of a request that has ended well.
 func (e *exchange) clear() {
 	if e.quarantineStatus().Crashes > 0 {
-		e.g.node.Quarantine().EndedWell(e.digest())
+		e.g.node.Quarantine().Clear(e.digest())
 	}
 }
 
@@ -112,7 +112,7 @@
 	for d := range g.node.Quarantine().Refused() {
 		if strings.HasPrefix(hex.EncodeToString(d[:]), prefix) {
 			g.log.Info().Stringer("digest", d).Str("operator", r.RemoteAddr).Msg("quarantine-lifted")
-			g.node.Quarantine().EndedWell(d)
+			g.node.Quarantine().Clear(d)
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -54,7 +54,7 @@
 	}
 	d := quarantine.Request{Workspace: "ws", Method: http.MethodPost, Host: "api.example", Target: "/again/x?page=1", Body: []byte("crashes")}.Digest()
 	for _, id := range []models.InstanceID{"i1", "i2", "i3"} {
-		node.quarantine.Crashed(quarantine.Crash{Instance: id, At: time.Now(), Requests: map[quarantine.Digest]bool{d: false}})
+		node.quarantine.RecordCrash(quarantine.Crash{Instance: id, At: time.Now(), Requests: map[quarantine.Digest]bool{d: false}})
 	}
 	for _, key := range []string{"k1", "k2"} {
 		rejected := ask(key, "crashes")
--- a/gateway/scheduler.go
+++ b/gateway/scheduler.go
@@ -124,7 +124,7 @@
 	s.mu.Lock()
 	load := s.loads[id]
 	load.Requests += requests
-	load.Unread += prefillTokens
+	load.PrefillTokens += prefillTokens
 	s.loads[id] = load
 	if load == (cluster.Load{}) {
 		delete(s.loads, id)
@@ -171,7 +171,7 @@
 // totalLoadLocked returns the load of an instance from all daemons. The scheduler must be locked.
 func (s *scheduler) totalLoadLocked(node Node, id models.InstanceID) cluster.Load {
 	own, peers := s.loads[id], node.PeersLoad(id)
-	return cluster.Load{Requests: own.Requests + peers.Requests, Unread: own.Unread + peers.Unread}
+	return cluster.Load{Requests: own.Requests + peers.Requests, PrefillTokens: own.PrefillTokens + peers.PrefillTokens}
 }
 
 // totalLoad is totalLoadLocked for a scheduler that is not locked.
--- a/gateway/script_test.go
+++ b/gateway/script_test.go
@@ -132,7 +132,7 @@
 func (f *fakeNode) PeersLoad(id models.InstanceID) cluster.Load {
 	const tokens = 1_000_000
 	nth := int(id[len(id)-1] - '1')
-	return cluster.Load{Requests: nth + f.peerRequests[id], Unread: nth * tokens}
+	return cluster.Load{Requests: nth + f.peerRequests[id], PrefillTokens: nth * tokens}
 }
 
 func (f *fakeNode) ReportStalled(_ models.GroupKey, h models.InstanceID) {
@@ -211,7 +211,7 @@
 	routing, err := platform.DecodeRouting([]byte(config))
 	c.Assert(err, qt.IsNil)
 	v := &cluster.View{
-		Routing: routing, Proven: time.Now(), Groups: map[models.ModelName][]cluster.Group{},
+		Routing: routing, ConfirmedAt: time.Now(), Groups: map[models.ModelName][]cluster.Group{},
 		Services: map[models.ServiceName][]models.UpstreamInstance{}, Daemons: 1,
 		All: map[models.InstanceID]models.UpstreamInstance{},
 	}
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -17,7 +17,7 @@
 
 // send sends the request to an instance, if the instance accepts requests and the permit allows it.
 // It is safe for concurrent use.
-func (e *exchange) send(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, readTimeout h1.Patience) (*h1.Response, error) {
+func (e *exchange) send(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, readTimeout h1.StallPolicy) (*h1.Response, error) {
 	if !p.allows(e.g, i) {
 		return nil, errors.Join(errNotRun, errNotAdmitted, errNoPermit)
 	}
@@ -44,7 +44,7 @@
 }
 
 // sendAdmitted is send for an admitted request. It also returns the result for the circuit breaker.
-func (e *exchange) sendAdmitted(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, readTimeout h1.Patience) (*h1.Response, breaker.Outcome, error) {
+func (e *exchange) sendAdmitted(ctx context.Context, i models.UpstreamInstance, p permit, a models.Attempt, readTimeout h1.StallPolicy) (*h1.Response, breaker.Outcome, error) {
 	a.Remaining, a.Instance, a.Workspace = time.Until(e.deadline), i.ID, e.owner.Workspace
 	a.Priority = rank(e.owner.Priority, e.route.Priority)
 	maxIdle := maxIdleIdempotent
@@ -54,9 +54,9 @@
 	sentAt := time.Now()
 	resp, err := e.g.conns.Do(ctx, i.Addr, h1.Request{
 		Method: e.r.Method, Target: e.r.RequestURI, Host: e.r.Host, Header: platform.ForwardHeader(e.r.Header, a), Body: e.body,
-		Freshest: maxIdle, Patience: readTimeout,
-		Ready: func() error { return e.checkAdmission(i, p) },
-		Mine:  func(h http.Header) bool { return platform.DecodeResponse(0, h).ID == e.head.ID },
+		MaxIdleAge: maxIdle, StallPolicy: readTimeout,
+		BeforeSend: func() error { return e.checkAdmission(i, p) },
+		Matches:  func(h http.Header) bool { return platform.DecodeResponse(0, h).ID == e.head.ID },
 	})
 	if err != nil && ctx.Err() == nil && !errors.Is(err, h1.ErrStalled) && !errors.Is(err, errNotAdmitted) {
 		e.g.scheduler.addFailure(i)
@@ -77,7 +77,7 @@
 	e.g.scheduler.addFailure(i)
 	e.rejections.Add(1)
 	e.g.stats.rejections.Inc()
-	resp.Body.Discard()
+	resp.Body.Abort()
 	return nil, breaker.Rejected, fmt.Errorf("%w: status %d, at fault %q", errNotRun, resp.Status, head.FaultyInstance)
 }
 
@@ -89,7 +89,7 @@
 	// Another instance may have taken over the address and sent the response.
 	misdirected := status == http.StatusMisdirectedRequest
 	if !misdirected || !e.g.isAddressShared(i) {
-		e.g.node.Breakers().HeardHead(i.ID, i.StartedAt, head)
+		e.g.node.Breakers().ObserveHead(i.ID, i.StartedAt, head)
 	}
 	if !misdirected {
 		e.recordLimit(i, head.RateLimit, sentAt)
@@ -112,5 +112,5 @@
 		e.g.log.Warn().Str("instance", string(i.ID)).Str("request", string(e.head.ID)).Msg("limit-unreadable")
 		return
 	}
-	e.g.node.Limits().Heard(ratelimit.Observation{Instance: i.ID, StartedAt: i.StartedAt, Rate: rate, SentAt: sentAt, ReceivedAt: time.Now()})
+	e.g.node.Limits().Observe(ratelimit.Observation{Instance: i.ID, StartedAt: i.StartedAt, Rate: rate, SentAt: sentAt, ReceivedAt: time.Now()})
 }
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -104,7 +104,7 @@
 			return ctx.Err()
 		case tick := <-ticks:
 			v := g.node.View()
-			g.conns.Allow(idleConnLimits(v, g.cfg.Listen))
+			g.conns.SetMaxIdle(idleConnLimits(v, g.cfg.Listen))
 			g.conns.Sweep(tick.At)
 			g.scheduler.prune(v.All)
 			g.crashes.sweep(tick.At)
@@ -173,5 +173,5 @@
 
 // isCurrent reports whether the configuration was proven to be the newest within the bound.
 func (g *Gateway) isCurrent(v *cluster.View, bound time.Duration) bool {
-	return v.Routing != nil && g.node.Clock().Since(v.Proven) < bound
+	return v.Routing != nil && g.node.Clock().Since(v.ConfirmedAt) < bound
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -168,7 +168,7 @@
 	s.current.close()
 	s.current, s.group = a, a.group.Key
 	a.readTimeout = s.readTimeout
-	a.response.Body.SetPatience(s.readTimeout)
+	a.response.Body.SetStallPolicy(s.readTimeout)
 }
 
 // logFailover logs that the stream continues at another group.
--- a/lib/frame/compress.go
+++ b/lib/frame/compress.go
@@ -34,7 +34,7 @@
 
 // Packed returns the frame compressed, for peers that can read compressed frames, or the frame
 // itself if compression does not make it shorter.
-func (f Frame) Packed() Frame {
+func (f Frame) Compressed() Frame {
 	body := f.Bytes[headerLen:]
 	if len(body) < minCompressLen {
 		return f
--- a/lib/frame/compress_test.go
+++ b/lib/frame/compress_test.go
@@ -26,7 +26,7 @@
 		c.Run(test.about, func(c *qt.C) {
 			plain, err := frame.Encode(kind, test.value)
 			c.Assert(err, qt.IsNil)
-			compressed := plain.Packed()
+			compressed := plain.Compressed()
 			c.Assert(len(compressed.Bytes)*test.shrink <= len(plain.Bytes), qt.IsTrue)
 			c.Assert(compressed.Kind, qt.Equals, kind)
 
--- a/lib/h1/body.go
+++ b/lib/h1/body.go
@@ -42,13 +42,13 @@
 }
 
 // SetPatience replaces the Patience of the request.
-func (b *Body) SetPatience(p Patience) { b.c.stallPolicy = p }
+func (b *Body) SetStallPolicy(p StallPolicy) { b.c.stallPolicy = p }
 
 // Buffered returns the number of bytes that have been received but not read.
 func (b *Body) Buffered() int { return b.c.br.Buffered() }
 
 // Discard closes the connection, which tells the upstream to stop.
-func (b *Body) Discard() {
+func (b *Body) Abort() {
 	if b.closed {
 		return
 	}
--- a/lib/h1/conn.go
+++ b/lib/h1/conn.go
@@ -20,7 +20,7 @@
 
 // Patience returns how much longer to wait for bytes, given how long none have arrived; 0 aborts
 // the request. Each wait starts with a silence of 0.
-type Patience func(silence time.Duration) time.Duration
+type StallPolicy func(silence time.Duration) time.Duration
 
 // ErrStalled is returned by reads that a Patience aborted.
 var ErrStalled = errors.New("the response stalled")
@@ -35,7 +35,7 @@
 	idleTimeout time.Duration
 	closed      atomic.Bool
 	// stallPolicy is the Patience of the current request.
-	stallPolicy Patience
+	stallPolicy StallPolicy
 	// meter counts the connection's bytes; it may be nil.
 	meter Meter
 }
@@ -114,17 +114,17 @@
 // Do sends the request and returns the response once its header has arrived. When the context
 // ends the connection is closed, even while the body is being read.
 func (p *Pool) Do(ctx context.Context, addr netip.AddrPort, r Request) (*Response, error) {
-	c, err := p.get(ctx, addr, r.Freshest)
+	c, err := p.get(ctx, addr, r.MaxIdleAge)
 	if err != nil {
 		return nil, err
 	}
-	if r.Ready != nil {
-		if err := r.Ready(); err != nil {
+	if r.BeforeSend != nil {
+		if err := r.BeforeSend(); err != nil {
 			c.close()
 			return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 	}
-	c.stallPolicy = r.Patience
+	c.stallPolicy = r.StallPolicy
 	stop := context.AfterFunc(ctx, c.close)
 	n, err := c.write(r.encode())
 	if err != nil {
@@ -133,13 +133,13 @@
 		if n == 0 {
 			return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
-		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
 	resp, err := c.readHeader(r)
 	if err != nil {
 		stop()
 		c.close()
-		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
 	body := &Body{c: c, r: resp.Body, stop: stop, keepAlive: !resp.Close}
 	c.applyKeepAlive(resp.Header)
@@ -162,7 +162,7 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.Mine == nil || r.Mine(resp.Header) {
+		if r.Matches == nil || r.Matches(resp.Header) {
 			return resp, nil
 		}
 		if _, err := io.CopyN(io.Discard, resp.Body, maxDiscardedBody); !errors.Is(err, io.EOF) || resp.Close {
--- a/lib/h1/pool.go
+++ b/lib/h1/pool.go
@@ -22,7 +22,7 @@
 	ErrNotSent = errors.New("the request was not sent")
 	// ErrNoAnswer: the request was written at least in part, and no response header was received.
 	// It may have run.
-	ErrNoAnswer = errors.New("no response to the request")
+	ErrNoResponse = errors.New("no response to the request")
 )
 
 const (
@@ -110,7 +110,7 @@
 // Allow sets the maximum number of idle connections to each address; the next Sweep closes the
 // connections to other addresses. The maximum is MaxIdle before the first call, and for addresses
 // that became known after the last call.
-func (p *Pool) Allow(maxIdle map[netip.AddrPort]int) {
+func (p *Pool) SetMaxIdle(maxIdle map[netip.AddrPort]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxIdle = maxIdle
--- a/lib/h1/pool_test.go
+++ b/lib/h1/pool_test.go
@@ -35,17 +35,17 @@
 		return out
 	}
 
-	pool.Allow(map[netip.AddrPort]int{addr: 3})
+	pool.SetMaxIdle(map[netip.AddrPort]int{addr: 3})
 	for _, dialed := range conns {
 		pool.put(dialed)
 	}
 	c.Assert(open(), qt.DeepEquals, []int{0, 1, 2})
 	pool.Sweep(time.Now())
 	c.Assert(open(), qt.DeepEquals, []int{0, 1, 2})
-	pool.Allow(map[netip.AddrPort]int{addr: 1})
+	pool.SetMaxIdle(map[netip.AddrPort]int{addr: 1})
 	pool.Sweep(time.Now())
 	c.Assert(open(), qt.DeepEquals, []int{2})
-	pool.Allow(map[netip.AddrPort]int{})
+	pool.SetMaxIdle(map[netip.AddrPort]int{})
 	pool.Sweep(time.Now())
 	c.Assert(open(), qt.HasLen, 0)
 }
@@ -71,7 +71,7 @@
 	errNotReady := errors.New("not ready")
 	pool := NewPool(time.Second, nil)
 	_, err = pool.Do(t.Context(), netip.MustParseAddrPort(l.Addr().String()), Request{
-		Method: "GET", Target: "/", Ready: func() error { return errNotReady },
+		Method: "GET", Target: "/", BeforeSend: func() error { return errNotReady },
 	})
 	c.Assert(err, qt.ErrorIs, errNotReady)
 	c.Assert(err, qt.ErrorIs, ErrNotSent)
--- a/lib/h1/request.go
+++ b/lib/h1/request.go
@@ -17,16 +17,16 @@
 	Body   []byte
 	// Freshest is the maximum time for which a reused connection may have been idle; 0 requires a
 	// new connection.
-	Freshest time.Duration
+	MaxIdleAge time.Duration
 	// Mine, if set, reports whether a response header belongs to this request. A response to
 	// another request is read to its end and discarded.
-	Mine func(http.Header) bool
+	Matches func(http.Header) bool
 	// Ready, if set, is called once there is a connection. If it returns an error the request is
 	// not sent.
-	Ready func() error
+	BeforeSend func() error
 	// Patience, if set, decides how long to wait for the next bytes of the response, given how
 	// long none have arrived; 0 aborts the request.
-	Patience Patience
+	StallPolicy StallPolicy
 }
 
 func (r Request) encode() []byte {
--- a/lib/h1/script_test.go
+++ b/lib/h1/script_test.go
@@ -132,8 +132,8 @@
 	}
 	id := words[1]
 	r := Request{
-		Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{"Id": {id}}, Freshest: time.Minute,
-		Mine: func(h http.Header) bool { return h.Get("Id") == id },
+		Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{"Id": {id}}, MaxIdleAge: time.Minute,
+		Matches: func(h http.Header) bool { return h.Get("Id") == id },
 	}
 	for i := 2; i+1 < len(words); i += 2 {
 		d, err := time.ParseDuration(words[i+1])
@@ -141,9 +141,9 @@
 			return err.Error()
 		}
 		if words[i] == "max-idle-age" {
-			r.Freshest = d
+			r.MaxIdleAge = d
 		} else {
-			r.Patience = func(silence time.Duration) time.Duration { return d - silence }
+			r.StallPolicy = func(silence time.Duration) time.Duration { return d - silence }
 		}
 	}
 	resp, err := pool.Do(context.Background(), addr, r)
@@ -174,7 +174,7 @@
 	for _, s := range []struct {
 		name string
 		err  error
-	}{{"no-answer", ErrNoAnswer}, {"other-request", ErrOtherRequest}, {"stalled", ErrStalled}, {"cut", io.ErrUnexpectedEOF}} {
+	}{{"no-answer", ErrNoResponse}, {"other-request", ErrOtherRequest}, {"stalled", ErrStalled}, {"cut", io.ErrUnexpectedEOF}} {
 		if errors.Is(err, s.err) {
 			names += s.name + " "
 		}
--- a/lib/inflight/inflight.go
+++ b/lib/inflight/inflight.go
@@ -36,11 +36,11 @@
 }
 
 // Most returns how many calls may be in flight.
-func (l *Limit) Most() int { return l.current }
+func (l *Limit) Max() int { return l.current }
 
 // Note records how long a call took. The limit is adjusted once per as many calls as it allows,
 // and by their median, because some instances are slow for reasons of their own.
-func (l *Limit) Note(took time.Duration) {
+func (l *Limit) Observe(took time.Duration) {
 	if l.fastest == 0 || took < l.fastest {
 		l.fastest = took
 	}
--- a/lib/latency/latency.go
+++ b/lib/latency/latency.go
@@ -14,13 +14,13 @@
 
 // Times is a histogram of durations with three significant digits. It is not safe for concurrent
 // use.
-type Times struct{ histogram *hdrhistogram.Histogram }
+type Histogram struct{ histogram *hdrhistogram.Histogram }
 
 // New returns an empty histogram.
-func New() Times { return Times{hdrhistogram.New(1, maxMicroseconds, significantDigits)} }
+func New() Histogram { return Histogram{hdrhistogram.New(1, maxMicroseconds, significantDigits)} }
 
 // Add records a duration. A duration above ten minutes counts as ten minutes.
-func (t Times) Add(d time.Duration) {
+func (t Histogram) Add(d time.Duration) {
 	// Within these bounds RecordValue can't fail.
 	_ = t.histogram.RecordValue(min(maxMicroseconds, max(1, d.Microseconds())))
 }
@@ -34,7 +34,7 @@
 }
 
 // Percentiles returns the 50th, 95th and 99th percentile and the maximum.
-func (t Times) Percentiles() Percentiles {
+func (t Histogram) Percentiles() Percentiles {
 	percentile := func(q float64) float64 { return float64(t.histogram.ValueAtQuantile(q)) / 1000 }
 	return Percentiles{P50: percentile(50), P95: percentile(95), P99: percentile(99), Max: float64(t.histogram.Max()) / 1000}
 }
--- a/lib/logfmt/bounded.go
+++ b/lib/logfmt/bounded.go
@@ -11,19 +11,19 @@
 
 // Bounded is an asynchronous writer: it queues lines for a writer that may block, so that logging
 // never blocks. It drops lines when the queue is full and logs how many were dropped.
-type Bounded struct {
+type Async struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
 // NewBounded returns a writer with a queue of queueLen lines.
-func NewBounded(out io.Writer, queueLen int) *Bounded {
-	return &Bounded{out: out, lines: make(chan []byte, queueLen)}
+func NewAsync(out io.Writer, queueLen int) *Async {
+	return &Async{out: out, lines: make(chan []byte, queueLen)}
 }
 
 // Write queues a line, or drops it if the queue is full.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *Async) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- bytes.Clone(line):
 	default:
@@ -33,7 +33,7 @@
 }
 
 // Run writes queued lines until the context ends, and then flushes the queue.
-func (b *Bounded) Run(ctx context.Context) error {
+func (b *Async) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -46,7 +46,7 @@
 	}
 }
 
-func (b *Bounded) flush() error {
+func (b *Async) flush() error {
 	for {
 		select {
 		case line := <-b.lines:
@@ -59,7 +59,7 @@
 	}
 }
 
-func (b *Bounded) write(line []byte) error {
+func (b *Async) write(line []byte) error {
 	if n := b.dropped.Swap(0); n > 0 {
 		notice := New(b.out, zerolog.WarnLevel)
 		notice.Warn().Int64("lines", n).Msg("log-lines-dropped")
--- a/lib/logfmt/bounded_test.go
+++ b/lib/logfmt/bounded_test.go
@@ -15,7 +15,7 @@
 func TestBoundedNeverBlocks(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
-	b := NewBounded(&out, 10)
+	b := NewAsync(&out, 10)
 	for n := range 25 {
 		_, err := fmt.Fprintf(b, "line %d\n", n)
 		c.Assert(err, qt.IsNil)
--- a/lib/sse/reader.go
+++ b/lib/sse/reader.go
@@ -15,7 +15,7 @@
 // Errors of Next.
 var (
 	// ErrCut: the stream ended within an event.
-	ErrCut = errors.New("the stream ended within an event")
+	ErrTruncated = errors.New("the stream ended within an event")
 	// ErrTooLong: an event is longer than MaxEvent.
 	ErrTooLong = errors.New("event too long")
 )
@@ -56,7 +56,7 @@
 		}
 		if err := r.fill(); err != nil {
 			if errors.Is(err, io.EOF) && len(r.buf) > r.start {
-				return Event{}, fmt.Errorf("%w: %d bytes left", ErrCut, len(r.buf)-r.start)
+				return Event{}, fmt.Errorf("%w: %d bytes left", ErrTruncated, len(r.buf)-r.start)
 			}
 			return Event{}, err
 		}
--- a/lib/sse/reader_test.go
+++ b/lib/sse/reader_test.go
@@ -42,7 +42,7 @@
 			return out.String() + "end\n"
 		}
 		if err != nil {
-			fmt.Fprintf(&out, "cut=%t\n", errors.Is(err, ErrCut))
+			fmt.Fprintf(&out, "cut=%t\n", errors.Is(err, ErrTruncated))
 			return out.String()
 		}
 		fmt.Fprintf(&out, "id=%d has=%t bytes=%d\n", event.ID, event.HasID, len(event.Raw))
--- a/load/load.go
+++ b/load/load.go
@@ -59,11 +59,11 @@
 	// EndBroken: the stream was aborted, or ended in an error event.
 	EndBroken router.Outcome = "broken"
 	// EndShort: the stream ended cleanly without its end mark.
-	EndShort router.Outcome = "short"
+	EndTruncated router.Outcome = "short"
 	// EndDoubled: more events followed the end mark.
-	EndDoubled router.Outcome = "doubled"
+	EndExtraEvents router.Outcome = "doubled"
 	// EndSilent: there was no response at all.
-	EndSilent router.Outcome = "silent"
+	EndNoResponse router.Outcome = "silent"
 )
 
 // Report holds the results of a load.
@@ -152,9 +152,9 @@
 	sent       int
 	tokens     int
 	ends       map[router.Outcome]int
-	firstToken latency.Times
-	interToken latency.Times
-	refusal    latency.Times
+	firstToken latency.Histogram
+	interToken latency.Histogram
+	refusal    latency.Histogram
 }
 
 const maxIdleConnsPerHost = 1024
@@ -275,7 +275,7 @@
 	started := time.Now()
 	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/chat/completions", req.target), bytes.NewReader(req.body))
 	if err != nil {
-		return result{end: EndSilent}
+		return result{end: EndNoResponse}
 	}
 	if r.opts.HeaderFor != nil {
 		for k, v := range r.opts.HeaderFor(req.target) {
@@ -285,7 +285,7 @@
 	httpReq.Header.Set("Authorization", "Bearer "+req.token)
 	resp, err := r.http.Do(httpReq)
 	if err != nil {
-		return result{end: EndSilent, duration: time.Since(started)}
+		return result{end: EndNoResponse, duration: time.Since(started)}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -301,14 +301,14 @@
 
 // readStream measures the times between the events of a stream and determines its outcome.
 func readStream(body io.Reader, started time.Time) result {
-	res := result{end: EndShort}
+	res := result{end: EndTruncated}
 	last := started
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		line := lines.Text()
 		switch {
 		case res.end == router.OutcomeComplete && line != "":
-			res.end = EndDoubled
+			res.end = EndExtraEvents
 		case strings.HasPrefix(line, "event: error"):
 			res.end = EndBroken
 			return res
--- a/measure/config.go
+++ b/measure/config.go
@@ -147,7 +147,7 @@
 type inForceTracker struct {
 	mu      sync.Mutex
 	pending []pendingChange
-	inForce latency.Times
+	inForce latency.Histogram
 	late    int
 	newest  []int
 	reverts int
--- a/measure/naive_router.go
+++ b/measure/naive_router.go
@@ -55,7 +55,7 @@
 }
 
 // copyResponse streams the response to the client.
-func copyResponse(w http.ResponseWriter, answer *upstream.Answer) {
+func copyResponse(w http.ResponseWriter, answer *upstream.Response) {
 	w.WriteHeader(answer.Status)
 	flush := http.NewResponseController(w).Flush
 	buf := make([]byte, 32<<10)
--- a/soak/outage_test.go
+++ b/soak/outage_test.go
@@ -38,14 +38,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			s := startSite(t, bin, t.TempDir(), test.flags...)
 			s.waitServing()
-			s.store.Misbehave(store.Faults{Busy: true})
+			s.store.SetFaults(store.Faults{Busy: true})
 			time.Sleep(inFlight)
 			if test.revoked {
 				s.configureKeys("k2")
 			}
 			time.Sleep(outage - inFlight)
 			s.expectStatus("during the outage", test.during)
-			s.store.Misbehave(store.Faults{})
+			s.store.SetFaults(store.Faults{})
 			time.Sleep(2 * time.Second)
 			if test.after == http.StatusUnauthorized {
 				s.expectKeyRejected("after the outage")
--- a/soak/restore_test.go
+++ b/soak/restore_test.go
@@ -12,11 +12,11 @@
 )
 
 // restore makes the store unavailable for a moment and restores it from a snapshot.
-func (s *site) restore(c store.Copy) {
-	s.store.Misbehave(store.Faults{Busy: true})
+func (s *site) restore(c store.Snapshot) {
+	s.store.SetFaults(store.Faults{Busy: true})
 	time.Sleep(300 * time.Millisecond)
 	s.store.Restore(c)
-	s.store.Misbehave(store.Faults{})
+	s.store.SetFaults(store.Faults{})
 }
 
 // reconfigure writes the newest configuration again.
@@ -32,7 +32,7 @@
 	c := qt.New(t)
 	s := startSite(t, binary(t), t.TempDir(), "--strict-keys=true")
 	s.waitServing()
-	snapshot := s.store.Copy()
+	snapshot := s.store.Snapshot()
 	const newKey = "k2"
 	s.configureKeys(newKey)
 	time.Sleep(time.Second)
@@ -65,7 +65,7 @@
 	s := startSite(t, binary(t), t.TempDir())
 	s.waitServing()
 	c := startCallers(s)
-	snapshot := s.store.Copy()
+	snapshot := s.store.Snapshot()
 	for _, i := range s.pool.Instances()[:3] {
 		i.Drain()
 		s.add("engines", i.Domain)
@@ -75,7 +75,7 @@
 	qt.Check(t, s.daemons[1].stop(), qt.IsNil)
 	s.daemons[1].start(t)
 	time.Sleep(time.Second)
-	snapshot = s.store.Copy()
+	snapshot = s.store.Snapshot()
 	s.configure()
 	s.add("engines", "a")
 	time.Sleep(500 * time.Millisecond)
@@ -85,7 +85,7 @@
 	qt.Check(t, c.waitRecovered(), qt.IsTrue)
 	t.Logf("recovered %v after the second restore", time.Since(started).Round(100*time.Millisecond))
 
-	snapshot = s.store.Copy()
+	snapshot = s.store.Snapshot()
 	for _, d := range s.daemons {
 		d.kill()
 	}
--- a/soak/signals_test.go
+++ b/soak/signals_test.go
@@ -183,7 +183,7 @@
 
 // makeStoreUnavailable makes the store unavailable for most of the test.
 func makeStoreUnavailable(s *site, _ *disruptions) {
-	s.store.Misbehave(store.Faults{Busy: true})
+	s.store.SetFaults(store.Faults{Busy: true})
 	time.Sleep(signalDuration - time.Second)
-	s.store.Misbehave(store.Faults{})
+	s.store.SetFaults(store.Faults{})
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -113,16 +113,16 @@
 		d.signal(syscall.SIGCONT)
 		return "freeze " + d.name
 	case 3:
-		s.store.Misbehave(store.Faults{Busy: true})
+		s.store.SetFaults(store.Faults{Busy: true})
 		time.Sleep(time.Duration(200+r.IntN(1500)) * time.Millisecond)
-		s.store.Misbehave(store.Faults{})
+		s.store.SetFaults(store.Faults{})
 		return "store unavailable"
 	case 4:
-		s.store.Misbehave(store.Faults{LoseAnswers: 0.4, Delay: 30 * time.Millisecond})
+		s.store.SetFaults(store.Faults{LoseResponses: 0.4, Delay: 30 * time.Millisecond})
 		return "store slow, responses lost"
 	case 5:
-		s.store.Forget("keyed.servers")
-		s.store.Deal("lupinkeel-planner")
+		s.store.ExpireRecords("keyed.servers")
+		s.store.DropAssignments("lupinkeel-planner")
 		return "store expires records and drops assignments"
 	case 6:
 		s.configure()
@@ -148,7 +148,7 @@
 }
 
 func (s *site) clearFaults() {
-	s.store.Misbehave(store.Faults{})
+	s.store.SetFaults(store.Faults{})
 	for _, d := range s.daemons {
 		d.signal(syscall.SIGCONT)
 	}
--- a/standin/list.go
+++ b/standin/list.go
@@ -86,7 +86,7 @@
 		writeError(w, http.StatusServiceUnavailable, "the list is away")
 		return
 	}
-	writeJSON(w, http.StatusOK, platform.ListAnswer{Instances: l.visible(time.Now())})
+	writeJSON(w, http.StatusOK, platform.ListResponse{Instances: l.visible(time.Now())})
 }
 
 func (l *List) serveControl(w http.ResponseWriter, r *http.Request) {
--- a/standin/log.go
+++ b/standin/log.go
@@ -180,7 +180,7 @@
 	case res.loseResponse:
 		panic(http.ErrAbortHandler)
 	default:
-		writeJSON(w, http.StatusOK, platform.AppendAnswer{Offset: res.offset})
+		writeJSON(w, http.StatusOK, platform.AppendResponse{Offset: res.offset})
 	}
 }
 
@@ -212,15 +212,15 @@
 	}
 }
 
-func (l *Log) read(name string, from models.Offset) (platform.ReadAnswer, int, <-chan struct{}) {
+func (l *Log) read(name string, from models.Offset) (platform.ReadResponse, int, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
 	l.counts.Reads++
 	if l.down {
-		return platform.ReadAnswer{}, http.StatusServiceUnavailable, s.appended
+		return platform.ReadResponse{}, http.StatusServiceUnavailable, s.appended
 	}
-	resp := platform.ReadAnswer{First: s.first, Next: s.nextOffset()}
+	resp := platform.ReadResponse{First: s.first, Next: s.nextOffset()}
 	if from < s.first {
 		return resp, http.StatusGone, s.appended
 	}
--- a/standin/run.go
+++ b/standin/run.go
@@ -116,7 +116,7 @@
 }
 
 // Answer is the full completion that every engine generates for the prompt.
-func Answer(prompt string, tokens int) string {
+func Completion(prompt string, tokens int) string {
 	var b strings.Builder
 	for n := range tokens {
 		b.WriteString(Token(prompt, n))
--- a/standin/store/groups.go
+++ b/standin/store/groups.go
@@ -74,7 +74,7 @@
 
 // Deal drops all partition assignments of a group, as the platform's store does occasionally.
 // Partitions are reassigned when members join next.
-func (s *Store) Deal(name string) {
+func (s *Store) DropAssignments(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if g := s.groups[name]; g != nil {
--- a/standin/store/restore.go
+++ b/standin/store/restore.go
@@ -3,21 +3,21 @@
 import "maps"
 
 // Copy is a snapshot of a store's content.
-type Copy struct {
+type Snapshot struct {
 	partitions map[string]*partition
 	groups     map[string]*group
 }
 
 // Copy returns a snapshot of the store's content.
-func (s *Store) Copy() Copy {
+func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{partitions: s.partitions, groups: s.groups}.clone()
+	return Snapshot{partitions: s.partitions, groups: s.groups}.clone()
 }
 
 // Restore replaces the store's content by a snapshot, as a restore from a backup does: later writes
 // are lost, their offsets are assigned again, and a new era begins.
-func (s *Store) Restore(c Copy) {
+func (s *Store) Restore(c Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c = c.clone()
@@ -25,8 +25,8 @@
 	s.era++
 }
 
-func (c Copy) clone() Copy {
-	out := Copy{partitions: map[string]*partition{}, groups: map[string]*group{}}
+func (c Snapshot) clone() Snapshot {
+	out := Snapshot{partitions: map[string]*partition{}, groups: map[string]*group{}}
 	for name, p := range c.partitions {
 		out.partitions[name] = &partition{firstOffset: p.firstOffset, records: append([][]byte{}, p.records...), newest: maps.Clone(p.newest)}
 	}
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -31,7 +31,7 @@
 	// Busy makes every call fail with status 503.
 	Busy bool
 	// LoseAnswers is the fraction of POST calls that take effect but get no response.
-	LoseAnswers float64
+	LoseResponses float64
 	// Delay is added to every call.
 	Delay time.Duration
 }
@@ -53,7 +53,7 @@
 }
 
 // Misbehave sets the faults.
-func (s *Store) Misbehave(f Faults) {
+func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
@@ -74,7 +74,7 @@
 }
 
 // Forget drops all records of a topic, as if they had expired. The newest value of each key stays.
-func (s *Store) Forget(topic string) {
+func (s *Store) ExpireRecords(topic string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partition(topic, 0)
@@ -115,7 +115,7 @@
 		return
 	}
 	out := http.ResponseWriter(w)
-	lost := r.Method == http.MethodPost && rand.Float64() < f.LoseAnswers
+	lost := r.Method == http.MethodPost && rand.Float64() < f.LoseResponses
 	if lost {
 		out = discardWriter{http.Header{}}
 	}
--- a/worker/platform/client.go
+++ b/worker/platform/client.go
@@ -66,7 +66,7 @@
 	case resp.StatusCode != http.StatusOK:
 		return 0, trace.Wrap(fmt.Errorf("%w: append: %s", ErrUnknown, resp.Status))
 	}
-	var answer AppendAnswer
+	var answer AppendResponse
 	if err := decodeJSON(resp.Body, &answer); err != nil {
 		return 0, trace.Wrap(errors.Join(ErrUnknown, err))
 	}
@@ -76,14 +76,14 @@
 // Read reads the stream from the offset on. If there are no entries yet, it waits for the given
 // time. For an offset that the log no longer holds it returns ErrExpired and sets First in the
 // answer.
-func (c *Client) Read(ctx context.Context, stream string, from models.Offset, wait time.Duration) (ReadAnswer, error) {
+func (c *Client) Read(ctx context.Context, stream string, from models.Offset, wait time.Duration) (ReadResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
-	var answer ReadAnswer
+	var answer ReadResponse
 	url := fmt.Sprintf("http://%s/log/%s?from=%d&wait=%s", c.log, stream, from, wait)
 	status, err := c.getJSON(ctx, url, &answer)
 	if err != nil {
-		return ReadAnswer{}, err
+		return ReadResponse{}, err
 	}
 	if status == http.StatusGone {
 		return answer, trace.Wrap(fmt.Errorf("%w: offset %d, first is %d", ErrExpired, from, answer.First))
@@ -95,7 +95,7 @@
 func (c *Client) Instances(ctx context.Context) ([]models.Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var answer ListAnswer
+	var answer ListResponse
 	_, err := c.getJSON(ctx, fmt.Sprintf("http://%s/instances", c.list), &answer)
 	return answer.Instances, err
 }
--- a/worker/platform/wire.go
+++ b/worker/platform/wire.go
@@ -18,19 +18,19 @@
 )
 
 // AppendAnswer is the log's response to an append.
-type AppendAnswer struct {
+type AppendResponse struct {
 	Offset models.Offset `json:"offset"`
 }
 
 // ReadAnswer is the log's response to a read. With status 410 only First is set: older records
 // have expired.
-type ReadAnswer struct {
+type ReadResponse struct {
 	First   models.Offset `json:"first"`
 	Next    models.Offset `json:"next"`
 	Entries []types.Entry `json:"entries,omitempty"`
 }
 
 // ListAnswer is the platform's list of instances.
-type ListAnswer struct {
+type ListResponse struct {
 	Instances []models.Instance `json:"instances"`
 }
--- a/worker/types/grouporders.go
+++ b/worker/types/grouporders.go
@@ -16,8 +16,8 @@
 	// GroupOpen lets the head of a group accept requests.
 	GroupOpen GroupOrderKind = "open"
 	// GroupCut stops the head immediately; GroupFinish stops it once its requests have ended.
-	GroupCut    GroupOrderKind = "cut"
-	GroupFinish GroupOrderKind = "finish"
+	GroupStop    GroupOrderKind = "cut"
+	GroupDrain GroupOrderKind = "finish"
 	// GroupLeave removes the instance from its group.
 	GroupLeave GroupOrderKind = "leave"
 	// GroupStage loads a model onto the instance's host before it is needed.
@@ -49,11 +49,11 @@
 	// OrderUnknown: no response; the order may still be carried out.
 	OrderUnknown OrderOutcome = "unknown"
 	// OrderBegun: the instance is carrying out the order.
-	OrderBegun OrderOutcome = "begun"
+	OrderStarted OrderOutcome = "begun"
 	// OrderDone: the instance is in the ordered state.
 	OrderDone OrderOutcome = "done"
 	// OrderUnfit: the order is not valid in the instance's state.
-	OrderUnfit OrderOutcome = "unfit"
+	OrderRejected OrderOutcome = "unfit"
 	// OrderFenced: the instance has seen a newer fence or epoch.
 	OrderFenced OrderOutcome = "fenced"
 	// OrderOtherInstance: another instance answers at the address.
--- a/worker/upstream/upstream.go
+++ b/worker/upstream/upstream.go
@@ -54,7 +54,7 @@
 }
 
 // Answer is the header of a response and its body, which must be closed.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
@@ -86,7 +86,7 @@
 
 // Do sends the call and returns the response once its header has arrived. Its error wraps
 // ErrNotRun or ErrMayHaveRun.
-func (c *Client) Do(ctx context.Context, call Call) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, call Call) (*Response, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
@@ -106,7 +106,7 @@
 	case err != nil:
 		return nil, errors.Join(ErrMayHaveRun, ErrNotServing, trace.Wrap(err))
 	}
-	answer := &Answer{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}
+	answer := &Response{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}
 	if err := checkHeader(call, answer); err != nil {
 		resp.Body.Close()
 		return nil, err
@@ -136,7 +136,7 @@
 
 // checkHeader returns an error for a response that proves that the request did not run, and for
 // one that belongs to another request.
-func checkHeader(call Call, resp *Answer) error {
+func checkHeader(call Call, resp *Response) error {
 	if resp.Status >= 400 && resp.Header.Get(engine.HeaderNotRun) == "true" {
 		if resp.Status == http.StatusConflict {
 			return fmt.Errorf("%w: %w: it refused the request with status %d", ErrNotRun, ErrNotServing, resp.Status)
@@ -155,7 +155,7 @@
 
 // ReadAll reads the rest of the body and closes it. For a body that ends early, or is longer than
 // limit, it returns an error that wraps ErrMayHaveRun.
-func (a *Answer) ReadAll(limit int64) ([]byte, error) {
+func (a *Response) ReadAll(limit int64) ([]byte, error) {
 	defer a.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(a.Body, limit+1))
 	if err != nil {
