--- a/api/callers.go
+++ b/api/callers.go
@@ -21,7 +21,7 @@
 	// HeaderTimeout is how long the caller waits, such as "30s".
 	HeaderTimeout = "Lupinkeel-Timeout"
 	// HeaderRepeatable is true or false: whether the request may safely run twice.
-	HeaderRepeatable = "Lupinkeel-Repeatable"
+	HeaderIdempotent = "Lupinkeel-Repeatable"
 	// HeaderKey identifies a request that must run at most once, regardless of how often and to
 	// which daemons it is sent.
 	HeaderIdempotencyKey = "Idempotency-Key"
@@ -29,7 +29,7 @@
 
 // beginExchange does the checks common to all requests. If one fails it sends the error response
 // and returns nil. Otherwise the caller must call the returned function at the end.
-func (s *Server) beginExchange(w http.ResponseWriter, r *http.Request, repeatable bool) (*exchange, context.Context, func()) {
+func (s *Server) beginExchange(w http.ResponseWriter, r *http.Request, idempotent bool) (*exchange, context.Context, func()) {
 	id := models.RequestID(uuid.NewString())
 	w.Header().Set(HeaderRequest, string(id))
 	w.Header().Set(HeaderDaemon, string(s.cfg.ID))
@@ -37,7 +37,7 @@
 		s.reject(w, err)
 		return nil, nil, nil
 	}
-	e, timeout, err := s.newExchange(w, r, id, repeatable)
+	e, timeout, err := s.newExchange(w, r, id, idempotent)
 	if err != nil {
 		s.inFlight.end()
 		s.reject(w, err)
@@ -67,11 +67,11 @@
 }
 
 func (s *Server) reject(w http.ResponseWriter, err error) {
-	s.stats.refused.Inc()
+	s.stats.rejected.Inc()
 	writeError(w, err, router.OutcomeNotRun)
 }
 
-func (s *Server) newExchange(w http.ResponseWriter, r *http.Request, id models.RequestID, repeatable bool) (*exchange, time.Duration, error) {
+func (s *Server) newExchange(w http.ResponseWriter, r *http.Request, id models.RequestID, idempotent bool) (*exchange, time.Duration, error) {
 	view := s.daemon.View()
 	if !view.Current(time.Now()) {
 		return nil, 0, ErrNotCurrent
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	opts, err := s.parseOptions(r, repeatable)
+	opts, err := s.parseOptions(r, idempotent)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -94,7 +94,7 @@
 	}
 	return &exchange{
 		s: s, w: w, r: r, workspace: workspace, body: body, priority: opts.priority, started: time.Now(),
-		req: &router.Request{ID: id, Idempotent: opts.repeatable}, keyHash: opts.keyHash(workspace.Name),
+		req: &router.Request{ID: id, Idempotent: opts.idempotent}, keyHash: opts.keyHash(workspace.Name),
 		entry: models.TrailEntry{Request: id, Workspace: workspace.Name, Daemon: s.cfg.ID, Started: time.Now().UTC()},
 	}, opts.timeout, nil
 }
--- a/api/errors.go
+++ b/api/errors.go
@@ -25,7 +25,7 @@
 	HeaderVersion   = "Lupinkeel-Version"
 	HeaderDaemon    = "Lupinkeel-Daemon"
 	// HeaderEnd is not-run or may-have-run on an error response.
-	HeaderEnd = "Lupinkeel-End"
+	HeaderOutcome = "Lupinkeel-End"
 )
 
 // Errors of requests, which callers and operators get.
@@ -97,12 +97,12 @@
 	Message string         `json:"message"`
 	Type    string         `json:"type"`
 	Code    string         `json:"code"`
-	End     router.Outcome `json:"end,omitempty"`
+	Outcome router.Outcome `json:"end,omitempty"`
 }
 
 func newErrorDetail(err error, end router.Outcome) errorDetail {
 	p := classify(err)
-	return errorDetail{Message: err.Error(), Type: p.errType, Code: p.code, End: end}
+	return errorDetail{Message: err.Error(), Type: p.errType, Code: p.code, Outcome: end}
 }
 
 // writeError sends an error response. end tells whether the request may have run; it is empty for
@@ -113,7 +113,7 @@
 		w.Header().Set("Retry-After", fmt.Sprint(int(math.Ceil(p.retryAfter.Seconds()))))
 	}
 	if end != router.OutcomeNone {
-		w.Header().Set(HeaderEnd, string(end))
+		w.Header().Set(HeaderOutcome, string(end))
 	}
 	writeJSON(w, p.status, errorBody{Error: newErrorDetail(err, end)})
 }
--- a/api/exchange.go
+++ b/api/exchange.go
@@ -54,11 +54,11 @@
 	}
 	responseStarted := e.req.Phase() == router.PhaseResponding
 	end := e.req.Finish(err == nil)
-	e.s.stats.byEnd[end].Inc()
+	e.s.stats.byOutcome[end].Inc()
 	if e.keyClaimed && end == router.OutcomeNotRun {
 		e.s.release(e.keyHash, e.req.ID)
 	}
-	e.recordEnd(end, err)
+	e.recordOutcome(end, err)
 	log := e.s.log.Info()
 	if err != nil {
 		log = e.s.log.Warn().Err(err)
@@ -77,7 +77,7 @@
 }
 
 // recordEnd records the end of the request on the trail.
-func (e *exchange) recordEnd(end router.Outcome, err error) {
+func (e *exchange) recordOutcome(end router.Outcome, err error) {
 	e.entry.Outcome, e.entry.Attempts, e.entry.Elapsed = string(end), e.req.Attempts(), time.Since(e.started)
 	if err != nil {
 		e.entry.Reason = err.Error()
--- a/api/operators.go
+++ b/api/operators.go
@@ -52,11 +52,11 @@
 	// daemons.
 	ChangeRecorded ChangeOutcome = "recorded"
 	// ChangeRefused: the change did not and will not take effect.
-	ChangeRefused ChangeOutcome = "refused"
+	ChangeRejected ChangeOutcome = "refused"
 	// ChangeUnknown: the change may take effect; the command "show audit" tells whether it did.
 	ChangeUnknown ChangeOutcome = "unknown"
 	// ChangeWouldRefuse: the previewed change would be refused now.
-	ChangeWouldRefuse ChangeOutcome = "would-be-refused"
+	ChangeWouldBeRejected ChangeOutcome = "would-be-refused"
 	// ChangePlanned: the previewed change would be accepted now.
 	ChangePlanned ChangeOutcome = "planned"
 )
@@ -142,9 +142,9 @@
 		return http.StatusOK
 	}
 	switch {
-	case a.Change.Result == ChangeRefused && a.Change.RetryAfterMS > 0:
+	case a.Change.Result == ChangeRejected && a.Change.RetryAfterMS > 0:
 		return http.StatusServiceUnavailable
-	case a.Change.Result == ChangeRefused:
+	case a.Change.Result == ChangeRejected:
 		return http.StatusConflict
 	case a.Change.Result == ChangeUnknown:
 		return http.StatusGatewayTimeout
@@ -274,7 +274,7 @@
 	}
 	next, err := cr.view.State.Preview(change.Ops)
 	if err != nil {
-		return AskAnswer{Change: &ChangeResult{Result: ChangeWouldRefuse, Reason: err.Error()}}, nil
+		return AskAnswer{Change: &ChangeResult{Result: ChangeWouldBeRejected, Reason: err.Error()}}, nil
 	}
 	answer := query.Preview(cr.facts(), next)
 	answer.Text = query.Diff(cr.view.State, next)
@@ -305,11 +305,11 @@
 	outcome, err := cr.s.daemon.Propose(ctx, change)
 	switch {
 	case errors.Is(err, daemon.ErrLogUnavailable):
-		return AskAnswer{Change: &ChangeResult{Result: ChangeRefused, Reason: err.Error(), RetryAfterMS: logRetryAfter.Milliseconds()}}, nil
+		return AskAnswer{Change: &ChangeResult{Result: ChangeRejected, Reason: err.Error(), RetryAfterMS: logRetryAfter.Milliseconds()}}, nil
 	case err != nil:
 		return AskAnswer{Change: &ChangeResult{Result: ChangeUnknown, Reason: err.Error() + "; show audit tells whether it took effect"}}, nil
 	case outcome.Rejection != nil:
-		return AskAnswer{Change: &ChangeResult{Result: ChangeRefused, Offset: outcome.Offset, Reason: cr.refusalReason(ctx, outcome)}}, nil
+		return AskAnswer{Change: &ChangeResult{Result: ChangeRejected, Offset: outcome.Offset, Reason: cr.rejectionReason(ctx, outcome)}}, nil
 	}
 	return AskAnswer{Change: cr.waitInForce(ctx, outcome.Offset)}, nil
 }
@@ -343,7 +343,7 @@
 
 // refusalReason returns why a change was refused; for a conflict it names the change that came
 // first.
-func (cr commandRunner) refusalReason(ctx context.Context, outcome state.Outcome) string {
+func (cr commandRunner) rejectionReason(ctx context.Context, outcome state.Outcome) string {
 	reason := outcome.Rejection.Error()
 	var conflict *state.Conflict
 	if !errors.As(outcome.Rejection, &conflict) {
--- a/api/options.go
+++ b/api/options.go
@@ -11,7 +11,7 @@
 
 // requestOptions are the options that a caller sets for a request.
 type requestOptions struct {
-	repeatable bool
+	idempotent bool
 	priority   int
 	timeout    time.Duration
 	key        string
@@ -28,12 +28,12 @@
 	return HashToken(string(w) + "/" + s.key)
 }
 
-func (s *Server) parseOptions(r *http.Request, repeatable bool) (requestOptions, error) {
-	out := requestOptions{repeatable: repeatable, timeout: s.cfg.RequestTimeout}
+func (s *Server) parseOptions(r *http.Request, idempotent bool) (requestOptions, error) {
+	out := requestOptions{idempotent: idempotent, timeout: s.cfg.RequestTimeout}
 	var err error
-	if text := r.Header.Get(HeaderRepeatable); text != "" {
-		if out.repeatable, err = strconv.ParseBool(text); err != nil {
-			return out, fmt.Errorf("%w: header %s is %q, allowed are true and false", ErrBadBody, HeaderRepeatable, text)
+	if text := r.Header.Get(HeaderIdempotent); text != "" {
+		if out.idempotent, err = strconv.ParseBool(text); err != nil {
+			return out, fmt.Errorf("%w: header %s is %q, allowed are true and false", ErrBadBody, HeaderIdempotent, text)
 		}
 	}
 	if text := r.Header.Get(HeaderPriority); text != "" {
@@ -49,7 +49,7 @@
 		}
 	}
 	if out.key = r.Header.Get(HeaderIdempotencyKey); out.key != "" {
-		out.repeatable = false
+		out.idempotent = false
 	}
 	if len(out.key) > maxKeyLen {
 		return out, fmt.Errorf("%w: header %s has %d bytes, allowed are %d", ErrBadBody, HeaderIdempotencyKey, len(out.key), maxKeyLen)
--- a/api/server.go
+++ b/api/server.go
@@ -51,8 +51,8 @@
 
 // stats holds the metrics of requests.
 type stats struct {
-	byEnd      map[router.Outcome]*metrics.Counter
-	refused    *metrics.Counter
+	byOutcome  map[router.Outcome]*metrics.Counter
+	rejected   *metrics.Counter
 	retries    *metrics.Counter
 	firstToken *metrics.Histogram
 }
@@ -60,13 +60,13 @@
 func newStats(set *metrics.Set, inFlight func() int) *stats {
 	set.NewGauge("lupinkeel_requests_in_flight", func() float64 { return float64(inFlight()) })
 	s := &stats{
-		byEnd:      map[router.Outcome]*metrics.Counter{},
-		refused:    set.NewCounter("lupinkeel_requests_refused_total"),
+		byOutcome:  map[router.Outcome]*metrics.Counter{},
+		rejected:   set.NewCounter("lupinkeel_requests_refused_total"),
 		retries:    set.NewCounter("lupinkeel_request_retries_total"),
 		firstToken: set.NewHistogram("lupinkeel_first_token_seconds"),
 	}
 	for _, end := range []router.Outcome{router.OutcomeComplete, router.OutcomeNotRun, router.OutcomeMayHaveRun} {
-		s.byEnd[end] = set.NewCounter(fmt.Sprintf("lupinkeel_requests_total{end=%q}", end))
+		s.byOutcome[end] = set.NewCounter(fmt.Sprintf("lupinkeel_requests_total{end=%q}", end))
 	}
 	return s
 }
--- a/cluster/breakers.go
+++ b/cluster/breakers.go
@@ -17,8 +17,8 @@
 // daemon receives: requests to back off (Rest) and notices that the instance leaves. It is safe for
 // concurrent use.
 type Breakers struct {
-	log           zerolog.Logger
-	rests, leaves *metrics.Counter
+	log              zerolog.Logger
+	backoffs, leaves *metrics.Counter
 	// nonEmpty is set if any signal is recorded.
 	nonEmpty atomic.Bool
 	// onChange is called when there is a change to send to other daemons.
@@ -32,7 +32,7 @@
 // other daemons.
 func NewBreakers(found func(), set *metrics.Set, log zerolog.Logger) *Breakers {
 	b := &Breakers{
-		log: log, onChange: found, rests: set.NewCounter("lupinkeel_instance_rests_total"),
+		log: log, onChange: found, backoffs: set.NewCounter("lupinkeel_instance_rests_total"),
 		leaves:   set.NewCounter("lupinkeel_instances_leaving_total"),
 		breakers: breaker.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 	}
@@ -52,8 +52,8 @@
 }
 
 // HeardHead records the signals in the head of an answer that this daemon received.
-func (b *Breakers) ObserveHead(id models.InstanceID, born time.Time, head models.ResponseHead) {
-	b.Observe(breaker.Signal{Instance: id, StartedAt: born, ReceivedAt: time.Now(), Backoff: head.Backoff, Leaving: head.Leaving})
+func (b *Breakers) ObserveHead(id models.InstanceID, startedAt time.Time, head models.ResponseHead) {
+	b.Observe(breaker.Signal{Instance: id, StartedAt: startedAt, ReceivedAt: time.Now(), Backoff: head.Backoff, Leaving: head.Leaving})
 }
 
 // Note records a signal that the daemon from received, this one if from is empty. It logs the
@@ -71,7 +71,7 @@
 	}
 	switch {
 	case change.Started:
-		b.rests.Inc()
+		b.backoffs.Inc()
 		event().Dur("for", s.Backoff).Msg("rest-begun")
 	case change.Extended:
 		event().Dur("for", s.Backoff).Msg("rest-lengthened")
@@ -188,11 +188,11 @@
 
 // SignalUpdate is an instance's signal as daemons send it to each other.
 type SignalUpdate struct {
-	Instance models.InstanceID `msgpack:"i"`
-	Born     time.Time         `msgpack:"b,omitempty"`
+	Instance  models.InstanceID `msgpack:"i"`
+	StartedAt time.Time         `msgpack:"b,omitempty"`
 	// Age is the time since the answer with the signal was received.
 	Age     time.Duration `msgpack:"a"`
-	Rest    time.Duration `msgpack:"r,omitempty"`
+	Backoff time.Duration `msgpack:"r,omitempty"`
 	Leaving bool          `msgpack:"l,omitempty"`
 }
 
@@ -208,7 +208,7 @@
 	signals, last := b.breakers.Since(seen, include, now)
 	out := make([]SignalUpdate, len(signals))
 	for n, s := range signals {
-		out[n] = SignalUpdate{Instance: s.Instance, Born: s.StartedAt, Age: now.Sub(s.ReceivedAt), Rest: s.Backoff, Leaving: s.Leaving}
+		out[n] = SignalUpdate{Instance: s.Instance, StartedAt: s.StartedAt, Age: now.Sub(s.ReceivedAt), Backoff: s.Backoff, Leaving: s.Leaving}
 	}
 	return out, last
 }
@@ -218,7 +218,7 @@
 	now, changed := time.Now(), false
 	for _, u := range updates {
 		changed = n.breakers.Record(breaker.Signal{
-			Instance: u.Instance, StartedAt: u.Born, ReceivedAt: now.Add(-u.Age), Backoff: u.Rest, Leaving: u.Leaving,
+			Instance: u.Instance, StartedAt: u.StartedAt, ReceivedAt: now.Add(-u.Age), Backoff: u.Backoff, Leaving: u.Leaving,
 		}, from) || changed
 	}
 	if changed {
--- a/cluster/candidacy_test.go
+++ b/cluster/candidacy_test.go
@@ -12,9 +12,9 @@
 )
 
 // newRunningOwner returns an owner with an uptime.
-func newRunningOwner(t *testing.T, id models.DaemonID, power float64, uptime time.Duration) *owner {
+func newRunningOwner(t *testing.T, id models.DaemonID, cpuCores float64, uptime time.Duration) *owner {
 	o := newTestOwner(t)
-	o.n.cfg.ID, o.n.cfg.CPUCores, o.n.started = id, power, time.Now().Add(-uptime).UnixNano()
+	o.n.cfg.ID, o.n.cfg.CPUCores, o.n.started = id, cpuCores, time.Now().Add(-uptime).UnixNano()
 	o.peers = newPeersState(o.n.cfg)
 	return o
 }
@@ -31,7 +31,7 @@
 	addPeers := func(term int64, powers ...float64) {
 		for i, p := range powers {
 			id := models.DaemonID(fmt.Sprintf("d-%d", i))
-			o.peers.seen[id] = peerStatus{heartbeat: Heartbeat{From: id, Power: p}, receivedAt: time.Now()}
+			o.peers.seen[id] = peerStatus{heartbeat: Heartbeat{From: id, CPUCores: p}, receivedAt: time.Now()}
 			o.peers.roster.RecordHeartbeat(o.peers.seen[id].heartbeat.membershipBeat(), time.Now())
 		}
 		o.peers.topology = o.peers.roster.Topology(time.Now())
--- a/cluster/config_watch_test.go
+++ b/cluster/config_watch_test.go
@@ -18,7 +18,7 @@
 func addPeersWithInterval(o *owner, n int, version int64, interval time.Duration) {
 	for i := range n {
 		heartbeat := Heartbeat{
-			From: models.DaemonID(fmt.Sprintf("peer-%d", i)), Addr: "127.0.0.1:9", Power: 1, ConfigVersion: version, ConfigAge: time.Hour, Interval: interval,
+			From: models.DaemonID(fmt.Sprintf("peer-%d", i)), Addr: "127.0.0.1:9", CPUCores: 1, ConfigVersion: version, ConfigAge: time.Hour, Interval: interval,
 		}
 		o.handleHeartbeat(heartbeatReceived{heartbeat: heartbeat, receivedAt: time.Now()})
 	}
--- a/cluster/entries.go
+++ b/cluster/entries.go
@@ -190,7 +190,7 @@
 func (f *fleetState) goneUpdate(id models.InstanceID, at time.Time) InstanceUpdate {
 	lastState := models.UpstreamInstance{ID: id}
 	if e, ended := f.ended[id]; ended {
-		lastState.StartedAt, lastState.HeartbeatSeq = e.born, e.heartbeat
+		lastState.StartedAt, lastState.HeartbeatSeq = e.startedAt, e.heartbeat
 	}
 	return InstanceUpdate{Instance: lastState, Age: time.Since(at), Gone: true}
 }
--- a/cluster/fleet.go
+++ b/cluster/fleet.go
@@ -71,7 +71,7 @@
 type knownInstance struct {
 	models.UpstreamInstance
 	// bornKnownAt is when the entry or report was requested that contained Born.
-	bornKnownAt time.Time
+	incarnationKnownAt time.Time
 	// stateAt is when the newest entry or report was requested.
 	stateAt time.Time
 	// entrySeenAt is when a new entry was last read.
--- a/cluster/incarnations.go
+++ b/cluster/incarnations.go
@@ -21,48 +21,48 @@
 
 // observeIncarnation begins a new incarnation of the instance if an entry or update, as of a time,
 // shows one. It returns false if they show an earlier incarnation and are to be ignored.
-func (o *owner) observeIncarnation(k *knownInstance, born, at time.Time) bool {
-	switch k.CompareIncarnation(born) {
+func (o *owner) observeIncarnation(k *knownInstance, startedAt, at time.Time) bool {
+	switch k.CompareIncarnation(startedAt) {
 	case models.EarlierIncarnation:
 		return false
 	case models.LaterIncarnation:
-		o.beginIncarnation(k, born, at)
+		o.beginIncarnation(k, startedAt, at)
 	case models.SameIncarnation:
-		o.learnBorn(k, born, at)
+		o.learnStartTime(k, startedAt, at)
 	}
 	return true
 }
 
 // observeReportedIncarnation is observeIncarnation for the instance's own answer to a probe.
-func (o *owner) observeReportedIncarnation(k *knownInstance, born, requestedAt time.Time) bool {
-	if k.CompareIncarnation(born) == models.EarlierIncarnation && requestedAt.After(k.bornKnownAt) {
-		o.beginIncarnation(k, born, requestedAt)
+func (o *owner) observeReportedIncarnation(k *knownInstance, startedAt, requestedAt time.Time) bool {
+	if k.CompareIncarnation(startedAt) == models.EarlierIncarnation && requestedAt.After(k.incarnationKnownAt) {
+		o.beginIncarnation(k, startedAt, requestedAt)
 		return true
 	}
-	return o.observeIncarnation(k, born, requestedAt)
+	return o.observeIncarnation(k, startedAt, requestedAt)
 }
 
 // learnBorn sets Born if it was not known.
-func (o *owner) learnBorn(k *knownInstance, born, at time.Time) {
-	if k.StartedAt.IsZero() && !born.IsZero() {
-		k.StartedAt, k.bornKnownAt = born, at
+func (o *owner) learnStartTime(k *knownInstance, startedAt, at time.Time) {
+	if k.StartedAt.IsZero() && !startedAt.IsZero() {
+		k.StartedAt, k.incarnationKnownAt = startedAt, at
 	}
 }
 
 // beginIncarnation resets the state of a restarted instance. Its group has lost this member, even
 // if the instance is back at once: otherwise the group would be stalled until its head detects
 // that, which takes six seconds with the engines in production.
-func (o *owner) beginIncarnation(k *knownInstance, born, at time.Time) {
+func (o *owner) beginIncarnation(k *knownInstance, startedAt, at time.Time) {
 	o.n.stats.restarted.Inc()
-	o.n.log.Info().Str("instance", string(k.ID)).Time("born", born).Str("group", string(k.Group.Key.Name)).Msg("instance-restarted")
+	o.n.log.Info().Str("instance", string(k.ID)).Time("born", startedAt).Str("group", string(k.Group.Key.Name)).Msg("instance-restarted")
 	delete(o.fleet.suspects, k.ID)
 	delete(o.fleet.probeAt, k.ID)
 	if k.Group.State != models.MemberNone {
 		o.fleet.restarted[k.Group.Key] = append(o.fleet.restarted[k.Group.Key], k.ID)
 	}
 	i := k.UpstreamInstance
-	i.StartedAt, i.Group, i.LoadedModel, i.HeartbeatSeq, i.Draining = born, models.Membership{}, "", 0, false
-	*k = knownInstance{UpstreamInstance: i, bornKnownAt: at, unlisted: k.unlisted, lastBroadcast: k.lastBroadcast}
+	i.StartedAt, i.Group, i.LoadedModel, i.HeartbeatSeq, i.Draining = startedAt, models.Membership{}, "", 0, false
+	*k = knownInstance{UpstreamInstance: i, incarnationKnownAt: at, unlisted: k.unlisted, lastBroadcast: k.lastBroadcast}
 	o.fleetStale, o.fleet.listStale = true, true
 }
 
@@ -93,7 +93,7 @@
 
 // endedInstance is the last state of a removed instance.
 type endedInstance struct {
-	born time.Time
+	startedAt time.Time
 	// heartbeat is the number of writes of its entry, 0 if unknown.
 	heartbeat int64
 	at        time.Time
@@ -107,14 +107,14 @@
 	if !ended || e.heartbeat == 0 || i.HeartbeatSeq > e.heartbeat {
 		return false
 	}
-	was := models.UpstreamInstance{StartedAt: e.born}
+	was := models.UpstreamInstance{StartedAt: e.startedAt}
 	return was.CompareIncarnation(i.StartedAt) != models.LaterIncarnation
 }
 
 // markEnded records the write count of a removed instance.
 func (f *fleetState) markEnded(i models.UpstreamInstance, now time.Time) {
 	e := f.ended[i.ID]
-	f.ended[i.ID] = endedInstance{born: i.StartedAt, heartbeat: max(e.heartbeat, i.HeartbeatSeq), at: now}
+	f.ended[i.ID] = endedInstance{startedAt: i.StartedAt, heartbeat: max(e.heartbeat, i.HeartbeatSeq), at: now}
 }
 
 // pruneEnded drops instances that were removed more than endedRetention ago.
--- a/cluster/incarnations_test.go
+++ b/cluster/incarnations_test.go
@@ -136,7 +136,7 @@
 	case "timeout":
 		s.o.handleProbeResult(probeFinished{instance: f.instance, sentAt: now.Add(f.asked), err: platform.ErrInvalidInstance})
 	case "ended":
-		order := types.GroupOrder{Kind: types.GroupJoin, Instance: id, Born: f.instance.StartedAt}
+		order := types.GroupOrder{Kind: types.GroupJoin, Instance: id, StartedAt: f.instance.StartedAt}
 		s.o.handleOrderResult(orderFinished{order: order, outcome: f.outcome, finishedAt: now})
 	case "expect":
 		got := s.o.fleet.instances[id]
--- a/cluster/limits.go
+++ b/cluster/limits.go
@@ -107,13 +107,13 @@
 
 // LimitUpdate is an observation of an instance's limit as daemons send it to each other.
 type LimitUpdate struct {
-	Instance models.InstanceID `msgpack:"i"`
-	Born     time.Time         `msgpack:"b,omitempty"`
-	Rate     float64           `msgpack:"r"`
+	Instance  models.InstanceID `msgpack:"i"`
+	StartedAt time.Time         `msgpack:"b,omitempty"`
+	Rate      float64           `msgpack:"r"`
 	// RequestAge is the time since the request was sent, AnswerAge the time since the head of its
 	// answer arrived.
-	RequestAge time.Duration `msgpack:"q"`
-	AnswerAge  time.Duration `msgpack:"h"`
+	RequestAge  time.Duration `msgpack:"q"`
+	ResponseAge time.Duration `msgpack:"h"`
 	// Observer is the daemon that received the answer. Seq increases with each of its observations.
 	Observer models.DaemonID `msgpack:"d"`
 	Seq      int64           `msgpack:"n"`
@@ -122,7 +122,7 @@
 // toSighting converts an update received at a time.
 func (n LimitUpdate) toSighting(at time.Time) ratelimit.Observation {
 	return ratelimit.Observation{
-		Instance: n.Instance, StartedAt: n.Born, Rate: n.Rate, SentAt: at.Add(-n.RequestAge), ReceivedAt: at.Add(-n.AnswerAge), Receiver: n.Observer, Seq: n.Seq,
+		Instance: n.Instance, StartedAt: n.StartedAt, Rate: n.Rate, SentAt: at.Add(-n.RequestAge), ReceivedAt: at.Add(-n.ResponseAge), Receiver: n.Observer, Seq: n.Seq,
 	}
 }
 
@@ -141,7 +141,7 @@
 	out := make([]LimitUpdate, len(sightings))
 	for n, s := range sightings {
 		out[n] = LimitUpdate{
-			Instance: s.Instance, Born: s.StartedAt, Rate: s.Rate, RequestAge: now.Sub(s.SentAt), AnswerAge: now.Sub(s.ReceivedAt), Observer: s.Receiver, Seq: s.Seq,
+			Instance: s.Instance, StartedAt: s.StartedAt, Rate: s.Rate, RequestAge: now.Sub(s.SentAt), ResponseAge: now.Sub(s.ReceivedAt), Observer: s.Receiver, Seq: s.Seq,
 		}
 	}
 	return out, last
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -51,7 +51,7 @@
 	Changed() <-chan struct{}
 	// Work returns the demand for each model, in group-seconds per second: how many replica groups
 	// its requests would keep fully busy.
-	Work() map[models.ModelName]float64
+	Demand() map[models.ModelName]float64
 }
 
 const (
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -74,7 +74,7 @@
 		o.n.log.Info().Str("peer", string(b.From)).Int64("incarnation", b.Incarnation).Msg("peer-seen")
 	}
 	if !known || before.heartbeat.Addr != b.Addr || before.heartbeat.Incarnation != b.Incarnation {
-		err := o.addPeer(b.From, rosterEntry{Zone: b.Zone, Addr: b.Addr, Incarnation: b.Incarnation, Power: b.Power, AcceptsCompressed: b.AcceptsCompressed})
+		err := o.addPeer(b.From, rosterEntry{Zone: b.Zone, Addr: b.Addr, Incarnation: b.Incarnation, CPUCores: b.CPUCores, AcceptsCompressed: b.AcceptsCompressed})
 		if err != nil {
 			o.n.log.Error().Err(err).Str("peer", string(b.From)).Msg("heartbeat-unreadable")
 		}
@@ -128,7 +128,7 @@
 	b := Heartbeat{
 		From: n.cfg.ID, Incarnation: n.started, Addr: n.cfg.Peer.String(), Zone: n.cfg.Zone, Term: v.Term,
 		IsPlanner: n.planning.Load(),
-		Power:     n.cfg.CPUCores, AcceptsCompressed: true, ConfigSource: v.configSource, Work: map[models.ModelName]float32{}, Stalled: v.stalled,
+		CPUCores:  n.cfg.CPUCores, AcceptsCompressed: true, ConfigSource: v.configSource, Work: map[models.ModelName]float32{}, Stalled: v.stalled,
 		UsesRelay: l.UsesRelay, UsesPrimaryRelay: l.UsesLoads, Size: v.Daemons,
 		MissedUpdates: n.missedUpdates.pending() && n.requestsSnapshotFrom(to, l), EntriesAge: n.entriesAge(), Era: n.era.Load(),
 	}
@@ -144,7 +144,7 @@
 			b.Granters = v.Topology.Granters
 		}
 	}
-	for model, work := range n.traffic.Work() {
+	for model, work := range n.traffic.Demand() {
 		b.Work[model] = float32(work)
 	}
 	if v.Routing != nil {
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -45,7 +45,7 @@
 	t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
 	for i := range 30 {
 		zone := models.Zone("abc"[i%3 : i%3+1])
-		heartbeat := Heartbeat{From: models.DaemonID(fmt.Sprintf("%s-%d", zone, i)), Addr: "127.0.0.1:9", Power: 0.1 + float64(i)/100, Zone: zone}
+		heartbeat := Heartbeat{From: models.DaemonID(fmt.Sprintf("%s-%d", zone, i)), Addr: "127.0.0.1:9", CPUCores: 0.1 + float64(i)/100, Zone: zone}
 		o.handleHeartbeat(heartbeatReceived{heartbeat: heartbeat, receivedAt: time.Now()})
 	}
 	o.updateTopology(time.Now())
@@ -81,9 +81,9 @@
 	o := newTestOwner(t)
 	t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
 	addPeers(o, meshLimit+1, 0)
-	o.handleHeartbeat(heartbeatReceived{heartbeat: Heartbeat{From: "peer-3", Addr: "127.0.0.1:9", Power: 1, ConfigVersion: 7}, receivedAt: time.Now()})
+	o.handleHeartbeat(heartbeatReceived{heartbeat: Heartbeat{From: "peer-3", Addr: "127.0.0.1:9", CPUCores: 1, ConfigVersion: 7}, receivedAt: time.Now()})
 	c.Assert(o.n.View().configSource, qt.Equals, models.DaemonID("peer-3"))
 
-	o.handleHeartbeat(heartbeatReceived{heartbeat: Heartbeat{From: "peer-4", Addr: "127.0.0.1:9", Power: 1, ConfigSource: "d1"}, receivedAt: time.Now()})
+	o.handleHeartbeat(heartbeatReceived{heartbeat: Heartbeat{From: "peer-4", Addr: "127.0.0.1:9", CPUCores: 1, ConfigSource: "d1"}, receivedAt: time.Now()})
 	c.Assert(o.n.View().configRequesters["peer-4"], qt.IsTrue)
 }
--- a/cluster/permits.go
+++ b/cluster/permits.go
@@ -53,8 +53,8 @@
 // permits holds the token buckets of the instances that this daemon grants permits for, and the
 // connections to other granters. It is safe for concurrent use.
 type permits struct {
-	n                            *Node
-	granted, refused, unanswered *metrics.Counter
+	n                             *Node
+	granted, rejected, unanswered *metrics.Counter
 
 	buckets sync.Mutex
 	granter ratelimit.Granter
@@ -70,7 +70,7 @@
 	return &permits{
 		n:          n,
 		granted:    set.NewCounter(`lupinkeel_permits_total{outcome="granted"}`),
-		refused:    set.NewCounter(`lupinkeel_permits_total{outcome="refused"}`),
+		rejected:   set.NewCounter(`lupinkeel_permits_total{outcome="refused"}`),
 		unanswered: set.NewCounter(`lupinkeel_permits_total{outcome="unanswered"}`),
 		conns:      map[models.DaemonID]*granterConn{},
 	}
@@ -104,7 +104,7 @@
 }
 
 // AskPermit asks for a permit to send a request to one of several instances of a zone.
-func (n *Node) AskPermit(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
+func (n *Node) RequestPermit(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	grant, err := n.permits.request(ctx, zone, ask)
 	switch {
 	case err != nil:
@@ -112,7 +112,7 @@
 	case grant.Granted:
 		n.permits.granted.Inc()
 	default:
-		n.permits.refused.Inc()
+		n.permits.rejected.Inc()
 	}
 	return grant, err
 }
--- a/cluster/permits_test.go
+++ b/cluster/permits_test.go
@@ -38,7 +38,7 @@
 func (a *permitClients) requestUntilDone(ctx context.Context, p *testPeer, pause time.Duration) error {
 	ask := ratelimit.PermitRequest{Candidates: []ratelimit.Candidate{{Instance: "i1", Rate: a.rate}}}
 	for ctx.Err() == nil {
-		grant, err := p.AskPermit(ctx, a.zone, ask)
+		grant, err := p.RequestPermit(ctx, a.zone, ask)
 		wait := pause
 		a.mu.Lock()
 		a.requests++
--- a/cluster/planning.go
+++ b/cluster/planning.go
@@ -233,7 +233,7 @@
 		p.RecordOutcome(m.order, m.outcome, m.finishedAt)
 	}
 	k := o.fleet.instances[m.order.Instance]
-	if k == nil || k.CompareIncarnation(m.order.Born) != models.SameIncarnation {
+	if k == nil || k.CompareIncarnation(m.order.StartedAt) != models.SameIncarnation {
 		// The order was for an earlier incarnation.
 		return
 	}
--- a/cluster/planning_test.go
+++ b/cluster/planning_test.go
@@ -79,7 +79,7 @@
 		o.peers.roster = membership.NewRoster(membership.Daemon{ID: "d1", Zone: "z", CPUCores: 1}, membership.DefaultPolicy())
 		started := time.Unix(0, o.n.started)
 		for n := range test.daemons {
-			c.Assert(o.addPeer(models.DaemonID(fmt.Sprint("e", n)), rosterEntry{Zone: "z", Addr: "127.0.0.1:1", Incarnation: 1, Power: 0.1}), qt.IsNil)
+			c.Assert(o.addPeer(models.DaemonID(fmt.Sprint("e", n)), rosterEntry{Zone: "z", Addr: "127.0.0.1:1", Incarnation: 1, CPUCores: 0.1}), qt.IsNil)
 		}
 		o.peers.topology = o.peers.roster.Topology(started)
 		o.peers.lastJoinAt = started.Add(peerDiscoveryDelay)
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -27,19 +27,19 @@
 	mu   sync.Mutex
 	list quarantine.List
 	// refused are the requests that must not be sent, as last logged.
-	refused map[quarantine.Digest]quarantine.Status
+	quarantined map[quarantine.Digest]quarantine.Status
 }
 
 // NewQuarantine returns an empty quarantine. found is called when there is a change to send to
 // other daemons.
 func NewQuarantine(found func(), set *metrics.Set, log zerolog.Logger) *Quarantine {
 	q := &Quarantine{
-		log: log, onChange: found, writeQueue: make(chan quarantine.Digest, writeQueueLen), refused: map[quarantine.Digest]quarantine.Status{},
+		log: log, onChange: found, writeQueue: make(chan quarantine.Digest, writeQueueLen), quarantined: map[quarantine.Digest]quarantine.Status{},
 	}
 	set.NewGauge("lupinkeel_quarantined_requests", func() float64 {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		return float64(len(q.refused))
+		return float64(len(q.quarantined))
 	})
 	return q
 }
@@ -74,7 +74,7 @@
 }
 
 // Standing returns how far a request is suspected of crashing instances.
-func (q *Quarantine) Suspicion(d quarantine.Digest) quarantine.Status {
+func (q *Quarantine) Status(d quarantine.Digest) quarantine.Status {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.list.Status(d)
@@ -88,17 +88,17 @@
 }
 
 // Refused returns the requests that must not be sent.
-func (q *Quarantine) Refused() map[quarantine.Digest]quarantine.Status {
+func (q *Quarantine) Quarantined() map[quarantine.Digest]quarantine.Status {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return maps.Clone(q.refused)
+	return maps.Clone(q.quarantined)
 }
 
 // Place returns to which of a number of places a request on trial is sent.
-func (q *Quarantine) Place(d quarantine.Digest, places int) int {
+func (q *Quarantine) IsolationIndex(d quarantine.Digest, n int) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.list.IsolationIndex(d, places)
+	return q.list.IsolationIndex(d, n)
 }
 
 // Holds reports whether any crash is known. If not, requests need no digest.
@@ -120,26 +120,26 @@
 // records if this daemon found any of the crashes. The caller must hold the lock.
 func (q *Quarantine) refresh(now time.Time) {
 	q.nonEmpty.Store(!q.list.Empty())
-	refused := q.list.Quarantined()
-	for d, s := range refused {
-		if _, before := q.refused[d]; !before {
+	quarantined := q.list.Quarantined()
+	for d, s := range quarantined {
+		if _, before := q.quarantined[d]; !before {
 			q.log.Warn().Stringer("digest", d).Int("crashes", s.Crashes).Dur("age", now.Sub(s.Last)).Msg("request-quarantined")
 			q.enqueueOwnWrite(d)
 		}
 	}
-	for d := range q.refused {
-		if _, still := refused[d]; !still {
+	for d := range q.quarantined {
+		if _, still := quarantined[d]; !still {
 			q.log.Info().Stringer("digest", d).Msg("request-released")
 			q.enqueueOwnWrite(d)
 		}
 	}
-	q.refused = refused
+	q.quarantined = quarantined
 }
 
 // CrashUpdate is a crash of an instance as daemons send it to each other.
 type CrashUpdate struct {
-	Instance models.InstanceID `msgpack:"i"`
-	Born     time.Time         `msgpack:"b,omitempty"`
+	Instance  models.InstanceID `msgpack:"i"`
+	StartedAt time.Time         `msgpack:"b,omitempty"`
 	// Age is the time since the crash.
 	Age time.Duration `msgpack:"a"`
 	// Requests are the requests that were in flight, Cleared those of them that another instance
@@ -150,7 +150,7 @@
 
 // crashUpdateOf converts a crash for sending.
 func crashUpdateOf(c quarantine.Crash, now time.Time) CrashUpdate {
-	out := CrashUpdate{Instance: c.Instance, Born: c.StartedAt, Age: now.Sub(c.At)}
+	out := CrashUpdate{Instance: c.Instance, StartedAt: c.StartedAt, Age: now.Sub(c.At)}
 	for d, cleared := range c.Requests {
 		if cleared {
 			out.Cleared = append(out.Cleared, d)
@@ -163,7 +163,7 @@
 
 // toCrash converts an update received at a time.
 func (c CrashUpdate) toCrash(at time.Time) quarantine.Crash {
-	out := quarantine.Crash{Instance: c.Instance, StartedAt: c.Born, At: at.Add(-c.Age), Requests: map[quarantine.Digest]bool{}}
+	out := quarantine.Crash{Instance: c.Instance, StartedAt: c.StartedAt, At: at.Add(-c.Age), Requests: map[quarantine.Digest]bool{}}
 	for _, d := range c.Requests {
 		out.Requests[d] = false
 	}
--- a/cluster/quarantine_store.go
+++ b/cluster/quarantine_store.go
@@ -28,9 +28,9 @@
 // storedCrash is a crash attributed to a request, as the store keeps it. The time is wall-clock
 // time, the only clock that processes before and after a restart have in common.
 type storedCrash struct {
-	Instance models.InstanceID `msgpack:"i"`
-	Born     time.Time         `msgpack:"b,omitempty"`
-	At       time.Time         `msgpack:"a"`
+	Instance  models.InstanceID `msgpack:"i"`
+	StartedAt time.Time         `msgpack:"b,omitempty"`
+	At        time.Time         `msgpack:"a"`
 }
 
 // enqueueOwnWrite queues the rewrite of a request's record if this daemon found any of its crashes.
@@ -54,12 +54,12 @@
 func (q *Quarantine) encodeRecord(d quarantine.Digest) ([]byte, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if _, refused := q.refused[d]; !refused {
+	if _, refused := q.quarantined[d]; !refused {
 		return nil, nil
 	}
 	var out []storedCrash
 	for _, c := range q.list.CrashesOf(d) {
-		out = append(out, storedCrash{Instance: c.Instance, Born: c.StartedAt, At: c.At})
+		out = append(out, storedCrash{Instance: c.Instance, StartedAt: c.StartedAt, At: c.At})
 	}
 	return pack.Marshal(out)
 }
@@ -80,9 +80,9 @@
 	for _, c := range crashes {
 		// The clocks of two daemons differ; a time in the future is set to now.
 		at := now.Add(-max(0, now.Sub(c.At)))
-		q.record(quarantine.Crash{Instance: c.Instance, StartedAt: c.Born, At: at, Requests: map[quarantine.Digest]bool{d: false}}, storeSource)
+		q.record(quarantine.Crash{Instance: c.Instance, StartedAt: c.StartedAt, At: at, Requests: map[quarantine.Digest]bool{d: false}}, storeSource)
 	}
-	if q.Suspicion(d).Crashes == 0 {
+	if q.Status(d).Crashes == 0 {
 		// All its crashes have expired: an empty record is written.
 		q.enqueueWrite(d)
 	}
--- a/cluster/quarantine_test.go
+++ b/cluster/quarantine_test.go
@@ -86,7 +86,7 @@
 
 // hasCrashes reports whether the daemon attributes a number of crashes to a request.
 func (p *testPeer) hasCrashes(d quarantine.Digest, crashes int) bool {
-	return p.quarantine.Suspicion(d).Crashes == crashes
+	return p.quarantine.Status(d).Crashes == crashes
 }
 
 // waitAll waits until a condition holds for all daemons, and returns how long that took.
@@ -133,13 +133,13 @@
 			peers[test.daemons-1].quarantine.RecordCrash(crashed("i2", guilty))
 			waitAll(c, peers, propagationTimeout, "aware of two crashes", func(p *testPeer) bool { return p.hasCrashes(guilty, 2) })
 			peers[test.daemons/2].quarantine.RecordCrash(crashed("i3", guilty))
-			took := waitAll(c, peers, propagationTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Suspicion(guilty).Quarantined })
+			took := waitAll(c, peers, propagationTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Status(guilty).Quarantined })
 			t.Logf("all %d refuse the request after %v", test.daemons, took.Round(time.Millisecond))
 			peers[1].quarantine.Clear(other)
 			waitAll(c, peers, propagationTimeout, "aware of the cleared request", func(p *testPeer) bool { return p.hasCrashes(other, 0) })
 
 			late := startNth(t, test.daemons, test.zones, peers)
-			took = waitAll(c, []*testPeer{late}, discoveryTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Suspicion(guilty).Quarantined })
+			took = waitAll(c, []*testPeer{late}, discoveryTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Status(guilty).Quarantined })
 			t.Logf("a starting daemon refuses it after %v", took.Round(time.Millisecond))
 			c.Assert(late.hasCrashes(other, 0), qt.IsTrue)
 		})
--- a/cluster/reports.go
+++ b/cluster/reports.go
@@ -22,7 +22,7 @@
 	switch {
 	case !known || m.sentAt.Before(k.stateAt):
 		// A newer state is known: answers on different connections may arrive out of order.
-	case m.err != nil && m.sentAt.Before(k.bornKnownAt) && k.CompareIncarnation(m.instance.StartedAt) != models.SameIncarnation:
+	case m.err != nil && m.sentAt.Before(k.incarnationKnownAt) && k.CompareIncarnation(m.instance.StartedAt) != models.SameIncarnation:
 		// The probe was for an earlier incarnation.
 	case m.err != nil:
 		o.handleProbeFailure(k, m)
--- a/cluster/topology.go
+++ b/cluster/topology.go
@@ -69,7 +69,7 @@
 		o.peers.lastJoinAt = time.Now()
 	}
 	o.peers.addrs[id] = peerAddr{addr: addr, zone: entry.Zone, incarnation: entry.Incarnation, acceptsCompressed: entry.AcceptsCompressed}
-	o.peers.roster.Add(membership.Daemon{ID: id, Zone: entry.Zone, CPUCores: entry.Power})
+	o.peers.roster.Add(membership.Daemon{ID: id, Zone: entry.Zone, CPUCores: entry.CPUCores})
 	o.peers.topologyStale = true
 	return nil
 }
@@ -77,7 +77,7 @@
 // membershipBeat returns the part of a heartbeat from which the topology is computed.
 func (b Heartbeat) membershipBeat() membership.Heartbeat {
 	return membership.Heartbeat{
-		Daemon: membership.Daemon{ID: b.From, Zone: b.Zone, CPUCores: b.Power}, Interval: cmp.Or(b.Interval, heartbeatInterval),
+		Daemon: membership.Daemon{ID: b.From, Zone: b.Zone, CPUCores: b.CPUCores}, Interval: cmp.Or(b.Interval, heartbeatInterval),
 		UsesRelay: b.UsesRelay, UsesLoads: b.UsesPrimaryRelay, Size: b.Size,
 		Votes: b.Grants, Granters: b.Granters,
 	}
--- a/cluster/unlisted.go
+++ b/cluster/unlisted.go
@@ -56,7 +56,7 @@
 // removeInstance removes an instance from the state.
 func (o *owner) removeInstance(i *knownInstance) {
 	o.n.log.Info().Str("instance", string(i.ID)).Str("group", string(i.Group.Key.Name)).Msg("instance-gone")
-	o.fleet.ended[i.ID] = endedInstance{born: i.StartedAt, heartbeat: i.HeartbeatSeq, at: time.Now()}
+	o.fleet.ended[i.ID] = endedInstance{startedAt: i.StartedAt, heartbeat: i.HeartbeatSeq, at: time.Now()}
 	delete(o.fleet.instances, i.ID)
 	o.fleetStale, o.fleet.listStale = true, true
 }
--- a/cluster/updates.go
+++ b/cluster/updates.go
@@ -112,7 +112,7 @@
 	case !known && o.fleet.hasEnded(u.Instance):
 	case !known:
 		// The instance was not known, so that its loss applies whenever it was found.
-		k = &knownInstance{UpstreamInstance: u.Instance, stateAt: at, bornKnownAt: at}
+		k = &knownInstance{UpstreamInstance: u.Instance, stateAt: at, incarnationKnownAt: at}
 		if u.Lost {
 			k.lostSince = now
 		}
--- a/cluster/wire.go
+++ b/cluster/wire.go
@@ -35,7 +35,7 @@
 	Addr string      `msgpack:"ad,omitempty"`
 	Zone models.Zone `msgpack:"z,omitempty"`
 	// Power is the number of processor cores that the daemon may use.
-	Power float64 `msgpack:"p,omitempty"`
+	CPUCores float64 `msgpack:"p,omitempty"`
 	// AcceptsCompressed is set if the daemon reads compressed frames.
 	AcceptsCompressed bool `msgpack:"up,omitempty"`
 	// ConfigVersion is the version of the configuration in force, ConfigAge the time since it was
@@ -82,7 +82,7 @@
 
 // abbreviated omits the fields that the first heartbeat on a connection has sent.
 func (b Heartbeat) abbreviated() Heartbeat {
-	b.From, b.Incarnation, b.Addr, b.Zone, b.Power, b.AcceptsCompressed = "", 0, "", "", 0, false
+	b.From, b.Incarnation, b.Addr, b.Zone, b.CPUCores, b.AcceptsCompressed = "", 0, "", "", 0, false
 	return b
 }
 
@@ -90,7 +90,7 @@
 func (b Heartbeat) completed(first Heartbeat) Heartbeat {
 	if b.From == "" {
 		b.From, b.Incarnation, b.Addr, b.Zone = first.From, first.Incarnation, first.Addr, first.Zone
-		b.Power, b.AcceptsCompressed = first.Power, first.AcceptsCompressed
+		b.CPUCores, b.AcceptsCompressed = first.CPUCores, first.AcceptsCompressed
 	}
 	return b
 }
@@ -114,7 +114,7 @@
 	Addr        string      `msgpack:"a"`
 	Incarnation int64       `msgpack:"i"`
 	// Power is the number of processor cores that the daemon may use.
-	Power float64 `msgpack:"p"`
+	CPUCores float64 `msgpack:"p"`
 	// AcceptsCompressed is set if the daemon reads compressed frames.
 	AcceptsCompressed bool `msgpack:"up,omitempty"`
 }
@@ -135,8 +135,8 @@
 type Load struct {
 	// Requests is the number of requests in flight, Unread the number of prompt tokens of requests
 	// that have no answer yet.
-	Requests int `msgpack:"r,omitempty"`
-	PrefillTokens   int `msgpack:"u,omitempty"`
+	Requests      int `msgpack:"r,omitempty"`
+	PrefillTokens int `msgpack:"u,omitempty"`
 }
 
 // Update is any message between daemons that is not a heartbeat. Each one holds one of: loads,
--- a/cluster/work.go
+++ b/cluster/work.go
@@ -30,7 +30,7 @@
 // zoneWork returns the demand of the callers of this zone's daemons for each model; in a mesh, of
 // all daemons.
 func (o *owner) zoneWork() map[models.ModelName]float64 {
-	sum := maps.Clone(o.n.traffic.Work())
+	sum := maps.Clone(o.n.traffic.Demand())
 	if sum == nil {
 		sum = map[models.ModelName]float64{}
 	}
--- a/commands/ask.go
+++ b/commands/ask.go
@@ -115,7 +115,7 @@
 		return fmt.Errorf("%w: %s", ErrUsage, a.Error.Message)
 	case a.Change == nil:
 		return nil
-	case a.Change.Result == api.ChangeRefused:
+	case a.Change.Result == api.ChangeRejected:
 		return fmt.Errorf("%w: %s%s", ErrRejected, a.Change.Reason, retryHint(a.Change))
 	case a.Change.Result == api.ChangeUnknown:
 		return fmt.Errorf("%w: %s", ErrUnknown, a.Change.Reason)
@@ -142,7 +142,7 @@
 	if c := a.Change; c != nil && c.Result == api.ChangePlanned {
 		fmt.Fprintln(w, "the change would be accepted")
 	}
-	if c := a.Change; c != nil && c.Result == api.ChangeWouldRefuse {
+	if c := a.Change; c != nil && c.Result == api.ChangeWouldBeRejected {
 		fmt.Fprintf(w, "the change would be refused: %s\n", c.Reason)
 	}
 }
--- a/commands/load.go
+++ b/commands/load.go
@@ -40,7 +40,7 @@
 	}
 	report, err := load.Run(c.Context, opts, func(r load.Report) {
 		fmt.Fprintf(c.App.ErrWriter, "%4.0f s  sent %d  whole %d  first token p95 %.1f ms\n",
-			r.Seconds, r.Sent, r.Ends[router.OutcomeComplete], r.FirstToken.P95)
+			r.Seconds, r.Sent, r.Outcomes[router.OutcomeComplete], r.FirstToken.P95)
 	})
 	if err != nil {
 		return err
@@ -55,9 +55,9 @@
 func printLoadReport(w io.Writer, r load.Report) {
 	var rows [][]string
 	for _, end := range []router.Outcome{
-		router.OutcomeComplete, router.OutcomeNotRun, router.OutcomeMayHaveRun, load.EndBroken, load.EndTruncated, load.EndExtraEvents, load.EndNoResponse,
+		router.OutcomeComplete, router.OutcomeNotRun, router.OutcomeMayHaveRun, load.OutcomeBroken, load.OutcomeTruncated, load.OutcomeExtraEvents, load.OutcomeNoResponse,
 	} {
-		rows = append(rows, []string{string(end), fmt.Sprint(r.Ends[end])})
+		rows = append(rows, []string{string(end), fmt.Sprint(r.Outcomes[end])})
 	}
 	printTable(w, []string{"end", "requests"}, rows)
 	fmt.Fprintf(w, "sent %d in %.1f s, goodput %.1f/s, %.0f tokens/s\n", r.Sent, r.Seconds, r.Goodput, float64(r.Tokens)/r.Seconds)
@@ -67,6 +67,6 @@
 	printTable(w, []string{"ms", "p50", "p95", "p99", "max"}, [][]string{
 		append([]string{"first token"}, percentileRow(r.FirstToken)...),
 		append([]string{"between tokens"}, percentileRow(r.InterToken)...),
-		append([]string{"refusal"}, percentileRow(r.Refusal)...),
+		append([]string{"refusal"}, percentileRow(r.Rejection)...),
 	})
 }
--- a/daemon/log.go
+++ b/daemon/log.go
@@ -82,7 +82,7 @@
 	o.d.stats.applied.Inc()
 	log := o.d.log.Info().Uint64("offset", uint64(outcome.Offset)).Str("source", source)
 	if outcome.Rejection != nil {
-		o.d.stats.refused.Inc()
+		o.d.stats.rejected.Inc()
 		log.Str("record", string(outcome.Record)).Str("reason", outcome.Rejection.Error()).Msg("record-refused")
 		return
 	}
--- a/daemon/stats.go
+++ b/daemon/stats.go
@@ -12,7 +12,7 @@
 type stats struct {
 	set           *metrics.Set
 	applied       *metrics.Counter
-	refused       *metrics.Counter
+	rejected      *metrics.Counter
 	proposed      *metrics.Counter
 	orders        *metrics.Counter
 	ordersFailed  *metrics.Counter
@@ -29,7 +29,7 @@
 	s := &stats{
 		set:           set,
 		applied:       set.NewCounter("lupinkeel_records_applied_total"),
-		refused:       set.NewCounter("lupinkeel_records_refused_total"),
+		rejected:      set.NewCounter("lupinkeel_records_refused_total"),
 		proposed:      set.NewCounter("lupinkeel_proposals_total"),
 		orders:        set.NewCounter("lupinkeel_orders_total"),
 		ordersFailed:  set.NewCounter("lupinkeel_orders_failed_total"),
--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -209,7 +209,7 @@
 	data, err := json.MarshalIndent(answer, "", " ")
 	ts.Check(err)
 	fmt.Fprintln(ts.Stdout(), string(data))
-	failed := answer.Error != nil || (answer.Change != nil && (answer.Change.Result == api.ChangeRefused || answer.Change.Result == api.ChangeUnknown))
+	failed := answer.Error != nil || (answer.Change != nil && (answer.Change.Result == api.ChangeRejected || answer.Change.Result == api.ChangeUnknown))
 	if failed != neg {
 		ts.Fatalf("ask %s: %s", args[0], data)
 	}
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -88,7 +88,7 @@
 	switch {
 	case resp.StatusCode != http.StatusOK:
 		text, _ := io.ReadAll(resp.Body)
-		res.end, res.detail = end(resp.Header.Get(api.HeaderEnd)), string(text)
+		res.end, res.detail = end(resp.Header.Get(api.HeaderOutcome)), string(text)
 	case c.stream:
 		res.end, res.detail = c.readStream(resp.Body)
 	default:
--- a/fleet/planner.go
+++ b/fleet/planner.go
@@ -212,7 +212,7 @@
 
 // RecordOutcome records the outcome of an order.
 func (p *Planner) RecordOutcome(o types.GroupOrder, outcome types.OrderOutcome, now time.Time) {
-	if (models.UpstreamInstance{StartedAt: p.startTimes[o.Instance]}).CompareIncarnation(o.Born) != models.SameIncarnation {
+	if (models.UpstreamInstance{StartedAt: p.startTimes[o.Instance]}).CompareIncarnation(o.StartedAt) != models.SameIncarnation {
 		// The instance has restarted since the order.
 		return
 	}
--- a/fleet/round.go
+++ b/fleet/round.go
@@ -103,7 +103,7 @@
 
 // issue queues an order under a new fence.
 func (r *round) issue(o types.GroupOrder) {
-	o.Fence, o.Born = r.nextFence(), r.Instances[o.Instance].StartedAt
+	o.Fence, o.StartedAt = r.nextFence(), r.Instances[o.Instance].StartedAt
 	r.sent[o.Instance] = &sentOrder{order: o, at: r.Now, outcome: pending}
 	r.orders = append(r.orders, o)
 }
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -141,8 +141,8 @@
 	for _, id := range []models.InstanceID{"i1", "i2"} {
 		s.node.quarantine.RecordCrash(quarantine.Crash{Instance: id, At: time.Now().Add(-time.Minute), Requests: map[quarantine.Digest]bool{d: false}})
 	}
-	s.c.Assert(s.node.quarantine.Suspicion(d).NeedsIsolation(), qt.IsTrue)
-	own := []string{"p1", "p2"}[s.node.quarantine.Place(d, 2)]
+	s.c.Assert(s.node.quarantine.Status(d).NeedsIsolation(), qt.IsTrue)
+	own := []string{"p1", "p2"}[s.node.quarantine.IsolationIndex(d, 2)]
 	s.signal(models.InstanceID(own), time.Minute, false)
 	s.send("a")
 	s.c.Assert(s.received, qt.HasLen, 1)
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -105,8 +105,8 @@
 	time.Sleep(probing + 100*time.Millisecond)
 	c.Assert(l.Close(), qt.IsNil)
 	<-cd.noteDisconnect(context.Background(), i, guilty)
-	c.Assert(node.quarantine.Suspicion(guilty).Crashes, qt.Equals, 1)
-	c.Assert(node.quarantine.Suspicion(reset).Crashes, qt.Equals, 0)
+	c.Assert(node.quarantine.Status(guilty).Crashes, qt.Equals, 1)
+	c.Assert(node.quarantine.Status(reset).Crashes, qt.Equals, 0)
 }
 
 // TestRestartLongAfterReset checks that a restart long after a reset connection does not count as a
@@ -123,5 +123,5 @@
 	i.StartedAt = i.StartedAt.Add(time.Minute)
 	node.view.All[i.ID] = i
 	cd.sweep(now.Add(restartWindow + 2*time.Second))
-	c.Assert(node.quarantine.Suspicion(d).Crashes, qt.Equals, 0)
+	c.Assert(node.quarantine.Status(d).Crashes, qt.Equals, 0)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -62,7 +62,7 @@
 	Breakers() *cluster.Breakers
 	// AskPermit asks for a permit to send a request to one of several rate-limited instances of a
 	// zone.
-	AskPermit(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error)
+	RequestPermit(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error)
 	Clock() *timer.Service
 }
 
--- a/gateway/permit.go
+++ b/gateway/permit.go
@@ -54,7 +54,7 @@
 	for _, i := range instances {
 		ask.Candidates = append(ask.Candidates, ratelimit.Candidate{Instance: i.ID, Rate: e.g.node.Limits().Rate(i, now)})
 	}
-	grant, err := e.g.node.AskPermit(ctx, instances[0].Zone, ask)
+	grant, err := e.g.node.RequestPermit(ctx, instances[0].Zone, ask)
 	if err != nil {
 		e.g.log.Debug().Str("request", string(e.head.ID)).Str("instance", string(instances[0].ID)).Err(err).Msg("permit-unanswered")
 		for _, i := range instances {
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -17,7 +17,7 @@
 	if !quarantined.Any() {
 		return quarantine.Status{}
 	}
-	return quarantined.Suspicion(e.digest())
+	return quarantined.Status(e.digest())
 }
 
 const (
@@ -87,7 +87,7 @@
 	if !e.quarantineStatus().NeedsIsolation() {
 		return nil
 	}
-	return func(places int) int { return e.g.node.Quarantine().Place(e.digest(), places) }
+	return func(places int) int { return e.g.node.Quarantine().IsolationIndex(e.digest(), places) }
 }
 
 // clear clears the crashes of a request that has ended well.
@@ -99,7 +99,7 @@
 
 // listQuarantine lists the quarantined requests for an operator, one per line.
 func (g *Gateway) listQuarantine(w http.ResponseWriter, _ *http.Request) {
-	for d, s := range g.node.Quarantine().Refused() {
+	for d, s := range g.node.Quarantine().Quarantined() {
 		// A write error means that the operator has disconnected.
 		_, _ = fmt.Fprintf(w, "digest=%x crashes=%d age=%s\n", d[:], s.Crashes, time.Since(s.Last).Round(time.Second))
 	}
@@ -109,7 +109,7 @@
 // daemons. Its crashes are forgotten.
 func (g *Gateway) releaseQuarantine(w http.ResponseWriter, r *http.Request) {
 	prefix := r.PathValue("digest")
-	for d := range g.node.Quarantine().Refused() {
+	for d := range g.node.Quarantine().Quarantined() {
 		if strings.HasPrefix(hex.EncodeToString(d[:]), prefix) {
 			g.log.Info().Stringer("digest", d).Str("operator", r.RemoteAddr).Msg("quarantine-lifted")
 			g.node.Quarantine().Clear(d)
--- a/gateway/script_test.go
+++ b/gateway/script_test.go
@@ -115,7 +115,7 @@
 }
 
 // AskPermit calls the test's permit function; without one there is no granter.
-func (f *fakeNode) AskPermit(_ context.Context, _ models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
+func (f *fakeNode) RequestPermit(_ context.Context, _ models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	if f.permit == nil {
 		return ratelimit.Grant{}, cluster.ErrNoGranter
 	}
--- a/load/load.go
+++ b/load/load.go
@@ -57,20 +57,20 @@
 // The outcomes of a request as its caller sees them, in addition to those of router.End.
 const (
 	// EndBroken: the stream was aborted, or ended in an error event.
-	EndBroken router.Outcome = "broken"
+	OutcomeBroken router.Outcome = "broken"
 	// EndShort: the stream ended cleanly without its end mark.
-	EndTruncated router.Outcome = "short"
+	OutcomeTruncated router.Outcome = "short"
 	// EndDoubled: more events followed the end mark.
-	EndExtraEvents router.Outcome = "doubled"
+	OutcomeExtraEvents router.Outcome = "doubled"
 	// EndSilent: there was no response at all.
-	EndNoResponse router.Outcome = "silent"
+	OutcomeNoResponse router.Outcome = "silent"
 )
 
 // Report holds the results of a load.
 type Report struct {
-	Sent   int                    `json:"sent"`
-	Ends   map[router.Outcome]int `json:"ends"`
-	Tokens int                    `json:"tokens"`
+	Sent     int                    `json:"sent"`
+	Outcomes map[router.Outcome]int `json:"ends"`
+	Tokens   int                    `json:"tokens"`
 	// Seconds is the time until the last response, SendingSeconds the time in which requests were
 	// sent.
 	Seconds        float64 `json:"seconds"`
@@ -79,7 +79,7 @@
 	Goodput    float64             `json:"goodput_per_second"`
 	FirstToken latency.Percentiles `json:"first_token"`
 	InterToken latency.Percentiles `json:"inter_token"`
-	Refusal    latency.Percentiles `json:"refusal"`
+	Rejection  latency.Percentiles `json:"refusal"`
 }
 
 // Run sends the load and waits for the last response. progress, if not nil, is called once a
@@ -114,7 +114,7 @@
 	report := r.report()
 	// Requests that were sent within the duration may complete much later, so goodput is relative
 	// to the time until the last response.
-	report.Goodput = float64(report.Ends[router.OutcomeComplete]) / report.Seconds
+	report.Goodput = float64(report.Outcomes[router.OutcomeComplete]) / report.Seconds
 	report.SendingSeconds = sending.Seconds()
 	return report, nil
 }
@@ -151,21 +151,21 @@
 	rng        *rand.Rand
 	sent       int
 	tokens     int
-	ends       map[router.Outcome]int
+	outcomes   map[router.Outcome]int
 	firstToken latency.Histogram
 	interToken latency.Histogram
-	refusal    latency.Histogram
+	rejection  latency.Histogram
 }
 
 const maxIdleConnsPerHost = 1024
 
 func newRunner(opts Options) *runner {
 	return &runner{
-		opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 0)), ends: map[router.Outcome]int{},
+		opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 0)), outcomes: map[router.Outcome]int{},
 		http:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, DisableCompression: true}},
 		firstToken: latency.New(),
 		interToken: latency.New(),
-		refusal:    latency.New(),
+		rejection:  latency.New(),
 	}
 }
 
@@ -230,7 +230,7 @@
 
 // result is the outcome of one request.
 type result struct {
-	end        router.Outcome
+	outcome    router.Outcome
 	firstToken time.Duration
 	tokenGaps  []time.Duration
 	duration   time.Duration
@@ -239,9 +239,9 @@
 func (r *runner) record(res result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ends[res.end]++
-	if res.end == router.OutcomeNotRun {
-		r.refusal.Add(res.duration)
+	r.outcomes[res.outcome]++
+	if res.outcome == router.OutcomeNotRun {
+		r.rejection.Add(res.duration)
 		return
 	}
 	if res.firstToken > 0 {
@@ -257,12 +257,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ends := map[router.Outcome]int{}
-	for end, n := range r.ends {
+	for end, n := range r.outcomes {
 		ends[end] = n
 	}
 	return Report{
-		Sent: r.sent, Ends: ends, Tokens: r.tokens, Seconds: time.Since(r.started).Seconds(),
-		FirstToken: r.firstToken.Percentiles(), InterToken: r.interToken.Percentiles(), Refusal: r.refusal.Percentiles(),
+		Sent: r.sent, Outcomes: ends, Tokens: r.tokens, Seconds: time.Since(r.started).Seconds(),
+		FirstToken: r.firstToken.Percentiles(), InterToken: r.interToken.Percentiles(), Rejection: r.rejection.Percentiles(),
 	}
 }
 
@@ -275,7 +275,7 @@
 	started := time.Now()
 	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/chat/completions", req.target), bytes.NewReader(req.body))
 	if err != nil {
-		return result{end: EndNoResponse}
+		return result{outcome: OutcomeNoResponse}
 	}
 	if r.opts.HeaderFor != nil {
 		for k, v := range r.opts.HeaderFor(req.target) {
@@ -285,35 +285,35 @@
 	httpReq.Header.Set("Authorization", "Bearer "+req.token)
 	resp, err := r.http.Do(httpReq)
 	if err != nil {
-		return result{end: EndNoResponse, duration: time.Since(started)}
+		return result{outcome: OutcomeNoResponse, duration: time.Since(started)}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, resp.Body)
-		end := router.Outcome(resp.Header.Get(api.HeaderEnd))
+		end := router.Outcome(resp.Header.Get(api.HeaderOutcome))
 		if end == router.OutcomeNone {
-			end = EndBroken
+			end = OutcomeBroken
 		}
-		return result{end: end, duration: time.Since(started)}
+		return result{outcome: end, duration: time.Since(started)}
 	}
 	return readStream(resp.Body, started)
 }
 
 // readStream measures the times between the events of a stream and determines its outcome.
 func readStream(body io.Reader, started time.Time) result {
-	res := result{end: EndTruncated}
+	res := result{outcome: OutcomeTruncated}
 	last := started
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		line := lines.Text()
 		switch {
-		case res.end == router.OutcomeComplete && line != "":
-			res.end = EndExtraEvents
+		case res.outcome == router.OutcomeComplete && line != "":
+			res.outcome = OutcomeExtraEvents
 		case strings.HasPrefix(line, "event: error"):
-			res.end = EndBroken
+			res.outcome = OutcomeBroken
 			return res
 		case line == "data: [DONE]":
-			res.end = router.OutcomeComplete
+			res.outcome = router.OutcomeComplete
 		case strings.HasPrefix(line, "data: ") && strings.Contains(line, `"content"`):
 			now := time.Now()
 			if res.firstToken == 0 {
@@ -325,7 +325,7 @@
 		}
 	}
 	if lines.Err() != nil {
-		res.end = EndBroken
+		res.outcome = OutcomeBroken
 	}
 	res.duration = time.Since(started)
 	return res
--- a/measure/config.go
+++ b/measure/config.go
@@ -30,7 +30,7 @@
 type ConfigFigures struct {
 	Changes  int `json:"changes"`
 	Accepted int `json:"accepted"`
-	Refused  int `json:"refused"`
+	Rejected int `json:"refused"`
 	// Late counts accepted changes that were not in force everywhere within
 	// lateAfter.
 	Late int `json:"late"`
@@ -92,7 +92,7 @@
 		f    ConfigFigures
 	}{{"lupinkeel", realFigures}, {"naive", naiveFigures}} {
 		table.Rows = append(table.Rows, []string{
-			r.name, fmt.Sprint(r.f.Changes), fmt.Sprint(r.f.Accepted), fmt.Sprint(r.f.Refused), fmt.Sprint(r.f.Late),
+			r.name, fmt.Sprint(r.f.Changes), fmt.Sprint(r.f.Accepted), fmt.Sprint(r.f.Rejected), fmt.Sprint(r.f.Late),
 			ms(r.f.InForce.P50), ms(r.f.InForce.P99), ms(r.f.InForce.Max), fmt.Sprint(r.f.Reverts),
 			fmt.Sprintf("%.2f", r.f.AppendsPerSecond), fmt.Sprintf("%.0f", r.f.BytesPerSecond),
 		})
@@ -126,7 +126,7 @@
 			figures.Accepted++
 			t.add(n, requested)
 		} else {
-			figures.Refused++
+			figures.Rejected++
 		}
 		if n%10 == 7 {
 			faultErr = firstError(faultErr, s.reappendOld(ctx))
--- a/measure/naive_config.go
+++ b/measure/naive_config.go
@@ -29,14 +29,14 @@
 func reappend(ctx context.Context, addr netip.AddrPort, stream string) error {
 	c := platform.NewClient(addr, addr, dial.Dialer{})
 	entries, err := c.ReadTail(ctx, stream, staleDistance)
-	if errors.Is(err, platform.ErrRefused) || len(entries) == 0 {
+	if errors.Is(err, platform.ErrRejected) || len(entries) == 0 {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	_, err = c.Append(ctx, stream, entries[0].Data)
-	if errors.Is(err, platform.ErrRefused) || errors.Is(err, platform.ErrUnknown) {
+	if errors.Is(err, platform.ErrRejected) || errors.Is(err, platform.ErrUnknown) {
 		return nil
 	}
 	return err
--- a/measure/requests.go
+++ b/measure/requests.go
@@ -100,11 +100,11 @@
 
 func (f RequestFigures) row() []string {
 	r := f.Report
-	whole, notRun := r.Ends[router.OutcomeComplete], r.Ends[router.OutcomeNotRun]
+	whole, notRun := r.Outcomes[router.OutcomeComplete], r.Outcomes[router.OutcomeNotRun]
 	return []string{
 		f.System, fmt.Sprintf("%.1f", f.Factor), fmt.Sprintf("%.0f", f.Offered), fmt.Sprintf("%.0f", r.Goodput),
 		fmt.Sprint(whole), fmt.Sprint(notRun), fmt.Sprint(r.Sent - whole - notRun),
-		ms(r.FirstToken.P50), ms(r.FirstToken.P95), ms(r.FirstToken.P99), ms(r.InterToken.P95), ms(r.Refusal.P99), fmt.Sprintf("%.2f", f.PrefixHits),
+		ms(r.FirstToken.P50), ms(r.FirstToken.P95), ms(r.FirstToken.P99), ms(r.InterToken.P95), ms(r.Rejection.P99), fmt.Sprintf("%.2f", f.PrefixHits),
 	}
 }
 
--- a/standin/log.go
+++ b/standin/log.go
@@ -36,7 +36,7 @@
 // LogCounts holds the log's traffic counters since its start.
 type LogCounts struct {
 	Appends     int   `json:"appends"`
-	Refused     int   `json:"refused"`
+	Rejected    int   `json:"refused"`
 	Reads       int   `json:"reads"`
 	AppendBytes int64 `json:"append_bytes"`
 	ReadBytes   int64 `json:"read_bytes"`
@@ -124,7 +124,7 @@
 		return appendResult{status: http.StatusServiceUnavailable}
 	}
 	if !l.takeAppendToken(time.Now()) {
-		l.counts.Refused++
+		l.counts.Rejected++
 		return appendResult{status: http.StatusTooManyRequests}
 	}
 	s := l.stream(name)
--- a/worker/platform/checkpoint.go
+++ b/worker/platform/checkpoint.go
@@ -35,7 +35,7 @@
 			return nil, err
 		}
 		if len(answer.Entries) == 0 {
-			return nil, trace.Wrap(fmt.Errorf("%w: the log ended early at %d of %d", ErrRefused, next, tail.Next))
+			return nil, trace.Wrap(fmt.Errorf("%w: the log ended early at %d of %d", ErrRejected, next, tail.Next))
 		}
 		entries = append(entries, answer.Entries...)
 		next = entries[len(entries)-1].Offset + 1
--- a/worker/platform/client.go
+++ b/worker/platform/client.go
@@ -20,7 +20,7 @@
 // Errors of calls to the platform.
 var (
 	// ErrRefused: the platform reported that it did not carry out the call.
-	ErrRefused = errors.New("the platform refused")
+	ErrRejected = errors.New("the platform refused")
 	// ErrUnknown: the platform's response was lost; the call may have taken effect.
 	ErrUnknown = errors.New("no answer from the platform")
 	// ErrExpired: the log no longer holds the offset.
@@ -62,7 +62,7 @@
 	defer resp.Body.Close()
 	switch {
 	case resp.StatusCode == http.StatusTooManyRequests, resp.StatusCode == http.StatusServiceUnavailable:
-		return 0, trace.Wrap(fmt.Errorf("%w: append: %s", ErrRefused, resp.Status))
+		return 0, trace.Wrap(fmt.Errorf("%w: append: %s", ErrRejected, resp.Status))
 	case resp.StatusCode != http.StatusOK:
 		return 0, trace.Wrap(fmt.Errorf("%w: append: %s", ErrUnknown, resp.Status))
 	}
@@ -111,7 +111,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusGone {
-		return resp.StatusCode, trace.Wrap(fmt.Errorf("%w: %s", ErrRefused, resp.Status))
+		return resp.StatusCode, trace.Wrap(fmt.Errorf("%w: %s", ErrRejected, resp.Status))
 	}
 	return resp.StatusCode, trace.Wrap(decodeJSON(resp.Body, out))
 }
--- a/worker/types/grouporders.go
+++ b/worker/types/grouporders.go
@@ -16,7 +16,7 @@
 	// GroupOpen lets the head of a group accept requests.
 	GroupOpen GroupOrderKind = "open"
 	// GroupCut stops the head immediately; GroupFinish stops it once its requests have ended.
-	GroupStop    GroupOrderKind = "cut"
+	GroupStop  GroupOrderKind = "cut"
 	GroupDrain GroupOrderKind = "finish"
 	// GroupLeave removes the instance from its group.
 	GroupLeave GroupOrderKind = "leave"
@@ -31,8 +31,8 @@
 	// Born is the start time of the instance that the order is meant for; zero if unknown. An
 	// instance that restarts under the same ID has another start time, and the outcome of the
 	// order says nothing about it.
-	Born  time.Time
-	Group models.GroupKey
+	StartedAt time.Time
+	Group     models.GroupKey
 	// Fence increases with every order. An instance rejects an order whose fence is older than
 	// one it has seen.
 	Fence int64
