--- a/api/callers.go
+++ b/api/callers.go
@@ -20,10 +20,10 @@
 	HeaderPriority = "Lupinkeel-Priority"
 	// HeaderTimeout is how long the caller waits, such as "30s".
 	HeaderTimeout = "Lupinkeel-Timeout"
-	// HeaderRepeatable is true or false: whether the request may safely run twice.
+	// HeaderIdempotent is true or false: whether the request may safely run twice.
 	HeaderIdempotent = "Lupinkeel-Repeatable"
-	// HeaderKey identifies a request that must run at most once, regardless of how often and to
-	// which daemons it is sent.
+	// HeaderIdempotencyKey identifies a request that must run at most once, regardless of how often
+	// and to which daemons it is sent.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
--- a/api/errors.go
+++ b/api/errors.go
@@ -24,7 +24,7 @@
 	HeaderDomain    = "Lupinkeel-Domain"
 	HeaderVersion   = "Lupinkeel-Version"
 	HeaderDaemon    = "Lupinkeel-Daemon"
-	// HeaderEnd is not-run or may-have-run on an error response.
+	// HeaderOutcome is not-run or may-have-run on an error response.
 	HeaderOutcome = "Lupinkeel-End"
 )
 
--- a/api/exchange.go
+++ b/api/exchange.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// recordEnd records the end of the request on the trail.
+// recordOutcome records the outcome of the request on the trail.
 func (e *exchange) recordOutcome(end router.Outcome, err error) {
 	e.entry.Outcome, e.entry.Attempts, e.entry.Elapsed = string(end), e.req.Attempts(), time.Since(e.started)
 	if err != nil {
--- a/api/operators.go
+++ b/api/operators.go
@@ -36,7 +36,7 @@
 	// InForce is on how many of the Of daemons of the roster the change is in force.
 	InForce int `json:"in_force"`
 	Of      int `json:"of"`
-	// RetryAfterMS is when to retry a refused change, in milliseconds; 0 if a retry would not
+	// RetryAfterMS is when to retry a rejected change, in milliseconds; 0 if a retry would not
 	// help.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
@@ -48,14 +48,14 @@
 const (
 	// ChangeAccepted: the change is in force on a majority of the daemons and will never revert.
 	ChangeAccepted ChangeOutcome = "accepted"
-	// ChangeRecorded: the change is agreed, but not yet known to be in force on a majority of the
+	// ChangeRecorded: the change is committed, but not yet known to be in force on a majority of the
 	// daemons.
 	ChangeRecorded ChangeOutcome = "recorded"
-	// ChangeRefused: the change did not and will not take effect.
+	// ChangeRejected: the change did not and will not take effect.
 	ChangeRejected ChangeOutcome = "refused"
 	// ChangeUnknown: the change may take effect; the command "show audit" tells whether it did.
 	ChangeUnknown ChangeOutcome = "unknown"
-	// ChangeWouldRefuse: the previewed change would be refused now.
+	// ChangeWouldBeRejected: the previewed change would be rejected now.
 	ChangeWouldBeRejected ChangeOutcome = "would-be-refused"
 	// ChangePlanned: the previewed change would be accepted now.
 	ChangePlanned ChangeOutcome = "planned"
@@ -341,7 +341,7 @@
 	}
 }
 
-// refusalReason returns why a change was refused; for a conflict it names the change that came
+// rejectionReason returns why a change was rejected; for a conflict it names the change that came
 // first.
 func (cr commandRunner) rejectionReason(ctx context.Context, outcome state.Outcome) string {
 	reason := outcome.Rejection.Error()
--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -55,7 +55,7 @@
 	ReceivedAt time.Time
 	// Backoff is the backoff that the instance asks of the daemon that it answered, 0 for none.
 	Backoff time.Duration
-	// Leaving tells that the instance is about to leave.
+	// Leaving reports that the instance is about to leave.
 	Leaving bool
 }
 
@@ -82,7 +82,7 @@
 	// probesInFlight counts the probes in flight, probesSucceeded those that succeeded since the
 	// backoff, rejections those that were rejected in a row.
 	probesInFlight, probesSucceeded, rejections int
-	// endUnreported tells that Prune has not returned the end of the backoff yet, reportRequested
+	// endUnreported is set if Prune has not returned the end of the backoff yet, reportRequested
 	// that the instance was asked for a report during the backoff.
 	endUnreported, reportRequested bool
 	// broadcastUntil is the latest end of a backoff that other daemons know of, broadcastBackoff
@@ -108,11 +108,11 @@
 
 // Change is what a signal changed.
 type Change struct {
-	// Started tells that a backoff began, Extended that it was extended.
+	// Started reports that a backoff began, Extended that it was extended.
 	Started, Extended bool
-	// Leaving tells that the instance is newly known to leave.
+	// Leaving reports that the instance is newly known to leave.
 	Leaving bool
-	// Broadcast tells that the signal is to be broadcast.
+	// Broadcast reports that the signal is to be broadcast.
 	Broadcast bool
 }
 
--- a/breaker/property_test.go
+++ b/breaker/property_test.go
@@ -80,7 +80,7 @@
 }
 
 // TestSignalOrderIndependence checks that the end of a backoff, apart from its jitter, and a
-// leaving notice do not depend on the order in which the signals were received.
+// leaving signal do not depend on the order in which the signals were received.
 func TestSignalOrderIndependence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var signals []Signal
--- a/cluster/breakers.go
+++ b/cluster/breakers.go
@@ -13,8 +13,8 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Breakers holds the circuit breakers of instances. They follow the signals in the answers that any
-// daemon receives: requests to back off (Rest) and notices that the instance leaves. It is safe for
+// Breakers holds the circuit breakers of instances. They follow the signals in the responses that
+// any daemon receives: requests to back off and notices that the instance leaves. It is safe for
 // concurrent use.
 type Breakers struct {
 	log              zerolog.Logger
@@ -44,19 +44,19 @@
 	return b
 }
 
-// Heard records a signal from an answer that this daemon received.
+// Observe records a signal from a response that this daemon received.
 func (b *Breakers) Observe(s breaker.Signal) {
 	if b.Record(s, "") {
 		b.onChange()
 	}
 }
 
-// HeardHead records the signals in the head of an answer that this daemon received.
+// ObserveHead records the signals in the head of a response that this daemon received.
 func (b *Breakers) ObserveHead(id models.InstanceID, startedAt time.Time, head models.ResponseHead) {
 	b.Observe(breaker.Signal{Instance: id, StartedAt: startedAt, ReceivedAt: time.Now(), Backoff: head.Backoff, Leaving: head.Leaving})
 }
 
-// Note records a signal that the daemon from received, this one if from is empty. It logs the
+// Record records a signal that the daemon from received, this one if from is empty. It logs the
 // change and reports whether there is a change to send to other daemons.
 func (b *Breakers) Record(s breaker.Signal, from breaker.Source) bool {
 	if s.IsEmpty() {
@@ -190,7 +190,7 @@
 type SignalUpdate struct {
 	Instance  models.InstanceID `msgpack:"i"`
 	StartedAt time.Time         `msgpack:"b,omitempty"`
-	// Age is the time since the answer with the signal was received.
+	// Age is the time since the response with the signal was received.
 	Age     time.Duration `msgpack:"a"`
 	Backoff time.Duration `msgpack:"r,omitempty"`
 	Leaving bool          `msgpack:"l,omitempty"`
@@ -239,7 +239,7 @@
 // Breakers returns the circuit breakers of instances.
 func (n *Node) Breakers() *Breakers { return n.breakers }
 
-// applyLeavingSignals marks instances as leaving that signaled it in answers. Their entries may
+// applyLeavingSignals marks instances as leaving that signaled it in responses. Their entries may
 // show it later, never, or may contradict it.
 func (o *owner) applyLeavingSignals(now time.Time) {
 	for _, signal := range o.n.breakers.leavingInstances() {
--- a/cluster/config.go
+++ b/cluster/config.go
@@ -21,7 +21,7 @@
 
 // configFetchDelay is how long a peer must have had a newer configuration before a daemon that
 // reads the store itself asks the peer for it; usually the store answers first. A daemon that uses
-// a relay asks at once, and reads the store if it has no answer within this time.
+// a relay asks at once, and reads the store if it has no response within this time.
 const configFetchDelay = 500 * time.Millisecond
 
 // applyConfig puts a configuration in force. If data is nil or the configuration in force, it
--- a/cluster/config_watch.go
+++ b/cluster/config_watch.go
@@ -16,7 +16,7 @@
 // has a newer version or no confirmation arrives.
 
 const (
-	// configHoldTime is how long the store holds a long poll for the configuration. Each answer
+	// configHoldTime is how long the store holds a long poll for the configuration. Each response
 	// confirms that the configuration in force is the newest, so it must stay well below the time
 	// within which revoked keys must be refused.
 	configHoldTime = 1200 * time.Millisecond
--- a/cluster/entries_progress_test.go
+++ b/cluster/entries_progress_test.go
@@ -51,7 +51,7 @@
 //	hold DAEMON               updates to the daemon are delayed until release
 //	release DAEMON
 //	wait DURATION
-//	signal DAEMON ID          an instance's answer to the daemon has a leaving signal
+//	signal DAEMON ID          an instance's response to the daemon has a leaving signal
 //	forward DAEMON OTHER      the daemon sends its signals to another one
 //	heartbeat DAEMON OTHER    the daemon sends a heartbeat to another one
 //	tick DAEMON               the daemon runs its periodic checks
--- a/cluster/fleet.go
+++ b/cluster/fleet.go
@@ -70,7 +70,7 @@
 // knownInstance is an upstream instance, with the ages of what is known of it.
 type knownInstance struct {
 	models.UpstreamInstance
-	// bornKnownAt is when the entry or report was requested that contained Born.
+	// incarnationKnownAt is when the entry or report was requested that contained StartedAt.
 	incarnationKnownAt time.Time
 	// stateAt is when the newest entry or report was requested.
 	stateAt time.Time
@@ -78,7 +78,7 @@
 	entrySeenAt time.Time
 	// lostSince is since when the instance has not answered; zero while it does.
 	lostSince time.Time
-	// probeFailedAt is when the first of the failed probes since the last answer failed.
+	// probeFailedAt is when the first of the failed probes since the last response failed.
 	probeFailedAt time.Time
 	// unlisted is set if the entry is gone but the instance is a member of a serving group.
 	unlisted bool
--- a/cluster/follow.go
+++ b/cluster/follow.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// responseSlack is added to the time that the store may hold a call, for the answer to arrive.
+	// responseSlack is added to the time that the store may hold a call, for the response to arrive.
 	responseSlack = 1500 * time.Millisecond
 	// minRetryBackoff is the pause after a failed read. It doubles up to maxRetryBackoff, or up to
 	// maxRelayedRetryBackoff for daemons that use a relay, so as not to overload a store that is
@@ -53,8 +53,8 @@
 	return n.store.Read(ctx, topic, from, wait)
 }
 
-// readResult is an answer of the store. Together with earlier answers it contains all records up to
-// end, and the store held no others at requestedAt, unless more is set.
+// readResult is a response of the store. Together with earlier responses it contains all records up
+// to end, and the store held no others at requestedAt, unless more is set.
 type readResult struct {
 	records     []platform.KeyedRecord
 	end         models.Position
--- a/cluster/incarnations.go
+++ b/cluster/incarnations.go
@@ -10,13 +10,13 @@
 
 // An instance may restart under the same ID. The new incarnation has no state of the earlier one,
 // so instance state and orders belong to one incarnation. An incarnation is identified by its start
-// time (Born), which comes from the instance's own clock:
+// time (StartedAt), which comes from the instance's own clock:
 //
-//   - An entry or update with an earlier Born never replaces one with a later Born: a restored store
-//     may return old entries, and updates may be late.
-//   - The answer to a probe that was sent after the latest Born became known is always from the
-//     current incarnation. If its Born is earlier, the instance's clock was set back.
-//   - Entries and updates without Born, which older versions send, are attributed to the known
+//   - An entry or update with an earlier StartedAt never replaces one with a later one: a restored
+//     store may return old entries, and updates may be late.
+//   - The response to a probe that was sent after the latest StartedAt became known is always from
+//     the current incarnation. If its StartedAt is earlier, the instance's clock was set back.
+//   - Entries and updates without StartedAt, which older versions send, are attributed to the known
 //     incarnation.
 
 // observeIncarnation begins a new incarnation of the instance if an entry or update, as of a time,
@@ -33,7 +33,7 @@
 	return true
 }
 
-// observeReportedIncarnation is observeIncarnation for the instance's own answer to a probe.
+// observeReportedIncarnation is observeIncarnation for the instance's own response to a probe.
 func (o *owner) observeReportedIncarnation(k *knownInstance, startedAt, requestedAt time.Time) bool {
 	if k.CompareIncarnation(startedAt) == models.EarlierIncarnation && requestedAt.After(k.incarnationKnownAt) {
 		o.beginIncarnation(k, startedAt, requestedAt)
@@ -42,7 +42,7 @@
 	return o.observeIncarnation(k, startedAt, requestedAt)
 }
 
-// learnBorn sets Born if it was not known.
+// learnStartTime sets StartedAt if it was not known.
 func (o *owner) learnStartTime(k *knownInstance, startedAt, at time.Time) {
 	if k.StartedAt.IsZero() && !startedAt.IsZero() {
 		k.StartedAt, k.incarnationKnownAt = startedAt, at
--- a/cluster/incarnations_test.go
+++ b/cluster/incarnations_test.go
@@ -15,7 +15,7 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// TestInstanceIncarnations runs the lines of testdata/lives.txt:
+// TestInstanceIncarnations runs the lines of testdata/incarnations.txt:
 //
 //	reset                     starts over with a new daemon
 //	plan TERM                 the daemon becomes planner
@@ -28,14 +28,14 @@
 //	expect ID FIELDS          checks the known state of the instance
 //	serving N                 checks the number of serving groups
 //	due ID BOOL               checks whether the instance has been probed
-//	unproven ID BOOL          checks whether the planner still has to probe the instance
+//	unverified ID BOOL        checks whether the planner still has to probe the instance
 //	services NAME             the configuration names this service only
 //
 // FIELDS are service=NAME, born=SECOND, group=NAME, rank=N, state=STATE, asked=DURATION (from now)
 // and outcome=OUTCOME.
 func TestInstanceIncarnations(t *testing.T) {
 	c := qt.New(t)
-	f, err := os.Open("testdata/lives.txt")
+	f, err := os.Open("testdata/incarnations.txt")
 	c.Assert(err, qt.IsNil)
 	defer f.Close()
 	s := &incarnationScript{c: c, o: newTestOwner(t), reset: func() *owner { return newTestOwner(t) }}
@@ -43,7 +43,7 @@
 	for n := 1; lines.Scan(); n++ {
 		line, _, _ := strings.Cut(lines.Text(), "#")
 		if words := strings.Fields(line); len(words) > 0 {
-			s.line = fmt.Sprintf("lives.txt:%d: %s", n, line)
+			s.line = fmt.Sprintf("incarnations.txt:%d: %s", n, line)
 			s.run(words)
 		}
 	}
@@ -117,7 +117,7 @@
 		return
 	}
 	f := s.parse(words[1:2])
-	if words[0] != "due" && words[0] != "unproven" {
+	if words[0] != "due" && words[0] != "unverified" {
 		f = s.parse(words[1:])
 	}
 	id := f.instance.ID
@@ -146,8 +146,8 @@
 	case "due":
 		k := s.o.fleet.instances[id]
 		s.c.Assert(fmt.Sprint(!k.probedAt.IsZero()), qt.Equals, words[2], comment)
-	case "unproven":
-		s.c.Assert(fmt.Sprint(s.o.fleet.unconfirmed(s.o.fleet.instances[id])), qt.Equals, words[2], comment)
+	case "unverified":
+		s.c.Assert(fmt.Sprint(s.o.fleet.unverified(s.o.fleet.instances[id])), qt.Equals, words[2], comment)
 	default:
 		s.c.Fatalf("%s: no such command", s.line)
 	}
--- a/cluster/lease.go
+++ b/cluster/lease.go
@@ -46,8 +46,8 @@
 			if err := h.acquire(ctx); err != nil {
 				return err
 			}
-			// The time for the answer is part of the interval; otherwise the lease could expire
-			// after a slow answer.
+			// The time for the response is part of the interval; otherwise the lease could expire
+			// after a slow response.
 			wait = n.cfg.LeaseMin/renewalsPerLease - time.Since(requestedAt)
 		} else {
 			h.release(ctx)
@@ -106,7 +106,7 @@
 
 // postHeld posts a new term to the owner. The owner reads renewals from Node.lease: with 3,000
 // instances 256 messages were queued for the owner, and the message of a renewal, as well as the
-// one after it, came up only after the lease had expired.
+// one after it, started only after the lease had expired.
 func (h *leaseHolder) postHeld(ctx context.Context, l leaseHeld) {
 	h.n.lease.Store(&l)
 	if h.postedTerm != l.term {
--- a/cluster/limits.go
+++ b/cluster/limits.go
@@ -12,8 +12,8 @@
 	"github.com/lupinkeel/lupinkeel/ratelimit"
 )
 
-// Limits holds the rate limits, in requests per second, that instances named in answers to any
-// daemon. It is safe for concurrent use.
+// Limits holds the rate limits, in requests per second, that instances announced in responses to
+// any daemon. It is safe for concurrent use.
 type Limits struct {
 	self models.DaemonID
 	// began is when the daemon started.
@@ -41,7 +41,7 @@
 	return l
 }
 
-// Heard records the limit in an answer that this daemon received.
+// Observe records the limit in a response that this daemon received.
 func (l *Limits) Observe(s ratelimit.Observation) {
 	if s.Rate == models.NoRateLimit && !l.Any() {
 		return
@@ -53,7 +53,7 @@
 	}
 }
 
-// Any reports whether any limit is known. If not, no answer or instance needs to be looked up.
+// Any reports whether any limit is known. If not, no response or instance needs to be looked up.
 func (l *Limits) Any() bool { return l.nonEmpty.Load() }
 
 // Rate returns the requests per second that an instance may get from all daemons together.
@@ -110,11 +110,11 @@
 	Instance  models.InstanceID `msgpack:"i"`
 	StartedAt time.Time         `msgpack:"b,omitempty"`
 	Rate      float64           `msgpack:"r"`
-	// RequestAge is the time since the request was sent, AnswerAge the time since the head of its
+	// RequestAge is the time since the request was sent, ResponseAge the time since the head of its
 	// answer arrived.
 	RequestAge  time.Duration `msgpack:"q"`
 	ResponseAge time.Duration `msgpack:"h"`
-	// Observer is the daemon that received the answer. Seq increases with each of its observations.
+	// Observer is the daemon that received the response. Seq increases with each of its observations.
 	Observer models.DaemonID `msgpack:"d"`
 	Seq      int64           `msgpack:"n"`
 }
--- a/cluster/messages.go
+++ b/cluster/messages.go
@@ -68,7 +68,7 @@
 		outcome    types.OrderOutcome
 		err        error
 		finishedAt time.Time
-		// took is the time until the answer or the failure.
+		// took is the time until the response or the failure.
 		took time.Duration
 	}
 	// probeFinished: a probe of an instance was answered, timed out or failed.
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -31,7 +31,7 @@
 	Peer netip.AddrPort
 	// Store is the address of the platform's store.
 	Store netip.AddrPort
-	// Power is the number of processor cores that the process may use, usually a fraction of one.
+	// CPUCores is the number of processor cores that the process may use, usually a fraction of one.
 	CPUCores float64
 	// LeaseMin is the shortest lease that the store grants.
 	LeaseMin time.Duration
@@ -49,7 +49,7 @@
 	LoadsSince(seen uint64) (map[models.InstanceID]Load, uint64)
 	// Changed receives a value after loads have changed.
 	Changed() <-chan struct{}
-	// Work returns the demand for each model, in group-seconds per second: how many replica groups
+	// Demand returns the demand for each model, in group-seconds per second: how many replica groups
 	// its requests would keep fully busy.
 	Demand() map[models.ModelName]float64
 }
@@ -57,7 +57,7 @@
 const (
 	// inboxLen is the number of messages that can queue for the owner.
 	inboxLen = 256
-	// orderTimeout bounds the wait for an instance's answer to an order. Instances in the same
+	// orderTimeout bounds the wait for an instance's response to an order. Instances in the same
 	// region answer within some milliseconds.
 	orderTimeout = 500 * time.Millisecond
 	// stalledProbeTimeout bounds a probe of an instance whose group is stalled, probeTimeout any
@@ -195,7 +195,7 @@
 	}
 	n.conns = h1.NewPool(dialTimeout, nil)
 	n.store = platform.NewStore(cfg.Store, n.conns)
-	n.instances = platform.NewInstanceClient(n.conns, n.recordAnswerHead)
+	n.instances = platform.NewInstanceClient(n.conns, n.recordResponseHead)
 	n.links = newLinks(n)
 	n.quarantine = NewQuarantine(n.links.notifyAll, set, log)
 	n.limits = NewLimits(cfg.ID, n.notifyLimits, set, log)
@@ -225,7 +225,7 @@
 	}
 }
 
-// StandAside makes the node give up the planner's lease and not run for it again. It is called
+// Resign makes the node give up the planner's lease and not run for it again. It is called
 // before the process stops, while the node can still announce the end of its term, so that another
 // daemon takes over at once.
 func (n *Node) Resign() { n.resigned.Store(true) }
@@ -298,9 +298,9 @@
 	})
 }
 
-// recordAnswerHead records the backoff and leaving signals in an instance's answer to an order or a
-// probe.
-func (n *Node) recordAnswerHead(id models.InstanceID, head models.ResponseHead) {
+// recordResponseHead records the backoff and leaving signals in an instance's response to an order
+// or a probe.
+func (n *Node) recordResponseHead(id models.InstanceID, head models.ResponseHead) {
 	n.breakers.ObserveHead(id, n.View().All[id].StartedAt, head)
 }
 
--- a/cluster/permits.go
+++ b/cluster/permits.go
@@ -29,7 +29,7 @@
 	granterBackoff = 300 * time.Millisecond
 )
 
-// Errors of AskPermit.
+// Errors of RequestPermit.
 var (
 	// ErrNoGranter: no granter is known for the zone.
 	ErrNoGranter = errors.New("no daemon grants permits for this availability zone")
@@ -40,9 +40,9 @@
 // permitRequest asks for a permit for instances of a zone; permitReply answers it.
 type (
 	permitRequest struct {
-		Seq  uint64                  `msgpack:"n"`
-		Zone models.Zone             `msgpack:"z"`
-		Ask  ratelimit.PermitRequest `msgpack:"a"`
+		Seq     uint64                  `msgpack:"n"`
+		Zone    models.Zone             `msgpack:"z"`
+		Request ratelimit.PermitRequest `msgpack:"a"`
 	}
 	permitReply struct {
 		Seq   uint64          `msgpack:"n"`
@@ -103,9 +103,9 @@
 	return task.Wait(readers...)
 }
 
-// AskPermit asks for a permit to send a request to one of several instances of a zone.
-func (n *Node) RequestPermit(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
-	grant, err := n.permits.request(ctx, zone, ask)
+// RequestPermit requests a permit to send a request to one of several instances of a zone.
+func (n *Node) RequestPermit(ctx context.Context, zone models.Zone, req ratelimit.PermitRequest) (ratelimit.Grant, error) {
+	grant, err := n.permits.request(ctx, zone, req)
 	switch {
 	case err != nil:
 		n.permits.unanswered.Inc()
@@ -130,14 +130,14 @@
 	}
 }
 
-func (p *permits) request(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
+func (p *permits) request(ctx context.Context, zone models.Zone, req ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	v := p.n.View()
 	if v.Topology == nil {
 		return ratelimit.Grant{}, ErrNoGranter
 	}
 	id := v.Topology.Granter(zone)
 	if id == p.n.cfg.ID {
-		return p.grant(zone, ask), nil
+		return p.grant(zone, req), nil
 	}
 	addr, known := v.granters[id]
 	if !known {
@@ -145,11 +145,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	return p.conn(id, addr).request(ctx, zone, ask)
+	return p.conn(id, addr).request(ctx, zone, req)
 }
 
 // grant grants a permit if this daemon's share of the instances' rates allows it.
-func (p *permits) grant(zone models.Zone, ask ratelimit.PermitRequest) ratelimit.Grant {
+func (p *permits) grant(zone models.Zone, req ratelimit.PermitRequest) ratelimit.Grant {
 	v, now := p.n.View(), time.Now()
 	share := 0.0
 	if v.Topology != nil {
@@ -164,7 +164,7 @@
 	}
 	p.buckets.Lock()
 	defer p.buckets.Unlock()
-	grant := p.granter.Decide(ask, rate, now)
+	grant := p.granter.Decide(req, rate, now)
 	if share < 1 {
 		// Heartbeats that give this daemon the remaining share may be in flight.
 		for n := range grant.Waits {
@@ -207,13 +207,13 @@
 }
 
 // request sends a request and waits for the reply.
-func (c *granterConn) request(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
-	answer, err := c.send(ctx, zone, ask)
+func (c *granterConn) request(ctx context.Context, zone models.Zone, req ratelimit.PermitRequest) (ratelimit.Grant, error) {
+	reply, err := c.send(ctx, zone, req)
 	if err != nil {
 		return ratelimit.Grant{}, errors.Join(ErrGranterUnavailable, err)
 	}
 	select {
-	case grant, ok := <-answer:
+	case grant, ok := <-reply:
 		if ok {
 			return grant, nil
 		}
@@ -228,7 +228,7 @@
 
 // send sends a request, after connecting if there is no connection. The channel receives the reply,
 // or is closed if there is none.
-func (c *granterConn) send(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (<-chan ratelimit.Grant, error) {
+func (c *granterConn) send(ctx context.Context, zone models.Zone, req ratelimit.PermitRequest) (<-chan ratelimit.Grant, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if time.Now().Before(c.backoffUntil) {
@@ -241,13 +241,13 @@
 		}
 	}
 	c.seq++
-	answer := make(chan ratelimit.Grant, 1)
-	c.pending[c.seq] = answer
-	if err := c.conn.send(framePermitRequest, permitRequest{Seq: c.seq, Zone: zone, Ask: ask}); err != nil {
+	reply := make(chan ratelimit.Grant, 1)
+	c.pending[c.seq] = reply
+	if err := c.conn.send(framePermitRequest, permitRequest{Seq: c.seq, Zone: zone, Request: req}); err != nil {
 		c.dropConn(c.conn)
 		return nil, err
 	}
-	return answer, nil
+	return reply, nil
 }
 
 // connect opens the connection. The caller must hold the lock.
@@ -337,5 +337,5 @@
 	if err := frame.Decode(body, &ask); err != nil {
 		return err
 	}
-	return conn.send(framePermitReply, permitReply{Seq: ask.Seq, Grant: p.grant(ask.Zone, ask.Ask)})
+	return conn.send(framePermitReply, permitReply{Seq: ask.Seq, Grant: p.grant(ask.Zone, ask.Request)})
 }
--- a/cluster/planner_calls_test.go
+++ b/cluster/planner_calls_test.go
@@ -40,7 +40,7 @@
 		o.sendOrders()
 		took := 5 * time.Millisecond
 		for n := range 1000 {
-			// The more calls queue for the processor, the later answers arrive.
+			// The more calls queue for the processor, the later responses arrive.
 			took = time.Duration(5+3*o.fleet.ordersInFlight) * time.Millisecond
 			o.handleOrderResult(orderFinished{order: types.GroupOrder{Instance: models.InstanceID(fmt.Sprint("i", n))}, outcome: types.OrderDone, finishedAt: time.Now(), took: took})
 		}
--- a/cluster/planning.go
+++ b/cluster/planning.go
@@ -92,8 +92,8 @@
 	f.lastPlan.took = time.Since(started)
 }
 
-// leaseExpired reports whether another daemon may have become planner. Time in which the machine was
-// suspended counts: a planner that resumes would send orders in parallel to its successor.
+// leaseExpired reports whether another daemon may have become planner. Time in which the machine
+// was suspended counts: a planner that resumes would send orders in parallel to its successor.
 func (o *owner) leaseExpired(now time.Time) bool {
 	// The lease may have been renewed during the last round, which can take long.
 	if l := o.n.lease.Load(); l != nil && l.term == o.fleet.heldTerm {
@@ -174,7 +174,7 @@
 			continue
 		}
 		overdueEntry := !storeDown && now.Sub(i.entrySeenAt) > overdue && now.Sub(i.stateAt) > overdue
-		if overdueEntry || o.fleet.unconfirmed(i) {
+		if overdueEntry || o.fleet.unverified(i) {
 			o.probe(i, now, probeTimeout)
 		}
 	}
@@ -201,7 +201,7 @@
 		if i.unlisted {
 			w.Unlisted[id] = true
 		}
-		if o.fleet.unconfirmed(i) {
+		if o.fleet.unverified(i) {
 			w.Unverified[id] = true
 		}
 	}
@@ -211,9 +211,9 @@
 // firstTerm is the term of the first planner in a new store.
 const firstTerm = 1
 
-// unconfirmed reports whether the instance's state is older than this term. In the first term
+// unverified reports whether the instance's state is older than this term. In the first term
 // entries are current, because no planner has sent orders before.
-func (f *fleetState) unconfirmed(i *knownInstance) bool {
+func (f *fleetState) unverified(i *knownInstance) bool {
 	return f.heldTerm != firstTerm && !i.stateAt.After(f.termBegan)
 }
 
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -26,7 +26,7 @@
 
 	mu   sync.Mutex
 	list quarantine.List
-	// refused are the requests that must not be sent, as last logged.
+	// quarantined are the requests that must not be sent, as last logged.
 	quarantined map[quarantine.Digest]quarantine.Status
 }
 
@@ -44,7 +44,7 @@
 	return q
 }
 
-// Crashed records that an instance crashed with requests of this daemon in flight.
+// RecordCrash records that an instance crashed with requests of this daemon in flight.
 func (q *Quarantine) RecordCrash(c quarantine.Crash) {
 	if q.record(c, "") {
 		q.onChange()
@@ -61,7 +61,7 @@
 	return added
 }
 
-// EndedWell clears a request of suspicion because an instance answered it.
+// Clear clears a request of suspicion because an instance answered it.
 func (q *Quarantine) Clear(d quarantine.Digest) {
 	now := time.Now()
 	q.mu.Lock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// Standing returns how far a request is suspected of crashing instances.
+// Status returns how far a request is suspected of crashing instances.
 func (q *Quarantine) Status(d quarantine.Digest) quarantine.Status {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -87,21 +87,21 @@
 	return q.list.HasCrashed(i)
 }
 
-// Refused returns the requests that must not be sent.
+// Quarantined returns the requests that must not be sent.
 func (q *Quarantine) Quarantined() map[quarantine.Digest]quarantine.Status {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return maps.Clone(q.quarantined)
 }
 
-// Place returns to which of a number of places a request on trial is sent.
+// IsolationIndex returns to which of n groups or instances an isolated request is sent.
 func (q *Quarantine) IsolationIndex(d quarantine.Digest, n int) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.list.IsolationIndex(d, n)
 }
 
-// Holds reports whether any crash is known. If not, requests need no digest.
+// Any reports whether any crash is known. If not, requests need no digest.
 func (q *Quarantine) Any() bool { return q.nonEmpty.Load() }
 
 // Prune drops expired crashes.
@@ -116,7 +116,7 @@
 	q.refresh(now)
 }
 
-// refresh logs which requests are newly refused or released, and queues the rewrite of their
+// refresh logs which requests are newly quarantined or released, and queues the rewrite of their
 // records if this daemon found any of the crashes. The caller must hold the lock.
 func (q *Quarantine) refresh(now time.Time) {
 	q.nonEmpty.Store(!q.list.Empty())
--- a/cluster/quarantine_store.go
+++ b/cluster/quarantine_store.go
@@ -12,11 +12,11 @@
 	"github.com/lupinkeel/lupinkeel/quarantine"
 )
 
-// Refused requests are also kept in the store, each under its digest. After a power failure of all
-// daemons nothing else has them, and each such request would crash three more instances. Requests
-// that are only suspected are not stored.
+// Quarantined requests are also kept in the store, each under its digest. After a power failure of
+// all daemons nothing else has them, and each such request would crash three more instances.
+// Requests that are only suspected are not stored.
 
-// quarantineTopic is the store's topic of refused requests.
+// quarantineTopic is the store's topic of quarantined requests.
 const quarantineTopic = "quarantine"
 
 // writeQueueLen is how many records can queue to be written.
@@ -50,7 +50,7 @@
 	}
 }
 
-// encodeRecord returns a request's record, empty if the request is not refused.
+// encodeRecord returns a request's record, empty if the request is not quarantined.
 func (q *Quarantine) encodeRecord(d quarantine.Digest) ([]byte, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -92,8 +92,8 @@
 // errBadDigestKey: the key of a record is no digest.
 var errBadDigestKey = errors.New("the key is no digest of a request")
 
-// syncQuarantine reads the refused requests, unless a relay sends them, and then writes the changes
-// that this daemon finds.
+// syncQuarantine reads the quarantined requests, unless a relay sends them, and then writes the
+// changes that this daemon finds.
 func (n *Node) syncQuarantine(ctx context.Context) error {
 	if err := n.awaitRoster(ctx); err != nil {
 		return err
--- a/cluster/reports.go
+++ b/cluster/reports.go
@@ -21,7 +21,7 @@
 	k, known := o.fleet.instances[m.instance.ID]
 	switch {
 	case !known || m.sentAt.Before(k.stateAt):
-		// A newer state is known: answers on different connections may arrive out of order.
+		// A newer state is known: responses on different connections may arrive out of order.
 	case m.err != nil && m.sentAt.Before(k.incarnationKnownAt) && k.CompareIncarnation(m.instance.StartedAt) != models.SameIncarnation:
 		// The probe was for an earlier incarnation.
 	case m.err != nil:
--- a/cluster/reports_test.go
+++ b/cluster/reports_test.go
@@ -10,10 +10,10 @@
 	"github.com/lupinkeel/lupinkeel/platform"
 )
 
-// TestOutOfOrderReports checks that the answer to an earlier probe does not revert a later one, nor
-// does an entry while this node is planner. With slow instances, a member of an open group was once
-// taken for free and joined to another group; answers out of order are the only cause found in the
-// code.
+// TestOutOfOrderReports checks that the response to an earlier probe does not revert a later one,
+// nor does an entry while this node is planner. With slow instances, a member of an open group was
+// once taken for free and joined to another group; responses out of order are the only cause found
+// in the code.
 func TestOutOfOrderReports(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
--- a/cluster/restored.go
+++ b/cluster/restored.go
@@ -13,8 +13,8 @@
 // Each restore begins a new era. The state of daemons outlasts it:
 //
 //   - The configuration in force is newer than the restored one, and stays in force.
-//   - An instance that the restored store lacks is kept until it has had time to write its entry again.
-//     One that has left is not used again although the restored store lists it.
+//   - An instance that the restored store lacks is kept until it has had time to write its entry
+//     again. One that has left is not used again although the restored store lists it.
 //   - Each daemon registers in the roster again.
 //   - The planner begins a new term, since the store may assign its term to another daemon.
 
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -11,7 +11,7 @@
 // View is an immutable snapshot of a node's state.
 type View struct {
 	Routing *models.Routing
-	// Proven is the time as of which Routing was last confirmed to be the newest.
+	// ConfirmedAt is the time as of which Routing was last confirmed to be the newest.
 	ConfirmedAt time.Time
 	// Groups are the replica groups that accept requests, by model.
 	Groups map[models.ModelName][]Group
@@ -26,9 +26,10 @@
 	// Planner is set if this node is the planner.
 	Planner bool
 	// All are all instances, as of the last time that one was added, removed or began to leave. It
-	// is valid for fields that do not change in an instance's life, such as address and service.
+	// is valid for fields that do not change in an instance's incarnation, such as address and
+	// service.
 	All map[models.InstanceID]models.UpstreamInstance
-	// Arranged is the topology: the daemons to which this node sends, and what.
+	// Topology is the topology of the peers: the daemons to which this node sends, and what.
 	Topology *membership.Topology
 
 	// config is the encoded routing as the store holds it.
@@ -67,8 +68,8 @@
 // mesh reports whether each daemon sends to every other one directly, without relays.
 func (v *View) mesh() bool { return v.Topology == nil || v.Topology.IsMesh }
 
-// Sharers returns the number of daemons that choose groups by the same load totals, including this
-// one.
+// LoadSharers returns the number of daemons that choose groups by the same load totals, including
+// this one.
 func (v *View) LoadSharers() int {
 	if v.mesh() {
 		return 1
--- a/cluster/wire.go
+++ b/cluster/wire.go
@@ -34,7 +34,7 @@
 	// that does not know it yet can connect.
 	Addr string      `msgpack:"ad,omitempty"`
 	Zone models.Zone `msgpack:"z,omitempty"`
-	// Power is the number of processor cores that the daemon may use.
+	// CPUCores is the number of processor cores that the daemon may use.
 	CPUCores float64 `msgpack:"p,omitempty"`
 	// AcceptsCompressed is set if the daemon reads compressed frames.
 	AcceptsCompressed bool `msgpack:"up,omitempty"`
@@ -113,7 +113,7 @@
 	Zone        models.Zone `msgpack:"z"`
 	Addr        string      `msgpack:"a"`
 	Incarnation int64       `msgpack:"i"`
-	// Power is the number of processor cores that the daemon may use.
+	// CPUCores is the number of processor cores that the daemon may use.
 	CPUCores float64 `msgpack:"p"`
 	// AcceptsCompressed is set if the daemon reads compressed frames.
 	AcceptsCompressed bool `msgpack:"up,omitempty"`
@@ -133,8 +133,8 @@
 
 // Load is the load of one or several daemons on an instance.
 type Load struct {
-	// Requests is the number of requests in flight, Unread the number of prompt tokens of requests
-	// that have no answer yet.
+	// Requests is the number of requests in flight, PrefillTokens the number of prompt tokens of
+	// requests that have no response yet.
 	Requests      int `msgpack:"r,omitempty"`
 	PrefillTokens int `msgpack:"u,omitempty"`
 }
@@ -173,9 +173,9 @@
 	TermEnded bool `msgpack:"e,omitempty"`
 	// Crashes are instances that crashed with requests in flight.
 	Crashes []CrashUpdate `msgpack:"cr,omitempty"`
-	// Limits are rate limits that instances named in answers.
+	// Limits are rate limits that instances announced in responses.
 	Limits []LimitUpdate `msgpack:"lm,omitempty"`
-	// Signals are backoff and leaving signals from instances' answers.
+	// Signals are backoff and leaving signals from instances' responses.
 	Signals []SignalUpdate `msgpack:"sg,omitempty"`
 }
 
--- a/commands/load.go
+++ b/commands/load.go
@@ -32,7 +32,7 @@
 	}
 	opts := load.Options{
 		Targets: settings.Targets, Model: settings.Model, Rate: settings.Rate, Duration: settings.Duration,
-		Prompt: settings.PromptBytes, Answer: settings.OutputTokens, Prefixes: settings.Prefixes,
+		Prompt: settings.PromptBytes, OutputTokens: settings.OutputTokens, Prefixes: settings.Prefixes,
 		Timeout: settings.Timeout, Seed: uint64(settings.Seed),
 	}
 	for _, token := range settings.Tokens {
--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -268,7 +268,7 @@
 	var res result
 	ts.Check(retryFor(awaitTimeout, func() error {
 		res = r.send(context.Background(), d.callers)
-		if !neg && res.end == endNotRun && strings.Contains(res.detail, `"code":"overloaded"`) {
+		if !neg && res.outcome == outcomeNotRun && strings.Contains(res.detail, `"code":"overloaded"`) {
 			// A daemon under load may refuse a request for lack of capacity; a caller retries then.
 			return fmt.Errorf("%s is overloaded: %s", args[0], res.detail)
 		}
@@ -276,7 +276,7 @@
 	}))
 	fmt.Fprintf(ts.Stdout(), "%+v\n", res)
 	testSiteOf(ts).lastRequest = res.request
-	if (res.end == endWhole) == neg {
+	if (res.outcome == outcomeComplete) == neg {
 		ts.Fatalf("chat %s %s: %+v", args[0], args[1], res)
 	}
 }
@@ -301,7 +301,7 @@
 		}()
 	}
 	for range n {
-		if res := <-results; res.end != endWhole {
+		if res := <-results; res.outcome != outcomeComplete {
 			ts.Fatalf("chats %s: %+v", args[1], res)
 		}
 	}
@@ -327,7 +327,7 @@
 	for range n {
 		results = append(results, <-ends)
 	}
-	if whole := countEnds(results)[endWhole]; whole != 1 {
+	if whole := countOutcomes(results)[outcomeComplete]; whole != 1 {
 		ts.Fatalf("%d of %d got a complete response", whole, n)
 	}
 	ts.Check(checkKeys(results, runCounts(site.runs())))
@@ -438,7 +438,7 @@
 
 func cmdBackgroundChatEnd(ts *testscript.TestScript, _ bool, args []string) {
 	requireArgs(ts, args, 1, "bgchatend NAME")
-	if res := <-testSiteOf(ts).backgroundChats[args[0]]; res.end != endWhole {
+	if res := <-testSiteOf(ts).backgroundChats[args[0]]; res.outcome != outcomeComplete {
 		ts.Fatalf("%s: %+v", args[0], res)
 	}
 }
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -22,21 +22,21 @@
 
 func keysOf[K comparable, V any](m map[K]V) iter.Seq[K] { return maps.Keys(m) }
 
-// end is the outcome of a request as its caller sees it.
-type end string
+// outcome is the outcome of a request as its caller sees it.
+type outcome string
 
 const (
-	endWhole end = "whole"
-	// endNotRun and endMayHaveRun are reported by the daemon.
-	endNotRun     end = "not-run"
-	endMayHaveRun end = "may-have-run"
-	// endBroken: the connection was aborted, or the stream ended in an error event.
-	endBroken end = "broken"
-	// endNoResponse: the daemon itself did not respond.
-	endNoResponse end = "silent"
-	// endWrong violates the protocol: a truncated response without an error, or the response to
+	outcomeComplete outcome = "whole"
+	// outcomeNotRun and outcomeMayHaveRun are reported by the daemon.
+	outcomeNotRun     outcome = "not-run"
+	outcomeMayHaveRun outcome = "may-have-run"
+	// outcomeBroken: the connection was aborted, or the stream ended in an error event.
+	outcomeBroken outcome = "broken"
+	// outcomeNoResponse: the daemon itself did not respond.
+	outcomeNoResponse outcome = "silent"
+	// outcomeWrong violates the protocol: a truncated response without an error, or the response to
 	// another request.
-	endWrong end = "wrong"
+	outcomeWrong outcome = "wrong"
 )
 
 // chatRequest is one chat completion request.
@@ -51,7 +51,7 @@
 }
 
 type result struct {
-	end     end
+	outcome outcome
 	key     string
 	request string
 	status  int
@@ -81,26 +81,26 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return result{end: endNoResponse, key: c.key, detail: err.Error()}
+		return result{outcome: outcomeNoResponse, key: c.key, detail: err.Error()}
 	}
 	defer resp.Body.Close()
 	res := result{status: resp.StatusCode, key: c.key, request: resp.Header.Get(api.HeaderRequest)}
 	switch {
 	case resp.StatusCode != http.StatusOK:
 		text, _ := io.ReadAll(resp.Body)
-		res.end, res.detail = end(resp.Header.Get(api.HeaderOutcome)), string(text)
+		res.outcome, res.detail = outcome(resp.Header.Get(api.HeaderOutcome)), string(text)
 	case c.stream:
-		res.end, res.detail = c.readStream(resp.Body)
+		res.outcome, res.detail = c.readStream(resp.Body)
 	default:
-		res.end, res.detail = c.readCompletion(resp.Body)
+		res.outcome, res.detail = c.readCompletion(resp.Body)
 	}
 	return res
 }
 
-func (c chatRequest) readCompletion(body io.Reader) (end, string) {
+func (c chatRequest) readCompletion(body io.Reader) (outcome, string) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		return endBroken, err.Error()
+		return outcomeBroken, err.Error()
 	}
 	var answer struct {
 		Choices []struct {
@@ -108,29 +108,29 @@
 		} `json:"choices"`
 	}
 	if err := json.Unmarshal(data, &answer); err != nil || len(answer.Choices) != 1 {
-		return endWrong, string(data)
+		return outcomeWrong, string(data)
 	}
 	if got := answer.Choices[0].Message.Content; got != c.want() {
-		return endWrong, fmt.Sprintf("got %q, want %q", got, c.want())
+		return outcomeWrong, fmt.Sprintf("got %q, want %q", got, c.want())
 	}
-	return endWhole, ""
+	return outcomeComplete, ""
 }
 
-func (c chatRequest) readStream(body io.Reader) (end, string) {
+func (c chatRequest) readStream(body io.Reader) (outcome, string) {
 	var text strings.Builder
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		switch {
 		case strings.HasPrefix(lines.Text(), "event: error"):
-			return endBroken, "error event"
+			return outcomeBroken, "error event"
 		case !ok:
 			continue
 		case data == "[DONE]":
 			if text.String() != c.want() {
-				return endWrong, fmt.Sprintf("stream gave %q, want %q", text.String(), c.want())
+				return outcomeWrong, fmt.Sprintf("stream gave %q, want %q", text.String(), c.want())
 			}
-			return endWhole, ""
+			return outcomeComplete, ""
 		}
 		var chunk struct {
 			Choices []struct {
@@ -138,17 +138,17 @@
 			} `json:"choices"`
 		}
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil || len(chunk.Choices) != 1 {
-			return endWrong, data
+			return outcomeWrong, data
 		}
 		text.WriteString(chunk.Choices[0].Delta.Content)
 		if !strings.HasPrefix(c.want(), text.String()) {
-			return endWrong, fmt.Sprintf("stream gave %q, want %q", text.String(), c.want())
+			return outcomeWrong, fmt.Sprintf("stream gave %q, want %q", text.String(), c.want())
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return endBroken, err.Error()
+		return outcomeBroken, err.Error()
 	}
-	return endWrong, "the stream ended cleanly without its end mark"
+	return outcomeWrong, "the stream ended cleanly without its end mark"
 }
 
 // loadGenerator sends requests through all daemons until it is stopped.
@@ -217,13 +217,13 @@
 	errs := []error{checkKeys(l.results, ran)}
 	for _, r := range l.results {
 		switch {
-		case r.end == endWrong:
+		case r.outcome == outcomeWrong:
 			errs = append(errs, fmt.Errorf("request %s: %s", r.request, r.detail))
-		case r.end == endNotRun && ran[r.request] > 0:
+		case r.outcome == outcomeNotRun && ran[r.request] > 0:
 			errs = append(errs, fmt.Errorf("request %s was reported as not run, but ran %d times", r.request, ran[r.request]))
 		}
 	}
-	return fmt.Sprintf("requests %d: %v", len(l.results), countEnds(l.results)), errors.Join(errs...)
+	return fmt.Sprintf("requests %d: %v", len(l.results), countOutcomes(l.results)), errors.Join(errs...)
 }
 
 func runCounts(runs []standin.RunReport) map[string]int {
@@ -234,10 +234,10 @@
 	return ran
 }
 
-func countEnds(results []result) map[end]int {
-	counts := map[end]int{}
+func countOutcomes(results []result) map[outcome]int {
+	counts := map[outcome]int{}
 	for _, r := range results {
-		counts[r.end]++
+		counts[r.outcome]++
 	}
 	return counts
 }
--- a/fleet/planner_test.go
+++ b/fleet/planner_test.go
@@ -38,9 +38,9 @@
 	qt.Assert(t, last < NewPlanner(2, time.Now()).nextFence(), qt.IsTrue)
 }
 
-// TestUnverifiedInstances checks that a planner forms no group of instances whose state may be stale.
-// Instances that were cut off from the store had joined a group of the previous planner that the
-// new planner did not know of, and were assigned to a second group.
+// TestUnverifiedInstances checks that a planner forms no group of instances whose state may be
+// stale. Instances that were cut off from the store had joined a group of the previous planner that
+// the new planner did not know of, and were assigned to a second group.
 func TestUnverifiedInstances(t *testing.T) {
 	w := Snapshot{Now: time.Now(), Profile: testProfile(), Instances: map[models.InstanceID]models.UpstreamInstance{}, Unverified: map[models.InstanceID]bool{}}
 	for _, id := range []models.InstanceID{"i-1", "i-2", "i-3", "i-4"} {
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -26,12 +26,12 @@
 	s.received = nil
 }
 
-// signal records a backoff or leaving notice of an instance at the gateway.
+// signal records a backoff or leaving signal of an instance at the gateway.
 func (s *limitFixture) signal(id models.InstanceID, backoff time.Duration, leaving bool) {
 	s.node.breakers.Observe(breaker.Signal{Instance: id, StartedAt: s.node.view.All[id].StartedAt, ReceivedAt: time.Now(), Backoff: backoff, Leaving: leaving})
 }
 
-// TestSignalAppliesToNextRequest checks that a backoff or a leaving notice in a response applies
+// TestSignalAppliesToNextRequest checks that a backoff or a leaving signal in a response applies
 // from the next request on, whatever the status of the response.
 func TestSignalAppliesToNextRequest(t *testing.T) {
 	for _, test := range []struct {
@@ -133,8 +133,8 @@
 	s.c.Assert(s.received, qt.HasLen, 0)
 }
 
-// TestIsolatedRequestAvoidsBackingOffInstance checks that an isolated request, which has an instance
-// of its own, is sent to the other one while that instance backs off.
+// TestIsolatedRequestAvoidsBackingOffInstance checks that an isolated request, which has an
+// instance of its own, is sent to the other one while that instance backs off.
 func TestIsolatedRequestAvoidsBackingOffInstance(t *testing.T) {
 	s := newLimitFixture(t)
 	d := quarantine.Request{Workspace: "ws", Method: http.MethodPost, Host: "api.example", Target: "/again/x", Body: []byte("body")}.Digest()
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -66,7 +66,7 @@
 	requests map[quarantine.Digest]struct{}
 	// evidence is empty until there is some.
 	evidence evidence
-	// probed is closed after the first probe. probeEnded tells that no further probe follows.
+	// probed is closed after the first probe. probeEnded is set if no further probe follows.
 	probed     chan struct{}
 	probeEnded bool
 }
@@ -111,7 +111,7 @@
 // one.
 func (c *disconnect) isAlive() bool { return c.probeEnded && c.evidence == "" }
 
-// report tells all daemons which requests a crashed instance was running. The detector must be
+// report informs all daemons of which requests a crashed instance was running. The detector must be
 // locked.
 func (cd *crashDetector) report(c *disconnect, requests ...quarantine.Digest) {
 	crash := quarantine.Crash{Instance: c.instance.ID, StartedAt: c.instance.StartedAt, At: c.at, Requests: map[quarantine.Digest]bool{}}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -27,10 +27,10 @@
 	deadline time.Time
 	// tried are the instances that the request was sent to.
 	tried []models.InstanceID
-	// mayHaveRun tells that an instance may have run the request, which then must not be
+	// mayHaveRun is set if an instance may have run the request, which then must not be
 	// rejected with a status that promises the opposite.
 	mayHaveRun bool
-	// headSent tells that the head of the response was sent to the caller.
+	// headSent is set once the head of the response was sent to the caller.
 	headSent bool
 	// instance is where the request was sent last, group its group if it is a stream.
 	instance models.UpstreamInstance
@@ -47,7 +47,7 @@
 	available availability
 	// digest returns the hash of the request's content. It is safe for concurrent use.
 	digest func() quarantine.Digest
-	// digestUsed tells that the digest was computed.
+	// digestUsed is set once the digest was computed.
 	digestUsed atomic.Bool
 	// probed is closed once it is known whether the instance that last disconnected during the
 	// request has crashed; nil if none disconnected.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -58,9 +58,9 @@
 	Quarantine() *cluster.Quarantine
 	// Limits tracks the rate limits that instances announce.
 	Limits() *cluster.Limits
-	// Breakers tracks the backoffs and leaving notices that instances send in responses.
+	// Breakers tracks the backoffs and leaving signals that instances send in responses.
 	Breakers() *cluster.Breakers
-	// AskPermit asks for a permit to send a request to one of several rate-limited instances of a
+	// RequestPermit requests a permit to send a request to one of several rate-limited instances of a
 	// zone.
 	RequestPermit(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error)
 	Clock() *timer.Service
--- a/gateway/permit_test.go
+++ b/gateway/permit_test.go
@@ -114,8 +114,9 @@
 	s.c.Assert(s.received[len(s.received)-1], qt.Equals, "p1")
 }
 
-// TestAllLimitedRejectsImmediately checks that a request is rejected without a send if all instances
-// have rate limits and no permit comes in time. Retry-After follows the wait, with a jitter.
+// TestAllLimitedRejectsImmediately checks that a request is rejected without a send if all
+// instances have rate limits and no permit comes in time. Retry-After follows the wait, with a
+// jitter.
 func TestAllLimitedRejectsImmediately(t *testing.T) {
 	s := newLimitFixture(t)
 	s.setLimit("p1")
--- a/gateway/scheduler.go
+++ b/gateway/scheduler.go
@@ -89,7 +89,7 @@
 // Changed yields after loads have changed.
 func (s *scheduler) Changed() <-chan struct{} { return s.changed }
 
-// Work returns the demand for each model, in seconds of a replica group per second.
+// Demand returns the demand for each model, in seconds of a replica group per second.
 func (s *scheduler) Demand() map[models.ModelName]float64 {
 	now := time.Now()
 	s.mu.Lock()
--- a/gateway/script_test.go
+++ b/gateway/script_test.go
@@ -67,7 +67,7 @@
 	// peerRequests holds how many requests other daemons have at instances.
 	peerRequests map[models.InstanceID]int
 	quarantine   *cluster.Quarantine
-	// limits are empty if nil; permit answers AskPermit.
+	// limits are empty if nil; permit answers RequestPermit.
 	limits *cluster.Limits
 	// breakers are closed if nil.
 	breakers *cluster.Breakers
@@ -114,7 +114,7 @@
 	return cluster.NewBreakers(func() {}, metrics.NewSet(), zerolog.Nop())
 }
 
-// AskPermit calls the test's permit function; without one there is no granter.
+// RequestPermit calls the test's permit function; without one there is no granter.
 func (f *fakeNode) RequestPermit(_ context.Context, _ models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	if f.permit == nil {
 		return ratelimit.Grant{}, cluster.ErrNoGranter
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -56,7 +56,7 @@
 		Method: e.r.Method, Target: e.r.RequestURI, Host: e.r.Host, Header: platform.ForwardHeader(e.r.Header, a), Body: e.body,
 		MaxIdleAge: maxIdle, StallPolicy: readTimeout,
 		BeforeSend: func() error { return e.checkAdmission(i, p) },
-		Matches:  func(h http.Header) bool { return platform.DecodeResponse(0, h).ID == e.head.ID },
+		Matches:    func(h http.Header) bool { return platform.DecodeResponse(0, h).ID == e.head.ID },
 	})
 	if err != nil && ctx.Err() == nil && !errors.Is(err, h1.ErrStalled) && !errors.Is(err, errNotAdmitted) {
 		e.g.scheduler.addFailure(i)
@@ -81,7 +81,7 @@
 	return nil, breaker.Rejected, fmt.Errorf("%w: status %d, at fault %q", errNotRun, resp.Status, head.FaultyInstance)
 }
 
-// recordSignals records the backoff, leaving notice and rate limit in the head of a response.
+// recordSignals records the backoff, leaving signal and rate limit in the head of a response.
 func (e *exchange) recordSignals(i models.UpstreamInstance, head models.ResponseHead, status int, sentAt time.Time) {
 	for _, header := range head.InvalidHeaders {
 		e.g.log.Warn().Str("instance", string(i.ID)).Str("request", string(e.head.ID)).Str("header", header).Msg("answer-unreadable")
--- a/lib/frame/compress.go
+++ b/lib/frame/compress.go
@@ -32,7 +32,7 @@
 	flateReaders = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
 )
 
-// Packed returns the frame compressed, for peers that can read compressed frames, or the frame
+// Compressed returns the frame compressed, for peers that can read compressed frames, or the frame
 // itself if compression does not make it shorter.
 func (f Frame) Compressed() Frame {
 	body := f.Bytes[headerLen:]
--- a/lib/h1/body.go
+++ b/lib/h1/body.go
@@ -41,13 +41,13 @@
 	return n, err
 }
 
-// SetPatience replaces the Patience of the request.
+// SetStallPolicy replaces the StallPolicy of the request.
 func (b *Body) SetStallPolicy(p StallPolicy) { b.c.stallPolicy = p }
 
 // Buffered returns the number of bytes that have been received but not read.
 func (b *Body) Buffered() int { return b.c.br.Buffered() }
 
-// Discard closes the connection, which tells the upstream to stop.
+// Abort closes the connection, which tells the upstream to stop.
 func (b *Body) Abort() {
 	if b.closed {
 		return
--- a/lib/h1/conn.go
+++ b/lib/h1/conn.go
@@ -18,11 +18,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Patience returns how much longer to wait for bytes, given how long none have arrived; 0 aborts
+// StallPolicy returns how much longer to wait for bytes, given how long none have arrived; 0 aborts
 // the request. Each wait starts with a silence of 0.
 type StallPolicy func(silence time.Duration) time.Duration
 
-// ErrStalled is returned by reads that a Patience aborted.
+// ErrStalled is returned by reads that a StallPolicy aborted.
 var ErrStalled = errors.New("the response stalled")
 
 type conn struct {
@@ -34,7 +34,7 @@
 	idleSince   time.Time
 	idleTimeout time.Duration
 	closed      atomic.Bool
-	// stallPolicy is the Patience of the current request.
+	// stallPolicy is the StallPolicy of the current request.
 	stallPolicy StallPolicy
 	// meter counts the connection's bytes; it may be nil.
 	meter Meter
--- a/lib/h1/pool.go
+++ b/lib/h1/pool.go
@@ -20,7 +20,7 @@
 var (
 	// ErrNotSent: no byte of the request was written.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrNoAnswer: the request was written at least in part, and no response header was received.
+	// ErrNoResponse: the request was written at least in part, and no response header was received.
 	// It may have run.
 	ErrNoResponse = errors.New("no response to the request")
 )
@@ -47,7 +47,7 @@
 	mu   sync.Mutex
 	idle map[netip.AddrPort][]*conn
 	// maxIdle is the maximum number of idle connections to each address; nil before the first
-	// Allow.
+	// SetMaxIdle.
 	maxIdle map[netip.AddrPort]int
 }
 
@@ -97,7 +97,7 @@
 	defer p.mu.Unlock()
 	limit, known := p.maxIdle[c.addr]
 	if !known {
-		// The address may be newer than the last Allow.
+		// The address may be newer than the last SetMaxIdle.
 		limit = MaxIdle
 	}
 	if len(p.idle[c.addr]) >= limit {
@@ -107,7 +107,7 @@
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// Allow sets the maximum number of idle connections to each address; the next Sweep closes the
+// SetMaxIdle sets the maximum number of idle connections to each address; the next Sweep closes the
 // connections to other addresses. The maximum is MaxIdle before the first call, and for addresses
 // that became known after the last call.
 func (p *Pool) SetMaxIdle(maxIdle map[netip.AddrPort]int) {
--- a/lib/h1/pool_test.go
+++ b/lib/h1/pool_test.go
@@ -50,7 +50,7 @@
 	c.Assert(open(), qt.HasLen, 0)
 }
 
-// TestReadyError checks that a request whose Ready function returns an error is not sent, and
+// TestReadyError checks that a request whose BeforeSend function returns an error is not sent, and
 // that the error wraps ErrNotSent.
 func TestReadyError(t *testing.T) {
 	c := qt.New(t)
--- a/lib/h1/request.go
+++ b/lib/h1/request.go
@@ -15,16 +15,16 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Freshest is the maximum time for which a reused connection may have been idle; 0 requires a
+	// MaxIdleAge is the maximum time for which a reused connection may have been idle; 0 requires a
 	// new connection.
 	MaxIdleAge time.Duration
-	// Mine, if set, reports whether a response header belongs to this request. A response to
+	// Matches, if set, reports whether a response header belongs to this request. A response to
 	// another request is read to its end and discarded.
 	Matches func(http.Header) bool
-	// Ready, if set, is called once there is a connection. If it returns an error the request is
+	// BeforeSend, if set, is called once there is a connection. If it returns an error the request is
 	// not sent.
 	BeforeSend func() error
-	// Patience, if set, decides how long to wait for the next bytes of the response, given how
+	// StallPolicy, if set, decides how long to wait for the next bytes of the response, given how
 	// long none have arrived; 0 aborts the request.
 	StallPolicy StallPolicy
 }
--- a/lib/inflight/inflight.go
+++ b/lib/inflight/inflight.go
@@ -35,10 +35,10 @@
 	return &Limit{minCalls: minCalls, maxCalls: maxCalls, maxDelay: maxDelay, current: minCalls}
 }
 
-// Most returns how many calls may be in flight.
+// Max returns how many calls may be in flight.
 func (l *Limit) Max() int { return l.current }
 
-// Note records how long a call took. The limit is adjusted once per as many calls as it allows,
+// Observe records how long a call took. The limit is adjusted once per as many calls as it allows,
 // and by their median, because some instances are slow for reasons of their own.
 func (l *Limit) Observe(took time.Duration) {
 	if l.fastest == 0 || took < l.fastest {
--- a/lib/latency/latency.go
+++ b/lib/latency/latency.go
@@ -12,8 +12,8 @@
 	significantDigits = 3
 )
 
-// Times is a histogram of durations with three significant digits. It is not safe for concurrent
-// use.
+// Histogram is a histogram of durations with three significant digits. It is not safe for
+// concurrent use.
 type Histogram struct{ histogram *hdrhistogram.Histogram }
 
 // New returns an empty histogram.
--- a/lib/logfmt/bounded.go
+++ b/lib/logfmt/bounded.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Bounded is an asynchronous writer: it queues lines for a writer that may block, so that logging
+// Async is an asynchronous writer: it queues lines for a writer that may block, so that logging
 // never blocks. It drops lines when the queue is full and logs how many were dropped.
 type Async struct {
 	out     io.Writer
@@ -17,7 +17,7 @@
 	dropped atomic.Int64
 }
 
-// NewBounded returns a writer with a queue of queueLen lines.
+// NewAsync returns a writer with a queue of queueLen lines.
 func NewAsync(out io.Writer, queueLen int) *Async {
 	return &Async{out: out, lines: make(chan []byte, queueLen)}
 }
--- a/lib/sse/reader.go
+++ b/lib/sse/reader.go
@@ -14,7 +14,7 @@
 
 // Errors of Next.
 var (
-	// ErrCut: the stream ended within an event.
+	// ErrTruncated: the stream ended within an event.
 	ErrTruncated = errors.New("the stream ended within an event")
 	// ErrTooLong: an event is longer than MaxEvent.
 	ErrTooLong = errors.New("event too long")
--- a/load/load.go
+++ b/load/load.go
@@ -40,10 +40,10 @@
 	// Rate is the number of requests a second.
 	Rate     float64
 	Duration time.Duration
-	// Prompt and Answer are the mean lengths of prompts in bytes and of completions in tokens; the
-	// length of a single request is between half and one and a half times the mean.
-	Prompt int
-	Answer int
+	// Prompt and OutputTokens are the mean lengths of prompts in bytes and of completions in tokens;
+	// the length of a single request is between half and one and a half times the mean.
+	Prompt       int
+	OutputTokens int
 	// Prefixes is how many different shared prefixes the prompts have; a prefix is three quarters
 	// of the mean prompt length. 0 means that prompts share no prefix.
 	Prefixes int
@@ -54,15 +54,15 @@
 	HeaderFor func(netip.AddrPort) http.Header
 }
 
-// The outcomes of a request as its caller sees them, in addition to those of router.End.
+// The outcomes of a request as its caller sees them, in addition to those of router.Outcome.
 const (
-	// EndBroken: the stream was aborted, or ended in an error event.
+	// OutcomeBroken: the stream was aborted, or ended in an error event.
 	OutcomeBroken router.Outcome = "broken"
-	// EndShort: the stream ended cleanly without its end mark.
+	// OutcomeTruncated: the stream ended cleanly without its end mark.
 	OutcomeTruncated router.Outcome = "short"
-	// EndDoubled: more events followed the end mark.
+	// OutcomeExtraEvents: more events followed the end mark.
 	OutcomeExtraEvents router.Outcome = "doubled"
-	// EndSilent: there was no response at all.
+	// OutcomeNoResponse: there was no response at all.
 	OutcomeNoResponse router.Outcome = "silent"
 )
 
@@ -130,7 +130,7 @@
 		return fmt.Errorf("%w: no token", ErrOptions)
 	case o.Rate <= 0 || o.Duration <= 0:
 		return fmt.Errorf("%w: rate and duration must be more than 0", ErrOptions)
-	case o.Prompt <= 0 || o.Answer <= 0:
+	case o.Prompt <= 0 || o.OutputTokens <= 0:
 		return fmt.Errorf("%w: prompt and answer must be more than 0", ErrOptions)
 	}
 	for _, t := range o.Targets {
@@ -219,7 +219,7 @@
 		prompt += strings.Repeat("x", missing)
 	}
 	body, err := json.Marshal(map[string]any{
-		"model": r.opts.Model, "stream": true, "max_tokens": vary(r.opts.Answer),
+		"model": r.opts.Model, "stream": true, "max_tokens": vary(r.opts.OutputTokens),
 		"messages": []map[string]string{{"role": "user", "content": prompt}},
 	})
 	if err != nil {
--- a/measure/requests.go
+++ b/measure/requests.go
@@ -47,7 +47,7 @@
 	requestGap     = 4 * time.Millisecond
 	requestPrefill = 60 * time.Millisecond
 	promptBytes    = 2000
-	answerTokens   = 25
+	outputTokens   = 25
 	sharedPrefixes = 12
 	cachedPrefixes = 48
 	requestDaemons = 3
@@ -65,7 +65,7 @@
 // capacity estimates how many requests a second the engines can complete.
 func capacity() float64 {
 	prompt := uncachedFraction * requestPrefill.Seconds() * promptBytes / 1000
-	each := prompt + answerTokens*measuredTokenGap.Seconds()
+	each := prompt + outputTokens*measuredTokenGap.Seconds()
 	return requestDomains * requestSlots / each
 }
 
@@ -117,7 +117,7 @@
 	f := RequestFigures{System: system, Factor: factor, Offered: factor * capacity()}
 	opts := load.Options{
 		Callers: []load.Caller{{Token: site.CallerToken, Weight: 1}}, Model: "brief", Rate: f.Offered, Duration: window,
-		Prompt: promptBytes, Answer: answerTokens, Prefixes: sharedPrefixes, Timeout: requestTimeout, Seed: traceSeed,
+		Prompt: promptBytes, OutputTokens: outputTokens, Prefixes: sharedPrefixes, Timeout: requestTimeout, Seed: traceSeed,
 	}
 	stop := func() error { return nil }
 	if system == "naive" {
@@ -223,7 +223,7 @@
 	view := s.Nodes[0].Daemon.View()
 	opts := load.Options{
 		Callers: []load.Caller{{Token: site.CallerToken, Weight: 1}}, Model: "brief", Rate: capacity() / 2,
-		Duration: 6 * time.Second, Prompt: 200, Answer: answerTokens, Timeout: requestTimeout, Seed: traceSeed,
+		Duration: 6 * time.Second, Prompt: 200, OutputTokens: outputTokens, Timeout: requestTimeout, Seed: traceSeed,
 	}
 	var engines []netip.AddrPort
 	for _, g := range view.State.Groups {
--- a/planner/orders.go
+++ b/planner/orders.go
@@ -10,9 +10,9 @@
 	"github.com/lupinkeel/lupinkeel/worker/types"
 )
 
-// OrderRendezvousKey returns the rendezvous hashing key that selects the daemon that gives orders to
-// the instances of a fabric domain. The key is per domain so that one daemon gives all
-// orders to a group.
+// OrderRendezvousKey returns the rendezvous hashing key that selects the daemon that gives orders
+// to the instances of a fabric domain. The key is per domain so that one daemon gives all orders to
+// a group.
 func OrderRendezvousKey(d models.Domain) string { return "orders/" + string(d) }
 
 // Orders returns, by domain, the orders that bring the instances in line with the state and
--- a/planner/rendezvous.go
+++ b/planner/rendezvous.go
@@ -8,10 +8,10 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// RendezvousRank returns how many daemons precede self in the rendezvous hashing order for a key; the
-// daemon with rank 0 acts first. Daemons that know the same set of daemons compute the same
-// order, and it changes little when daemons join or leave. A wrong rank only wastes an
-// append or an order; no invariant depends on it.
+// RendezvousRank returns how many daemons precede self in the rendezvous hashing order for a key;
+// the daemon with rank 0 acts first. Daemons that know the same set of daemons compute the same
+// order, and it changes little when daemons join or leave. A wrong rank only wastes an append or an
+// order; no invariant depends on it.
 func RendezvousRank(self models.DaemonID, others []models.DaemonID, key string) int {
 	own := rendezvousWeight(self, key)
 	rank := 0
--- a/quarantine/list_test.go
+++ b/quarantine/list_test.go
@@ -179,8 +179,8 @@
 // A request that crashes every group it runs on is retried again and again and shares each group
 // with other requests. In addition, one group in a thousand crashes by itself in the time of a
 // request. Requests of a crashed group are sent again: to a random group after one crash, each to a
-// group of its own after two. No harmless request must be rejected, and the crashing request must be
-// found after a few groups.
+// group of its own after two. No harmless request must be rejected, and the crashing request must
+// be found after a few groups.
 func TestHarmlessRequestsAreServed(t *testing.T) {
 	const (
 		simulations = 1000
--- a/soak/crash_test.go
+++ b/soak/crash_test.go
@@ -35,7 +35,7 @@
 )
 
 // TestCrashingRequest guards against a request that crashes every instance that runs it. If each
-// daemon retries the request and then forgets it, a caller that comes back with a new id at another
+// daemon retries the request and then forgets it, a caller that retries with a new id at another
 // daemon crashes one instance after the other (nineteen in one incident). Other callers' requests
 // on these instances fail with 'unexpected EOF', and requests that other instances could serve are
 // refused with 'too many requests are being repeated'.
--- a/soak/limit_test.go
+++ b/soak/limit_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// limitDuration is how long instances advertise a limit, propagationTime included.
+	// limitDuration is how long instances announce a limit, propagationTime included.
 	limitDuration = 11 * time.Second
 	// minUsedFraction is the fraction of a limit that must be used if callers send more requests
 	// than the limit allows.
@@ -24,26 +24,26 @@
 	maxAfterLimit = 12
 )
 
-// limitCase is one scenario with instances that advertise limits.
+// limitCase is one scenario with instances that announce limits.
 type limitCase struct {
 	name    string
 	service models.ServiceName
-	// fraction is the fraction of the service's instances that advertise the limit.
+	// fraction is the fraction of the service's instances that announce the limit.
 	fraction float64
 	rate     float64
-	// disturb, if set, changes the limits or injects faults once the limits are advertised.
+	// disturb, if set, changes the limits or injects faults once the limits are announced.
 	disturb func(*site, []*replica.Instance)
-	// limitEnds tells that the limit ends during the test.
+	// limitEnds is set if the limit ends during the test.
 	limitEnds bool
-	// daemonsDisturbed tells that daemons are killed and frozen, so that requests are lost with
+	// daemonsDisturbed is set if daemons are killed and frozen, so that requests are lost with
 	// them.
 	daemonsDisturbed bool
 }
 
 // TestAdvertisedLimitIsKept guards against daemons that ignore the request rate limit that an
-// overloaded instance advertises: such instances received half as many requests again as their
+// overloaded instance announces: such instances received half as many requests again as their
 // limits allowed.
-func TestAdvertisedLimitIsKept(t *testing.T) {
+func TestAnnouncedLimitIsKept(t *testing.T) {
 	bin := binary(t)
 	for _, test := range []limitCase{
 		{name: "half_of_plain", service: "plain", fraction: 0.5, rate: 1.5},
@@ -62,7 +62,7 @@
 	s, c := startLoadedSite(t, bin)
 	limited := s.selectInstances(test.service, test.fraction)
 	for _, i := range limited {
-		i.AdvertiseLimit(test.rate)
+		i.AnnounceLimit(test.rate)
 	}
 	started := time.Now()
 	if test.disturb != nil {
@@ -110,7 +110,7 @@
 func lowerLimits(_ *site, limited []*replica.Instance) {
 	time.Sleep(limitDuration / 2)
 	for _, i := range limited {
-		i.AdvertiseLimit(1.5)
+		i.AnnounceLimit(1.5)
 	}
 }
 
@@ -118,11 +118,11 @@
 func endLimits(_ *site, limited []*replica.Instance) {
 	time.Sleep(limitDuration - 4*time.Second)
 	for _, i := range limited {
-		i.AdvertiseLimit(models.NoRateLimit)
+		i.AnnounceLimit(models.NoRateLimit)
 	}
 }
 
-// disturbDaemonsInTurn kills and freezes one daemon after the other while instances advertise
+// disturbDaemonsInTurn kills and freezes one daemon after the other while instances announce
 // limits.
 func disturbDaemonsInTurn(s *site, _ []*replica.Instance) {
 	time.Sleep(propagationTime)
--- a/soak/signals_test.go
+++ b/soak/signals_test.go
@@ -33,7 +33,7 @@
 	fraction float64
 	shedding replica.Shedding
 	// leaving makes the instances announce that they are leaving; limit, unless it is 0, is a rate
-	// limit that they advertise in addition.
+	// limit that they announce in addition.
 	leaving bool
 	limit   float64
 	// disturb, if set, injects faults that affect the daemons.
@@ -101,7 +101,7 @@
 		i.AnnounceLeaving()
 	}
 	if test.limit > 0 {
-		i.AdvertiseLimit(test.limit)
+		i.AnnounceLimit(test.limit)
 	}
 }
 
--- a/standin/replica/limit.go
+++ b/standin/replica/limit.go
@@ -17,7 +17,7 @@
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitLag is how long a higher limit still counts after a lower one was advertised: responses
+	// limitLag is how long a higher limit still counts after a lower one was announced: responses
 	// with the new limit are still in flight.
 	limitLag = 500 * time.Millisecond
 	// limitStep is the step in which limits are integrated, limitTolerance the rounding error that
@@ -26,24 +26,24 @@
 	limitTolerance = 1e-6
 )
 
-// advertisedLimit is a limit that an instance advertised from a point in time.
-type advertisedLimit struct {
+// announcedLimit is a limit that an instance announced from a point in time.
+type announcedLimit struct {
 	since time.Time
 	rate  float64
 }
 
-// limitHistory holds the limits that an instance advertised, and the arrival times of requests.
+// limitHistory holds the limits that an instance announced, and the arrival times of requests.
 type limitHistory struct {
-	advertised []advertisedLimit
-	arrivals   []time.Time
+	announced []announcedLimit
+	arrivals  []time.Time
 }
 
-// AdvertiseLimit makes the instance advertise in all responses from now on how many requests a
+// AnnounceLimit makes the instance announce in all responses from now on how many requests a
 // second it accepts; models.NoLimit ends that.
-func (i *Instance) AdvertiseLimit(rate float64) {
+func (i *Instance) AnnounceLimit(rate float64) {
 	i.pool.mu.Lock()
 	defer i.pool.mu.Unlock()
-	i.limits.advertised = append(i.limits.advertised, advertisedLimit{time.Now(), rate})
+	i.limits.announced = append(i.limits.announced, announcedLimit{time.Now(), rate})
 }
 
 // recordArrival records the arrival of a request. The pool must be locked.
@@ -61,7 +61,7 @@
 // at returns the limit at a point in time.
 func (r *limitHistory) at(t time.Time) float64 {
 	rate := models.NoRateLimit
-	for _, n := range r.advertised {
+	for _, n := range r.announced {
 		if !n.since.After(t) {
 			rate = n.rate
 		}
@@ -72,7 +72,7 @@
 // highest returns the highest limit within an interval.
 func (r *limitHistory) highest(from, to time.Time) float64 {
 	rate := r.at(from)
-	for _, n := range r.advertised {
+	for _, n := range r.announced {
 		if n.since.After(from) && !n.since.After(to) {
 			rate = max(rate, n.rate)
 		}
@@ -105,17 +105,17 @@
 	Violation string
 }
 
-// CheckLimit compares the received requests with the advertised limits, from the propagation time
-// after the first advertisement until now.
+// CheckLimit compares the received requests with the announced limits, from the propagation time
+// after the first announcement until now.
 func (i *Instance) CheckLimit(propagation time.Duration) LimitReport {
 	i.pool.mu.Lock()
-	history := limitHistory{slices.Clone(i.limits.advertised), slices.Clone(i.limits.arrivals)}
+	history := limitHistory{slices.Clone(i.limits.announced), slices.Clone(i.limits.arrivals)}
 	i.pool.mu.Unlock()
 	report := LimitReport{Instance: i.ID}
-	if len(history.advertised) == 0 {
+	if len(history.announced) == 0 {
 		return report
 	}
-	from, worst := history.advertised[0].since.Add(propagation), limitTolerance
+	from, worst := history.announced[0].since.Add(propagation), limitTolerance
 	report.Allowed, _ = history.allowed(from, time.Now())
 	for n, t := range history.arrivals {
 		windowStart := t.Add(-limitWindow)
@@ -147,7 +147,7 @@
 	i.pool.mu.Lock()
 	defer i.pool.mu.Unlock()
 	count := 0
-	for _, n := range i.limits.advertised {
+	for _, n := range i.limits.announced {
 		for _, t := range i.limits.arrivals {
 			if n.rate == models.NoRateLimit && t.After(n.since) && t.Before(n.since.Add(d)) {
 				count++
--- a/standin/run.go
+++ b/standin/run.go
@@ -115,7 +115,7 @@
 	return fmt.Sprintf("%08x-%d ", h.Sum32(), n)
 }
 
-// Answer is the full completion that every engine generates for the prompt.
+// Completion is the full completion that every engine generates for the prompt.
 func Completion(prompt string, tokens int) string {
 	var b strings.Builder
 	for n := range tokens {
@@ -141,7 +141,7 @@
 	e.writeResponse(w, r, started, chat.Stream, 0)
 }
 
-// startRun starts a run, or returns the reason why the engine refuses.
+// startRun starts a run, or returns the reason why the engine rejects it.
 func (e *Engine) startRun(r *http.Request, chat ChatRequest) (*run, string) {
 	id := r.Header.Get(engine.HeaderRequest)
 	fence, _ := strconv.ParseUint(r.Header.Get(engine.HeaderFence), 10, 64)
--- a/standin/store/groups.go
+++ b/standin/store/groups.go
@@ -72,8 +72,8 @@
 	return writeJSON(w, struct{}{})
 }
 
-// Deal drops all partition assignments of a group, as the platform's store does occasionally.
-// Partitions are reassigned when members join next.
+// DropAssignments drops all partition assignments of a group, as the platform's store does
+// occasionally. Partitions are reassigned when members join next.
 func (s *Store) DropAssignments(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/store/restore.go
+++ b/standin/store/restore.go
@@ -2,13 +2,13 @@
 
 import "maps"
 
-// Copy is a snapshot of a store's content.
+// Snapshot is a copy of a store's content.
 type Snapshot struct {
 	partitions map[string]*partition
 	groups     map[string]*group
 }
 
-// Copy returns a snapshot of the store's content.
+// Snapshot returns a copy of the store's content.
 func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -30,7 +30,7 @@
 type Faults struct {
 	// Busy makes every call fail with status 503.
 	Busy bool
-	// LoseAnswers is the fraction of POST calls that take effect but get no response.
+	// LoseResponses is the fraction of POST calls that take effect but get no response.
 	LoseResponses float64
 	// Delay is added to every call.
 	Delay time.Duration
@@ -52,7 +52,7 @@
 	return &Store{partitions: map[string]*partition{}, groups: map[string]*group{}, now: time.Now}
 }
 
-// Misbehave sets the faults.
+// SetFaults sets the faults.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +73,8 @@
 	return era != strconv.FormatInt(s.era, 10)
 }
 
-// Forget drops all records of a topic, as if they had expired. The newest value of each key stays.
+// ExpireRecords drops all records of a topic, as if they had expired. The newest value of each key
+// stays.
 func (s *Store) ExpireRecords(topic string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/worker/platform/client.go
+++ b/worker/platform/client.go
@@ -19,7 +19,7 @@
 
 // Errors of calls to the platform.
 var (
-	// ErrRefused: the platform reported that it did not carry out the call.
+	// ErrRejected: the platform reported that it did not carry out the call.
 	ErrRejected = errors.New("the platform refused")
 	// ErrUnknown: the platform's response was lost; the call may have taken effect.
 	ErrUnknown = errors.New("no answer from the platform")
@@ -45,7 +45,7 @@
 	return &Client{log: log, list: list, http: &http.Client{Transport: transport}}
 }
 
-// Append appends one record to a stream. It returns ErrRefused if the log did not accept the
+// Append appends one record to a stream. It returns ErrRejected if the log did not accept the
 // record, and ErrUnknown if it may have.
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (models.Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/worker/platform/wire.go
+++ b/worker/platform/wire.go
@@ -17,12 +17,12 @@
 	StreamTrail = "trail"
 )
 
-// AppendAnswer is the log's response to an append.
+// AppendResponse is the log's response to an append.
 type AppendResponse struct {
 	Offset models.Offset `json:"offset"`
 }
 
-// ReadAnswer is the log's response to a read. With status 410 only First is set: older records
+// ReadResponse is the log's response to a read. With status 410 only First is set: older records
 // have expired.
 type ReadResponse struct {
 	First   models.Offset `json:"first"`
@@ -30,7 +30,7 @@
 	Entries []types.Entry `json:"entries,omitempty"`
 }
 
-// ListAnswer is the platform's list of instances.
+// ListResponse is the platform's list of instances.
 type ListResponse struct {
 	Instances []models.Instance `json:"instances"`
 }
--- a/worker/types/grouporders.go
+++ b/worker/types/grouporders.go
@@ -15,7 +15,7 @@
 	GroupJoin GroupOrderKind = "join"
 	// GroupOpen lets the head of a group accept requests.
 	GroupOpen GroupOrderKind = "open"
-	// GroupCut stops the head immediately; GroupFinish stops it once its requests have ended.
+	// GroupStop stops the head immediately; GroupDrain stops it once its requests have ended.
 	GroupStop  GroupOrderKind = "cut"
 	GroupDrain GroupOrderKind = "finish"
 	// GroupLeave removes the instance from its group.
@@ -28,7 +28,7 @@
 type GroupOrder struct {
 	Kind     GroupOrderKind
 	Instance models.InstanceID
-	// Born is the start time of the instance that the order is meant for; zero if unknown. An
+	// StartedAt is the start time of the instance that the order is meant for; zero if unknown. An
 	// instance that restarts under the same ID has another start time, and the outcome of the
 	// order says nothing about it.
 	StartedAt time.Time
@@ -48,11 +48,11 @@
 const (
 	// OrderUnknown: no response; the order may still be carried out.
 	OrderUnknown OrderOutcome = "unknown"
-	// OrderBegun: the instance is carrying out the order.
+	// OrderStarted: the instance is carrying out the order.
 	OrderStarted OrderOutcome = "begun"
 	// OrderDone: the instance is in the ordered state.
 	OrderDone OrderOutcome = "done"
-	// OrderUnfit: the order is not valid in the instance's state.
+	// OrderRejected: the order is not valid in the instance's state.
 	OrderRejected OrderOutcome = "unfit"
 	// OrderFenced: the instance has seen a newer fence or epoch.
 	OrderFenced OrderOutcome = "fenced"
--- a/worker/upstream/upstream.go
+++ b/worker/upstream/upstream.go
@@ -53,7 +53,7 @@
 	NewConn bool
 }
 
-// Answer is the header of a response and its body, which must be closed.
+// Response is the header of a response and its body, which must be closed.
 type Response struct {
 	Status int
 	Header http.Header
