--- a/api/errors.go
+++ b/api/errors.go
@@ -105,7 +105,7 @@
 	return errorDetail{Message: err.Error(), Type: p.errType, Code: p.code, Outcome: end}
 }
 
-// writeError sends an error response. end tells whether the request may have run; it is empty for
+// writeError sends an error response. end reports whether the request may have run; it is empty for
 // calls that run nothing.
 func writeError(w http.ResponseWriter, err error, end router.Outcome) {
 	p := classify(err)
--- a/api/operators.go
+++ b/api/operators.go
@@ -64,7 +64,7 @@
 const (
 	// changeTimeout bounds how long an operator waits for a change.
 	changeTimeout = 8 * time.Second
-	// inForceTimeout bounds the part of that wait in which the change comes into force on a
+	// inForceTimeout bounds the part of that wait in which the change takes effect on a
 	// majority of, or all, daemons.
 	inForceTimeout = 3 * time.Second
 )
--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -226,7 +226,7 @@
 
 // Outcomes of admitted requests.
 const (
-	// Unanswered does not tell whether the instance accepts requests. Accepted means that it
+	// Unanswered does not show whether the instance accepts requests. Accepted means that it
 	// ran the request, Rejected that it rejected it.
 	Unanswered Outcome = iota
 	Accepted
--- a/breaker/compare_test.go
+++ b/breaker/compare_test.go
@@ -15,7 +15,7 @@
 	// rate is the number of requests per second for all daemons together.
 	rate    float64
 	backoff time.Duration
-	// sharing tells that daemons broadcast backoffs, which takes lag.
+	// sharing is set if daemons broadcast backoffs, which takes lag.
 	sharing bool
 	lag     time.Duration
 }
--- a/cluster/breakers_test.go
+++ b/cluster/breakers_test.go
@@ -53,11 +53,11 @@
 		}}
 	}
 	engine := &models.EngineProfile{Slots: 8, Models: []models.ModelProfile{{Name: "m", GroupSize: 1}}}
-	_, withheld := o.busy(engine, time.Now())
+	_, withheld := o.requestsInFlight(engine, time.Now())
 	c.Assert(withheld["m"], qt.Equals, 0.0)
-	o.fleet.busy = nil
+	o.fleet.inFlight = nil
 	o.n.breakers.Observe(breaker.Signal{Instance: "i1", ReceivedAt: time.Now(), Backoff: time.Minute})
-	_, withheld = o.busy(engine, time.Now())
+	_, withheld = o.requestsInFlight(engine, time.Now())
 	c.Assert(withheld["m"], qt.Equals, 8.0)
 	c.Assert(o.fleet.serving(time.Now())["m"], qt.HasLen, 2)
 }
--- a/cluster/config.go
+++ b/cluster/config.go
@@ -89,7 +89,7 @@
 	case o.peers.configBehindSince.IsZero():
 		o.peers.configBehindSince = now
 	}
-	// A daemon that uses a relay has no read of its own to wait for.
+	// A daemon that uses a relay does not read the store itself, so there is no read to wait for.
 	patience := configFetchDelay
 	if !o.peers.topology.IsMesh && !o.peers.topology.IsRelay {
 		patience = 0
--- a/cluster/config_watch.go
+++ b/cluster/config_watch.go
@@ -18,7 +18,7 @@
 const (
 	// configHoldTime is how long the store holds a long poll for the configuration. Each response
 	// confirms that the configuration in force is the newest, so it must stay well below the time
-	// within which revoked keys must be refused.
+	// within which revoked keys must be rejected.
 	configHoldTime = 1200 * time.Millisecond
 	// idleHoldTime is how long the store holds the long poll of a daemon that gets its confirmation
 	// from a peer. If none arrives for confirmationTimeout, which is checked every
--- a/cluster/demand.go
+++ b/cluster/demand.go
@@ -44,15 +44,15 @@
 	return maps.Clone(o.fleet.demand)
 }
 
-// busySmoothing is the weight of the previous average in the moving average of requests, which is
-// updated at each planning round, twenty times a second: it follows changes within two seconds.
-const busySmoothing = 0.97
+// inFlightSmoothing is the weight of the previous average in the moving average of requests, which
+// is updated at each planning round, twenty times a second: it follows changes within two seconds.
+const inFlightSmoothing = 0.97
 
-// busy returns, by model, moving averages of the requests in flight at its groups and of the slots
-// that rate limits and backoff withhold.
-func (o *owner) busy(engine *models.EngineProfile, now time.Time) (busy, withheld map[models.ModelName]float64) {
-	if o.fleet.busy == nil {
-		o.fleet.busy, o.fleet.withheld = map[models.ModelName]float64{}, map[models.ModelName]float64{}
+// requestsInFlight returns, by model, moving averages of the requests in flight at its groups and
+// of the slots that rate limits and backoff withhold.
+func (o *owner) requestsInFlight(engine *models.EngineProfile, now time.Time) (inFlight, withheld map[models.ModelName]float64) {
+	if o.fleet.inFlight == nil {
+		o.fleet.inFlight, o.fleet.withheld = map[models.ModelName]float64{}, map[models.ModelName]float64{}
 	}
 	groups := o.fleet.serving(now)
 	own := o.n.traffic.Loads()
@@ -67,10 +67,10 @@
 			}
 			unusable += engine.Slots - usableSlots(engine, rate, requests)
 		}
-		updateAverage(o.fleet.busy, m.Name, sum)
+		updateAverage(o.fleet.inFlight, m.Name, sum)
 		updateAverage(o.fleet.withheld, m.Name, unusable)
 	}
-	return maps.Clone(o.fleet.busy), maps.Clone(o.fleet.withheld)
+	return maps.Clone(o.fleet.inFlight), maps.Clone(o.fleet.withheld)
 }
 
 // typicalRequestTime is roughly how long a request occupies a slot.
@@ -90,7 +90,7 @@
 	if _, known := averages[model]; !known {
 		averages[model] = float64(count)
 	}
-	averages[model] = busySmoothing*averages[model] + (1-busySmoothing)*float64(count)
+	averages[model] = inFlightSmoothing*averages[model] + (1-inFlightSmoothing)*float64(count)
 }
 
 // supplyLogInterval is how often the planner logs supply and demand.
--- a/cluster/entries.go
+++ b/cluster/entries.go
@@ -92,8 +92,8 @@
 }
 
 // waitsForRelay reports whether this daemon is to get missing entries from its relay and not from
-// the store. 295 daemons that each read 766 entries when they started made 900 calls and moved
-// 0.1 GB.
+// the store. 295 daemons that each read 766 entries when they started made 900 calls and
+// transferred 0.1 GB.
 func (n *Node) waitsForRelay() bool {
 	if !n.usesRelay() {
 		return false
--- a/cluster/fleet.go
+++ b/cluster/fleet.go
@@ -59,11 +59,11 @@
 	lastBroadcastAt time.Time
 	// supplyLoggedAt is when the supply was last logged.
 	supplyLoggedAt time.Time
-	// demand is the share of all instances that each model needs, busy the number of requests at
+	// demand is the share of all instances that each model needs, inFlight the number of requests at
 	// its groups, withheld the number of their slots that rate limits and backoff withhold. All
 	// three are moving averages.
 	demand   map[models.ModelName]float64
-	busy     map[models.ModelName]float64
+	inFlight map[models.ModelName]float64
 	withheld map[models.ModelName]float64
 }
 
--- a/cluster/links.go
+++ b/cluster/links.go
@@ -19,9 +19,9 @@
 	mu    sync.Mutex
 	tasks []task.Task
 	peers map[models.DaemonID]*peerLink
-	// relay is set if this node is a relay of its zone, primary if it is the zone's primary relay,
+	// relay is set if this node is a relay of its zone, isLoadRelay if it is the zone's load relay,
 	// mesh if there are no relays.
-	relay, primary, mesh bool
+	relay, isLoadRelay, mesh bool
 }
 
 // target is an incarnation of a daemon to link to.
@@ -87,7 +87,7 @@
 func (l *links) reconcile(ctx context.Context, a *membership.Topology, targets map[models.DaemonID]target) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.relay, l.primary, l.mesh = a.IsRelay, a.LoadRelay == l.n.cfg.ID, a.IsMesh
+	l.relay, l.isLoadRelay, l.mesh = a.IsRelay, a.LoadRelay == l.n.cfg.ID, a.IsMesh
 	for id, peer := range l.peers {
 		if _, wanted := targets[id]; !wanted {
 			peer.stop()
@@ -203,7 +203,7 @@
 // encode encodes a frame for several links. It is compressed because updates are large: a snapshot
 // of 3,000 instances, which 97 starting daemons request from a relay at once, takes 86 KB and not
 // 640. Uncompressed, the snapshots filled 200 Mbit/s for 2.5 s, so that the daemons took their
-// relay for dead, asked the next one, and came back with the same request.
+// relay for dead, asked the next one, and later sent the same request again.
 func (l *links) encode(kind frame.Kind, value any) (sharedFrame, bool) {
 	f, err := frame.Encode(kind, value)
 	if err != nil {
@@ -245,7 +245,7 @@
 }
 
 // totalsReceivers returns the daemons that get the cluster's load totals from this one, and the
-// relays that get those of this zone. Only the primary relay of a zone sends to relays.
+// relays that get those of this zone. Only the load relay of a zone sends to relays.
 func (l *links) totalsReceivers() (members, relays []*peerLink) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -253,7 +253,7 @@
 		switch {
 		case peer.role.SendsTotals:
 			members = append(members, peer)
-		case l.primary && peer.role.CrossZone:
+		case l.isLoadRelay && peer.role.CrossZone:
 			relays = append(relays, peer)
 		}
 	}
--- a/cluster/loads.go
+++ b/cluster/loads.go
@@ -18,7 +18,7 @@
 // daemonLoads are the loads that one daemon sent, its own or the total over several daemons.
 type daemonLoads struct {
 	loads map[models.InstanceID]Load
-	// scope tells whose loads these are, zone is the zone of the sender.
+	// scope is the set of daemons whose loads these are, zone is the zone of the sender.
 	scope loadScope
 	zone  models.Zone
 	// incarnation is the incarnation of the sender, version the number of its last change.
@@ -123,7 +123,7 @@
 }
 
 // removeTotals removes the totals of several daemons from any sender, because this daemon has
-// another primary relay now.
+// another load relay now.
 func (p *peerLoads) removeTotals() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cluster/missed_updates.go
+++ b/cluster/missed_updates.go
@@ -9,7 +9,7 @@
 // A daemon that uses a relay and missed updates of the planner, or has had none yet, requests a
 // snapshot of all instances from the relay.
 
-// anyRelay stands for the relay that a starting daemon will find.
+// anyRelay denotes the relay that a starting daemon will find.
 const anyRelay models.DaemonID = "*"
 
 // requestMissed records that updates were missed and requests a snapshot from a relay. If there is
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -142,7 +142,7 @@
 }
 
 // registerAgeMetrics registers gauges for the age of data received from other daemons: the
-// planner's updates, which come four times a second, and load totals, which come every
+// planner's updates, which are sent four times a second, and load totals, which are sent every
 // totalsInterval. It also registers gauges for the number of daemons and this node's role.
 func (n *Node) registerAgeMetrics() {
 	since := func(unixNanos int64) float64 { return max(0, time.Since(time.Unix(0, unixNanos)).Seconds()) }
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -210,8 +210,8 @@
 	}
 }
 
-// handleLimitsChanged tells granters at once that this node needs permits, when the first instance
-// names a limit.
+// handleLimitsChanged informs granters at once that this node needs permits, when the first
+// instance names a limit.
 func (o *owner) handleLimitsChanged() {
 	if o.n.View().granters == nil {
 		o.publish()
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -129,7 +129,7 @@
 		From: n.cfg.ID, Incarnation: n.started, Addr: n.cfg.Peer.String(), Zone: n.cfg.Zone, Term: v.Term,
 		IsPlanner: n.planning.Load(),
 		CPUCores:  n.cfg.CPUCores, AcceptsCompressed: true, ConfigSource: v.configSource, Work: map[models.ModelName]float32{}, Stalled: v.stalled,
-		UsesRelay: l.UsesRelay, UsesPrimaryRelay: l.UsesLoads, Size: v.Daemons,
+		UsesRelay: l.UsesRelay, UsesLoads: l.UsesLoads, Size: v.Daemons,
 		MissedUpdates: n.missedUpdates.pending() && n.requestsSnapshotFrom(to, l), EntriesAge: n.entriesAge(), Era: n.era.Load(),
 	}
 	if every := n.heartbeatIntervalFor(l); every != heartbeatInterval {
@@ -154,7 +154,7 @@
 }
 
 // requestsSnapshotFrom reports whether a peer is the relay that is asked for a snapshot; at the
-// start, the primary relay.
+// start, the load relay.
 func (n *Node) requestsSnapshotFrom(to models.DaemonID, l membership.Link) bool {
 	relay := *n.snapshotRelay.Load()
 	return to == relay || (relay == anyRelay && l.UsesLoads)
--- a/cluster/planner_calls_test.go
+++ b/cluster/planner_calls_test.go
@@ -26,7 +26,7 @@
 		c := qt.New(t)
 		o := newTestOwner(t)
 		fill(o)
-		o.probeUnconfirmed("s", time.Now())
+		o.probeUnverified("s", time.Now())
 		c.Assert(int(o.n.stats.reports.Get()) <= maxCalls, qt.IsTrue, qt.Commentf("%d at once", o.n.stats.reports.Get()))
 	})
 	t.Run("orders_are_answered_late", func(t *testing.T) {
--- a/cluster/planning.go
+++ b/cluster/planning.go
@@ -36,7 +36,7 @@
 		return
 	}
 	f.termBegan = time.Now()
-	f.planner, f.heldTerm, f.busy, f.updateSeq = fleet.NewPlanner(m.term, f.termBegan), m.term, nil, 0
+	f.planner, f.heldTerm, f.inFlight, f.updateSeq = fleet.NewPlanner(m.term, f.termBegan), m.term, nil, 0
 	// Updates pending from an earlier term are outdated.
 	f.pendingUpdates, f.broadcastEnd = nil, f.entries.end
 	for _, i := range f.instances {
@@ -50,7 +50,7 @@
 	o.n.log.Info().Int64("term", m.term).Msg("planning-begun")
 }
 
-// stopPlanning ends the term for good: its fences must not be used again.
+// stopPlanning ends the term permanently: its fences must not be used again.
 func (o *owner) stopPlanning(reason string) {
 	if o.fleet.planner == nil {
 		return
@@ -132,11 +132,11 @@
 // planService plans one service's instances and sends the orders that are due.
 func (o *owner) planService(name models.ServiceName, engine *models.EngineProfile, now time.Time) {
 	f := &o.fleet
-	o.probeUnconfirmed(name, now)
-	world := o.world(name, engine, now)
+	o.probeUnverified(name, now)
+	snapshot := o.planningSnapshot(name, engine, now)
 	o.n.stats.plans.Inc()
-	o.logSupply(engine, world)
-	f.orders = append(f.orders, f.planner.Step(world)...)
+	o.logSupply(engine, snapshot)
+	f.orders = append(f.orders, f.planner.Step(snapshot)...)
 	o.sendOrders()
 }
 
@@ -164,9 +164,9 @@
 	o.n.sendOrder(o.ctx, k.Addr, order)
 }
 
-// probeUnconfirmed probes the service's instances that have not been seen in this term, and those
+// probeUnverified probes the service's instances that have not been seen in this term, and those
 // whose entries are overdue although the store is up.
-func (o *owner) probeUnconfirmed(name models.ServiceName, now time.Time) {
+func (o *owner) probeUnverified(name models.ServiceName, now time.Time) {
 	_, storeDown := o.storeFailingSince[platform.InstancesTopic]
 	overdue := time.Duration(overdueFactor * float64(o.n.cfg.InstanceHeartbeat))
 	for _, i := range o.fleet.instances {
@@ -180,11 +180,11 @@
 	}
 }
 
-// world returns the planner's input for one service.
-func (o *owner) world(name models.ServiceName, engine *models.EngineProfile, now time.Time) fleet.Snapshot {
-	busy, withheld := o.busy(engine, now)
+// planningSnapshot returns the planner's input for one service.
+func (o *owner) planningSnapshot(name models.ServiceName, engine *models.EngineProfile, now time.Time) fleet.Snapshot {
+	inFlight, withheld := o.requestsInFlight(engine, now)
 	w := fleet.Snapshot{
-		Now: now, Profile: engine, Demand: o.demand(engine), InFlight: busy, LimitedSlots: withheld,
+		Now: now, Profile: engine, Demand: o.demand(engine), InFlight: inFlight, LimitedSlots: withheld,
 		Instances: map[models.InstanceID]models.UpstreamInstance{}, Unreachable: map[models.InstanceID]bool{},
 		Unverified: map[models.InstanceID]bool{}, Unlisted: map[models.InstanceID]bool{},
 	}
--- a/cluster/planning_test.go
+++ b/cluster/planning_test.go
@@ -121,7 +121,7 @@
 		o := newTestOwner(t)
 		o.handleLease(leaseHeld{term: term, until: time.Now().Add(time.Minute)})
 		o.applyEntry(models.UpstreamInstance{ID: "i1", Service: "s"}, time.Now())
-		o.probeUnconfirmed("s", time.Now())
+		o.probeUnverified("s", time.Now())
 		qt.Check(t, o.n.stats.reports.Get() > 0, qt.Equals, probed, qt.Commentf("term %d", term))
 	}
 }
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -188,7 +188,7 @@
 const (
 	// ownFindings are those that this daemon found itself.
 	ownFindings findingScope = iota
-	// allFindings are all except those that came from the peer.
+	// allFindings are all except those received from the peer.
 	allFindings
 )
 
--- a/cluster/restored_test.go
+++ b/cluster/restored_test.go
@@ -28,7 +28,7 @@
 }
 
 // TestTermsAfterRestore checks that terms increase although a restored store assigns offsets again.
-// Instances refuse orders of an earlier term, but would accept those of two planners in the same
+// Instances reject orders of an earlier term, but would accept those of two planners in the same
 // term.
 func TestTermsAfterRestore(t *testing.T) {
 	c := qt.New(t)
--- a/cluster/suspicions_test.go
+++ b/cluster/suspicions_test.go
@@ -12,7 +12,7 @@
 
 // TestMassSuspicion checks that suspected groups get no requests, but that all groups are used if
 // too many of a model are suspected. After a restart of all daemons a fifth of the requests was
-// refused for fourteen seconds, presumably because different groups were suspected in turn, as was
+// rejected for fourteen seconds, presumably because different groups were suspected in turn, as was
 // observed for half a second in another case.
 func TestMassSuspicion(t *testing.T) {
 	c := qt.New(t)
--- a/cluster/topology.go
+++ b/cluster/topology.go
@@ -78,7 +78,7 @@
 func (b Heartbeat) membershipBeat() membership.Heartbeat {
 	return membership.Heartbeat{
 		Daemon: membership.Daemon{ID: b.From, Zone: b.Zone, CPUCores: b.CPUCores}, Interval: cmp.Or(b.Interval, heartbeatInterval),
-		UsesRelay: b.UsesRelay, UsesLoads: b.UsesPrimaryRelay, Size: b.Size,
+		UsesRelay: b.UsesRelay, UsesLoads: b.UsesLoads, Size: b.Size,
 		Votes: b.Grants, Granters: b.Granters,
 	}
 }
--- a/cluster/totals.go
+++ b/cluster/totals.go
@@ -8,7 +8,7 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// The primary relay of each zone sums up the loads of the zone's daemons. It sends the zone's total
+// The load relay of each zone sums up the loads of the zone's daemons. It sends the zone's total
 // to the relays of other zones, and the total over all zones to the daemons of its zone.
 
 const (
--- a/cluster/updates.go
+++ b/cluster/updates.go
@@ -63,7 +63,7 @@
 		o.handleSnapshot(m)
 		return
 	case m.term == p.updateTerm && m.seq <= p.updateSeq:
-		// The update already came by way of another relay.
+		// The update was already received from another relay.
 		return
 	}
 	missed := m.term != p.updateTerm || m.seq != p.updateSeq+1
--- a/cluster/updates_test.go
+++ b/cluster/updates_test.go
@@ -162,7 +162,7 @@
 	o := newTestOwner(t)
 	t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
 	addPeers(o, 2, 7)
-	heartbeat := Heartbeat{From: "peer-0", Addr: "127.0.0.1:9", MissedUpdates: true, UsesPrimaryRelay: true}
+	heartbeat := Heartbeat{From: "peer-0", Addr: "127.0.0.1:9", MissedUpdates: true, UsesLoads: true}
 	o.handleHeartbeat(heartbeatReceived{heartbeat: heartbeat, receivedAt: time.Now()})
 	sentFrames := func() int {
 		end := o.n.links.peers["peer-0"]
@@ -204,9 +204,9 @@
 	c.Assert(time.Since(began) < rosterTimeout/2, qt.IsTrue)
 }
 
-// TestPickRelay checks that a daemon asks its primary relay for a snapshot, another relay if the
-// primary's entries are stale, and none if all are. Then it reads the store at once, otherwise when
-// its own entries are too old to wait.
+// TestPickRelay checks that a daemon asks its load relay for a snapshot, another relay if the
+// load relay's entries are stale, and none if all are. Then it reads the store at once, otherwise
+// when its own entries are too old to wait.
 func TestPickRelay(t *testing.T) {
 	c := qt.New(t)
 	o := newTestOwner(t)
--- a/cluster/wire.go
+++ b/cluster/wire.go
@@ -50,12 +50,12 @@
 	// ConfigSource is the daemon that is asked to send its configuration because it has a newer
 	// one.
 	ConfigSource models.DaemonID `msgpack:"w2,omitempty"`
-	// Interval is the sender's heartbeat interval to the receiver; 0 stands for heartbeatInterval.
+	// Interval is the sender's heartbeat interval to the receiver; 0 means heartbeatInterval.
 	Interval time.Duration `msgpack:"ev,omitempty"`
-	// UsesRelay is set if the sender uses the receiver as a relay, UsesPrimaryRelay if it uses the
-	// receiver as its primary relay, whose load totals it applies.
-	UsesRelay        bool `msgpack:"rl,omitempty"`
-	UsesPrimaryRelay bool `msgpack:"rf,omitempty"`
+	// UsesRelay is set if the sender uses the receiver as a relay, UsesLoads if it uses the
+	// receiver as its load relay, whose load totals it applies.
+	UsesRelay bool `msgpack:"rl,omitempty"`
+	UsesLoads bool `msgpack:"rf,omitempty"`
 	// Size is the number of daemons that the sender knows of, including itself.
 	Size int `msgpack:"sz,omitempty"`
 	// MissedUpdates is set if the sender missed updates of the planner and asks the receiver, its
@@ -152,7 +152,8 @@
 	// Forward asks the receiver, a relay, to forward the update to its zone and to the relays of
 	// other zones. Senders that are no relays set it.
 	Forward bool `msgpack:"sp,omitempty"`
-	// Full is set if loads that are not listed are zero. Scope tells whose loads they are.
+	// Full is set if loads that are not listed are zero. Scope is the set of daemons whose loads they
+	// are.
 	Full  bool                       `msgpack:"a,omitempty"`
 	Scope loadScope                  `msgpack:"of,omitempty"`
 	Loads map[models.InstanceID]Load `msgpack:"l,omitempty"`
--- a/daemon/log.go
+++ b/daemon/log.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// seekLog tells the follower at which offset to continue.
+// seekLog sets the offset at which the follower continues.
 func (o *owner) seekLog() { sendLatest(o.d.seeks, o.state.Applied+1) }
 
 // handleLogExpired reads the newest checkpoint if records that this daemon lacks have expired
--- a/daemon/owner.go
+++ b/daemon/owner.go
@@ -218,7 +218,7 @@
 	o.needsPublish, o.needsPlan = true, true
 }
 
-// updateProbeTargets tells the watchers which instances to probe: those on the list, and group
+// updateProbeTargets sends the probers the instances to probe: those on the list, and group
 // members that the list does not (or no longer) contain.
 func (o *owner) updateProbeTargets() {
 	engines := map[models.InstanceID]netip.AddrPort{}
--- a/daemon/trail.go
+++ b/daemon/trail.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// maxEndedTrail is how many entries of its own ended requests a daemon keeps in memory.
+	// maxEndedTrail is how many entries of ended requests that it served itself a daemon keeps in
+	// memory.
 	maxEndedTrail = 10000
 	// maxUnwrittenTrail is how many entries are buffered while the log is unavailable; beyond it
 	// the oldest are dropped and counted.
--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -269,7 +269,7 @@
 	ts.Check(retryFor(awaitTimeout, func() error {
 		res = r.send(context.Background(), d.callers)
 		if !neg && res.outcome == outcomeNotRun && strings.Contains(res.detail, `"code":"overloaded"`) {
-			// A daemon under load may refuse a request for lack of capacity; a caller retries then.
+			// A daemon under load may reject a request for lack of capacity; a caller retries then.
 			return fmt.Errorf("%s is overloaded: %s", args[0], res.detail)
 		}
 		return nil
--- a/fleet/convert.go
+++ b/fleet/convert.go
@@ -51,7 +51,7 @@
 	return minRepairGain
 }
 
-// isShift reports whether most members come from serving groups rather than from what is left of a
+// isShift reports whether most members come from serving groups rather than from the remains of a
 // broken group.
 func (c *conversion) isShift() bool { return 2*c.freeCount < c.model.GroupSize }
 
--- a/fleet/ending.go
+++ b/fleet/ending.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// endGroup starts to dissolve a group. If the group is already finishing its requests, a cut
-// replaces that.
+// endGroup starts to dissolve a group. If the group is already draining, an immediate
+// stop replaces the drain.
 func (r *round) endGroup(key models.GroupKey, head models.InstanceID, kind types.GroupOrderKind) {
 	e := r.ending[key]
 	if e == nil {
--- a/fleet/planner.go
+++ b/fleet/planner.go
@@ -31,12 +31,12 @@
 	// RejoinTime is how long an instance takes to join a group of the model that it ran last, as
 	// specified by the engines' vendors.
 	RejoinTime = 200 * time.Millisecond
-	// cutRetryInterval is how soon a head that began to close receives the order again: its response
-	// tells when it has closed.
-	cutRetryInterval = 30 * time.Millisecond
-	// finishRetryInterval is the same for a head that finishes its requests, which takes about a
+	// stopRetryInterval is how soon a head that began to close receives the order again: its response
+	// reports when it has closed.
+	stopRetryInterval = 30 * time.Millisecond
+	// drainRetryInterval is the same for a head that finishes its requests, which takes about a
 	// second.
-	finishRetryInterval = 250 * time.Millisecond
+	drainRetryInterval = 250 * time.Millisecond
 	// loadWindow is the window over which load starts are limited, and loadRateFraction the
 	// fraction of the weight store's rate that may be used in it.
 	loadWindow       = 5 * time.Second
@@ -85,7 +85,7 @@
 	// forming holds the groups that are being formed, ending the groups that are being dissolved.
 	forming map[models.GroupKey]*formation
 	ending  map[models.GroupKey]*ending
-	// unansweredOpens is when an order to open a group last went unanswered.
+	// unansweredOpens is when an order to open a group last got no response.
 	unansweredOpens map[models.GroupKey]time.Time
 	// sent holds the last order to each instance.
 	sent map[models.InstanceID]*sentOrder
--- a/fleet/round.go
+++ b/fleet/round.go
@@ -93,10 +93,10 @@
 		return true
 	}
 	if s.outcome == types.OrderStarted && kind == types.GroupStop {
-		return r.Now.Sub(s.at) >= cutRetryInterval
+		return r.Now.Sub(s.at) >= stopRetryInterval
 	}
 	if s.outcome == types.OrderStarted && kind == types.GroupDrain {
-		return r.Now.Sub(s.at) >= finishRetryInterval
+		return r.Now.Sub(s.at) >= drainRetryInterval
 	}
 	return r.Now.Sub(s.at) >= orderRetryInterval
 }
--- a/gateway/availability.go
+++ b/gateway/availability.go
@@ -26,7 +26,7 @@
 	return now.Before(s.excludedUntil[i.ID]) && node.Limits().Rate(i, now) != models.NoRateLimit
 }
 
-// availability tells when a request that can't be sent now can be sent.
+// availability is when a request that can't be sent now can be sent.
 type availability struct {
 	at time.Time
 	// since is when the first instance to become available stopped getting requests.
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -43,7 +43,7 @@
 	pickedLoad int
 	// rejections counts the sends that instances rejected without running the request.
 	rejections atomic.Int32
-	// available tells when the request could be sent, if that is after the deadline for waiting.
+	// available is when the request could be sent, if that is after the deadline for waiting.
 	available availability
 	// digest returns the hash of the request's content. It is safe for concurrent use.
 	digest func() quarantine.Digest
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -88,7 +88,7 @@
 	// quarantineRejections counts requests rejected because they crash instances.
 	quarantineRejections *metrics.Counter
 	// limitRejections counts requests rejected because all instances have rate limits and no permit
-	// came in time.
+	// was granted in time.
 	limitRejections *metrics.Counter
 	// backoffRejections counts requests rejected because all instances asked for a backoff.
 	backoffRejections *metrics.Counter
--- a/gateway/pick.go
+++ b/gateway/pick.go
@@ -170,7 +170,7 @@
 	return order[first]
 }
 
-// candidate returns what is known of a group. The scheduler must be locked.
+// candidate returns the placement candidate of a group. The scheduler must be locked.
 func (s *scheduler) candidate(node Node, g cluster.Group) placement.Candidate {
 	load := s.totalLoadLocked(node, g.Head.ID)
 	return placement.Candidate{
--- a/lib/h1/body.go
+++ b/lib/h1/body.go
@@ -47,7 +47,7 @@
 // Buffered returns the number of bytes that have been received but not read.
 func (b *Body) Buffered() int { return b.c.br.Buffered() }
 
-// Abort closes the connection, which tells the upstream to stop.
+// Abort closes the connection, which makes the upstream stop.
 func (b *Body) Abort() {
 	if b.closed {
 		return
--- a/lib/timer/timer.go
+++ b/lib/timer/timer.go
@@ -14,7 +14,7 @@
 // MinPause is how late a step must be to count as a pause of the process.
 const MinPause = 500 * time.Millisecond
 
-// Tick tells a subscriber that its period has passed.
+// Tick notifies a subscriber that its period has passed.
 type Tick struct {
 	// At includes a monotonic clock reading.
 	At time.Time
--- a/load/load.go
+++ b/load/load.go
@@ -62,7 +62,7 @@
 	OutcomeTruncated router.Outcome = "short"
 	// OutcomeExtraEvents: more events followed the end mark.
 	OutcomeExtraEvents router.Outcome = "doubled"
-	// OutcomeNoResponse: there was no response at all.
+	// OutcomeNoResponse: there was no response.
 	OutcomeNoResponse router.Outcome = "silent"
 )
 
--- a/measure/simulation_test.go
+++ b/measure/simulation_test.go
@@ -98,7 +98,7 @@
 	})
 }
 
-// TestTraces checks on a trace of single failures that no proposal is refused, and that the
+// TestTraces checks on a trace of single failures that no proposal is rejected, and that the
 // downtime stays near its lower bound and far below that of the naive planner.
 func TestTraces(t *testing.T) {
 	c := qt.New(t)
--- a/membership/granters.go
+++ b/membership/granters.go
@@ -13,7 +13,7 @@
 // for it in its heartbeats. While daemons disagree, two of them may grant permits for the same
 // zone, so the share that a daemon grants depends on the number of its votes.
 
-// otherZones stands for all zones of instances that have no daemons.
+// otherZones denotes all zones of instances that have no daemons.
 const otherZones models.Zone = ""
 
 // Granter returns the daemon that grants permits for the instances of a zone, empty if none is
@@ -126,8 +126,8 @@
 // Shares returns the fraction of the rates that this daemon may grant for the instances of each
 // zone that it is the granter of: all of them if it has the votes of more than half of the daemons.
 // With fewer votes, it grants half of the fraction of its votes, since the others may vote for a
-// daemon that this one does not hear. All granters together never grant more than 1.25 times a
-// rate.
+// daemon whose heartbeats this one does not receive. All granters together never grant more than
+// 1.25 times a rate.
 func (r *Roster) Shares(t *Topology, now time.Time) map[models.Zone]float64 {
 	total := len(r.members) + 1
 	for _, m := range r.members {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -64,12 +64,12 @@
 	}
 }
 
-// Candidate is what is known of a group that a request may be sent to.
+// Candidate describes a group that a request may be sent to.
 type Candidate struct {
 	// Requests is the number of its requests, PrefillTokens how many prompt tokens of these wait
 	// for prefill.
 	Requests, PrefillTokens int
-	// SameZone tells that it is in the daemon's own zone.
+	// SameZone is set if it is in the daemon's own zone.
 	SameZone bool
 	// Failures is the decayed number of requests that it failed recently.
 	Failures float64
@@ -86,7 +86,7 @@
 	Displaced int
 }
 
-// Staleness tells how much loads may have changed since they were reported.
+// Staleness describes how much loads may have changed since they were reported.
 type Staleness struct {
 	// Age is the age of other daemons' loads, 0 if they are reported at once.
 	Age time.Duration
--- a/query/change.go
+++ b/query/change.go
@@ -18,7 +18,7 @@
 	ErrNotFound    = errors.New("not found")
 )
 
-// Keywords that stand for an empty list.
+// Keywords that denote an empty list.
 const (
 	keywordAny  = "any"
 	keywordNone = "none"
@@ -305,7 +305,7 @@
 	}
 }
 
-// setList returns a setter for a list. The single value emptyKeyword stands for the empty
+// setList returns a setter for a list. The single value emptyKeyword denotes the empty
 // list.
 func setList[S ~string](field *[]S, emptyKeyword string) setter {
 	return func(values []string) error {
--- a/router/request.go
+++ b/router/request.go
@@ -122,7 +122,7 @@
 // MayRetry reports whether the request may be sent, for the first time or again.
 func (r *Request) MayRetry() bool { return r.phase == PhaseQueued }
 
-// Finish sets the outcome of the request and returns it. complete tells whether the caller
+// Finish sets the outcome of the request and returns it. complete reports whether the caller
 // received the complete response.
 func (r *Request) Finish(complete bool) Outcome {
 	switch {
--- a/soak/crash_test.go
+++ b/soak/crash_test.go
@@ -42,7 +42,7 @@
 //
 // Here a caller retries such a request every 0.3 s, each time at another daemon, while others send
 // their requests as usual. The request crashes an instance 40 ms after the instance begins to run
-// it. Once it has crashed three instances and the daemons had 3 s to tell each other, it may be
+// it. Once it has crashed three instances and the daemons had 3 s to inform each other, it may be
 // sent at most three more times.
 func TestCrashingRequest(t *testing.T) {
 	bin := binary(t)
--- a/soak/outage_test.go
+++ b/soak/outage_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestKeysInOutage checks API keys during an outage of the store that lasts longer than the bound
-// for revoked keys. A key is revoked during the outage. With strict keys, daemons refuse every key
+// for revoked keys. A key is revoked during the outage. With strict keys, daemons reject every key
 // once the bound has passed. Otherwise they go on serving, also with the revoked key, until the
 // store is back or their proof of the keys is older than --stale-keys allows.
 func TestKeysInOutage(t *testing.T) {
@@ -60,7 +60,7 @@
 // daemons' bound in this test is shorter.
 const proofRenewalTime = 1500 * time.Millisecond
 
-// expectKeyRejected sends requests with the first key to every daemon: each must be refused, and
+// expectKeyRejected sends requests with the first key to every daemon: each must be rejected, and
 // before long with status 401. Until then a daemon that is renewing its proof may respond with 503.
 func (s *site) expectKeyRejected(when string) {
 	client := &http.Client{Timeout: 2 * time.Second}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -77,7 +77,7 @@
 	s.clearFaults()
 	recovered := c.waitRecovered()
 	c.stop()
-	// A refused request that still runs late must show up before the check.
+	// A rejected request that still runs late must show up before the check.
 	time.Sleep(300 * time.Millisecond)
 	violations := append(s.pool.Violations(), c.violations()...)
 	if !recovered {
--- a/standin/replica/signals.go
+++ b/standin/replica/signals.go
@@ -34,7 +34,7 @@
 	arrived time.Time
 	// retryAfter is the Retry-After of the rejection, if the request was rejected with one.
 	retryAfter time.Duration
-	// leavingSent tells that the response announced that the instance is leaving; responded is the
+	// leavingSent is set if the response announced that the instance is leaving; responded is the
 	// time of the response header.
 	leavingSent bool
 	responded   time.Time
--- a/state/apply.go
+++ b/state/apply.go
@@ -191,7 +191,7 @@
 }
 
 // resolveGroup returns the group that ref refers to. It returns ErrStale if the group has
-// been formed anew since the author saw it.
+// been formed again since the author saw it.
 func (s *State) resolveGroup(ref GroupRef) (models.Group, error) {
 	g, ok := s.Groups[ref.ID]
 	if !ok {
