--- a/cluster/permits.go
+++ b/cluster/permits.go
@@ -314,8 +314,8 @@
 	}
 	// The connection is not used any more, even if closing it fails.
 	_ = conn.Close()
-	for _, answer := range c.pending {
-		close(answer)
+	for _, reply := range c.pending {
+		close(reply)
 	}
 	c.conn, c.pending = nil, nil
 }
@@ -333,9 +333,9 @@
 
 // handleRequest answers a permit request on its connection.
 func (p *permits) handleRequest(conn framedConn, body []byte) error {
-	var ask permitRequest
-	if err := frame.Decode(body, &ask); err != nil {
+	var req permitRequest
+	if err := frame.Decode(body, &req); err != nil {
 		return err
 	}
-	return conn.send(framePermitReply, permitReply{Seq: ask.Seq, Grant: p.grant(ask.Zone, ask.Request)})
+	return conn.send(framePermitReply, permitReply{Seq: req.Seq, Grant: p.grant(req.Zone, req.Request)})
 }
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -197,13 +197,13 @@
 	if s.ID == o.d.cfg.ID {
 		return
 	}
-	known, heard := o.peers[s.ID]
-	if heard && (msg.SentAt.Before(known.Seen) || s.Incarnation < known.Status.Incarnation) {
+	known, found := o.peers[s.ID]
+	if found && (msg.SentAt.Before(known.Seen) || s.Incarnation < known.Status.Incarnation) {
 		return
 	}
 	o.needsPublish = o.needsPublish || known.Status.Applied != s.Applied
 	o.peers[s.ID] = Peer{Status: s, Seen: msg.SentAt, OnRoster: o.onRoster(s)}
-	if !heard {
+	if !found {
 		o.updatePeerTargets()
 	}
 }
--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -290,13 +290,13 @@
 	ts.Check(err)
 	r := parseChat(ts, args[2:])
 	results := make(chan result, n)
-	const atOnce = 4
-	for worker := range atOnce {
+	const concurrency = 4
+	for worker := range concurrency {
 		go func() {
-			for i := worker; i < n; i += atOnce {
-				asked := r
-				asked.prompt = fmt.Sprintf("%s, number %d", r.prompt, i)
-				results <- asked.send(context.Background(), d.callers)
+			for i := worker; i < n; i += concurrency {
+				req := r
+				req.prompt = fmt.Sprintf("%s, number %d", r.prompt, i)
+				results <- req.send(context.Background(), d.callers)
 			}
 		}()
 	}
@@ -327,8 +327,8 @@
 	for range n {
 		results = append(results, <-ends)
 	}
-	if whole := countOutcomes(results)[outcomeComplete]; whole != 1 {
-		ts.Fatalf("%d of %d got a complete response", whole, n)
+	if complete := countOutcomes(results)[outcomeComplete]; complete != 1 {
+		ts.Fatalf("%d of %d got a complete response", complete, n)
 	}
 	ts.Check(checkKeys(results, runCounts(site.runs())))
 }
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -102,15 +102,15 @@
 	if err != nil {
 		return outcomeBroken, err.Error()
 	}
-	var answer struct {
+	var completion struct {
 		Choices []struct {
 			Message standin.ChatMessage `json:"message"`
 		} `json:"choices"`
 	}
-	if err := json.Unmarshal(data, &answer); err != nil || len(answer.Choices) != 1 {
+	if err := json.Unmarshal(data, &completion); err != nil || len(completion.Choices) != 1 {
 		return outcomeWrong, string(data)
 	}
-	if got := answer.Choices[0].Message.Content; got != c.want() {
+	if got := completion.Choices[0].Message.Content; got != c.want() {
 		return outcomeWrong, fmt.Sprintf("got %q, want %q", got, c.want())
 	}
 	return outcomeComplete, ""
--- a/e2e/state_test.go
+++ b/e2e/state_test.go
@@ -98,9 +98,9 @@
 // cmdReappend appends every record of the log once more, as a very late retry does.
 func cmdReappend(ts *testscript.TestScript, _ bool, _ []string) {
 	base := fmt.Sprintf("http://%s/log/%s", testSiteOf(ts).platform, platform.StreamState)
-	answer, err := fetch[platform.ReadResponse](base + "?from=1")
+	response, err := fetch[platform.ReadResponse](base + "?from=1")
 	ts.Check(err)
-	for _, e := range answer.Entries {
+	for _, e := range response.Entries {
 		resp, err := http.Post(base, "application/octet-stream", bytes.NewReader(e.Data))
 		ts.Check(err)
 		resp.Body.Close()
--- a/measure/config.go
+++ b/measure/config.go
@@ -158,10 +158,10 @@
 	requested time.Time
 }
 
-func (t *inForceTracker) add(value int, asked time.Time) {
+func (t *inForceTracker) add(value int, sentAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.pending = append(t.pending, pendingChange{value, asked})
+	t.pending = append(t.pending, pendingChange{value, sentAt})
 }
 
 func (t *inForceTracker) run(ctx context.Context, s configSystem) error {
--- a/measure/groups.go
+++ b/measure/groups.go
@@ -132,11 +132,11 @@
 
 // flapping takes one member of each of five domains down for three seconds in every ten.
 func flapping() trace {
-	const flappers, period, away = 5, 10 * time.Second, 3 * time.Second
+	const flappers, period, downtime = 5, 10 * time.Second, 3 * time.Second
 	return trace{"flapping", 10 * time.Minute, flappers, func(sim *simulation, step int) {
 		in := time.Duration(step) * simulationStep % period
 		for d := range flappers {
-			sim.setUp(engineID(d, 2), in >= away)
+			sim.setUp(engineID(d, 2), in >= downtime)
 		}
 	}}
 }
--- a/measure/naive_config.go
+++ b/measure/naive_config.go
@@ -99,9 +99,9 @@
 	tick := time.NewTicker(naivePoll)
 	defer tick.Stop()
 	for {
-		answer, err := d.client.Read(ctx, naiveStream, next, 0)
+		response, err := d.client.Read(ctx, naiveStream, next, 0)
 		if err == nil {
-			for _, e := range answer.Entries {
+			for _, e := range response.Entries {
 				v, _ := strconv.Atoi(string(e.Data))
 				d.value.Store(int64(v))
 				next = e.Offset + 1
--- a/measure/naive_router.go
+++ b/measure/naive_router.go
@@ -35,12 +35,12 @@
 	const maxAttempts = 2
 	for range maxAttempts {
 		g := n.groups[int(n.next.Add(1))%len(n.groups)]
-		answer, err := n.client.Do(r.Context(), newCall(g.Members[0].Addr, g, id, body))
+		response, err := n.client.Do(r.Context(), newCall(g.Members[0].Addr, g, id, body))
 		if err != nil {
 			continue
 		}
-		defer answer.Body.Close()
-		copyResponse(w, answer)
+		defer response.Body.Close()
+		copyResponse(w, response)
 		return
 	}
 	http.Error(w, "no upstream", http.StatusBadGateway)
@@ -55,12 +55,12 @@
 }
 
 // copyResponse streams the response to the client.
-func copyResponse(w http.ResponseWriter, answer *upstream.Response) {
-	w.WriteHeader(answer.Status)
+func copyResponse(w http.ResponseWriter, response *upstream.Response) {
+	w.WriteHeader(response.Status)
 	flush := http.NewResponseController(w).Flush
 	buf := make([]byte, 32<<10)
 	for {
-		n, err := answer.Body.Read(buf)
+		n, err := response.Body.Read(buf)
 		if _, werr := w.Write(buf[:n]); werr != nil || flush() != nil {
 			return
 		}
--- a/measure/requests.go
+++ b/measure/requests.go
@@ -100,10 +100,10 @@
 
 func (f RequestFigures) row() []string {
 	r := f.Report
-	whole, notRun := r.Outcomes[router.OutcomeComplete], r.Outcomes[router.OutcomeNotRun]
+	complete, notRun := r.Outcomes[router.OutcomeComplete], r.Outcomes[router.OutcomeNotRun]
 	return []string{
 		f.System, fmt.Sprintf("%.1f", f.Factor), fmt.Sprintf("%.0f", f.Offered), fmt.Sprintf("%.0f", r.Goodput),
-		fmt.Sprint(whole), fmt.Sprint(notRun), fmt.Sprint(r.Sent - whole - notRun),
+		fmt.Sprint(complete), fmt.Sprint(notRun), fmt.Sprint(r.Sent - complete - notRun),
 		ms(r.FirstToken.P50), ms(r.FirstToken.P95), ms(r.FirstToken.P99), ms(r.InterToken.P95), ms(r.Rejection.P99), fmt.Sprintf("%.2f", f.PrefixHits),
 	}
 }
--- a/membership/script_test.go
+++ b/membership/script_test.go
@@ -317,10 +317,10 @@
 		if !from.up {
 			continue
 		}
-		heard := map[models.DaemonID]bool{from.ID: true}
-		s.broadcast(from, heard)
+		received := map[models.DaemonID]bool{from.ID: true}
+		s.broadcast(from, received)
 		for _, to := range s.daemons {
-			if s.reaches(from, to) && !heard[to.ID] {
+			if s.reaches(from, to) && !received[to.ID] {
 				s.c.Errorf("a broadcast of %s did not reach %s", from.ID, to.ID)
 				return
 			}
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -108,8 +108,8 @@
 	now := time.Unix(1_000_000, 0)
 	var l Limits
 	for n := range 3 * maxSpans {
-		heard := now.Add(time.Duration(n) * time.Millisecond)
-		l.Add(Observation{Instance: "i1", Rate: float64(100 - n), SentAt: now.Add(-time.Second), ReceivedAt: heard}, "")
+		receivedAt := now.Add(time.Duration(n) * time.Millisecond)
+		l.Add(Observation{Instance: "i1", Rate: float64(100 - n), SentAt: now.Add(-time.Second), ReceivedAt: receivedAt}, "")
 	}
 	c.Assert(l.Announced("i1"), qt.Equals, float64(101-3*maxSpans))
 }
--- a/soak/signals_test.go
+++ b/soak/signals_test.go
@@ -47,7 +47,9 @@
 // that instances that announce in a response that they are leaving receive no more requests.
 func TestRetryAfterAndLeavingAreHonoured(t *testing.T) {
 	const all = 1
-	shed := func(rest time.Duration) replica.Shedding { return replica.Shedding{Fraction: all, RetryAfter: rest} }
+	shed := func(backoff time.Duration) replica.Shedding {
+		return replica.Shedding{Fraction: all, RetryAfter: backoff}
+	}
 	bin := binary(t)
 	for _, test := range []signalCase{
 		{name: "half_of_plain", service: "plain", fraction: 0.5, shedding: shed(3 * time.Second)},
--- a/worker/platform/checkpoint.go
+++ b/worker/platform/checkpoint.go
@@ -26,18 +26,18 @@
 	}
 	var entries []types.Entry
 	for next < tail.Next {
-		answer, err := c.Read(ctx, stream, next, 0)
+		response, err := c.Read(ctx, stream, next, 0)
 		if errors.Is(err, ErrExpired) {
-			next = answer.First
+			next = response.First
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		if len(answer.Entries) == 0 {
+		if len(response.Entries) == 0 {
 			return nil, trace.Wrap(fmt.Errorf("%w: the log ended early at %d of %d", ErrRejected, next, tail.Next))
 		}
-		entries = append(entries, answer.Entries...)
+		entries = append(entries, response.Entries...)
 		next = entries[len(entries)-1].Offset + 1
 	}
 	return entries, nil
--- a/worker/platform/client.go
+++ b/worker/platform/client.go
@@ -66,11 +66,11 @@
 	case resp.StatusCode != http.StatusOK:
 		return 0, trace.Wrap(fmt.Errorf("%w: append: %s", ErrUnknown, resp.Status))
 	}
-	var answer AppendResponse
-	if err := decodeJSON(resp.Body, &answer); err != nil {
+	var response AppendResponse
+	if err := decodeJSON(resp.Body, &response); err != nil {
 		return 0, trace.Wrap(errors.Join(ErrUnknown, err))
 	}
-	return answer.Offset, nil
+	return response.Offset, nil
 }
 
 // Read reads the stream from the offset on. If there are no entries yet, it waits for the given
@@ -79,25 +79,25 @@
 func (c *Client) Read(ctx context.Context, stream string, from models.Offset, wait time.Duration) (ReadResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
-	var answer ReadResponse
+	var response ReadResponse
 	url := fmt.Sprintf("http://%s/log/%s?from=%d&wait=%s", c.log, stream, from, wait)
-	status, err := c.getJSON(ctx, url, &answer)
+	status, err := c.getJSON(ctx, url, &response)
 	if err != nil {
 		return ReadResponse{}, err
 	}
 	if status == http.StatusGone {
-		return answer, trace.Wrap(fmt.Errorf("%w: offset %d, first is %d", ErrExpired, from, answer.First))
+		return response, trace.Wrap(fmt.Errorf("%w: offset %d, first is %d", ErrExpired, from, response.First))
 	}
-	return answer, nil
+	return response, nil
 }
 
 // Instances returns the platform's list of instances.
 func (c *Client) Instances(ctx context.Context) ([]models.Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var answer ListResponse
-	_, err := c.getJSON(ctx, fmt.Sprintf("http://%s/instances", c.list), &answer)
-	return answer.Instances, err
+	var response ListResponse
+	_, err := c.getJSON(ctx, fmt.Sprintf("http://%s/instances", c.list), &response)
+	return response.Instances, err
 }
 
 func (c *Client) getJSON(ctx context.Context, url string, out any) (int, error) {
--- a/worker/platform/follower.go
+++ b/worker/platform/follower.go
@@ -36,22 +36,22 @@
 	for ctx.Err() == nil {
 		f.pollSeek()
 		startedAt := time.Now()
-		answer, err := f.Client.Read(ctx, f.Stream, f.Next, f.nextWait())
+		response, err := f.Client.Read(ctx, f.Stream, f.Next, f.nextWait())
 		if ctx.Err() != nil {
 			break
 		}
 		f.atEnd = false
 		switch {
 		case errors.Is(err, ErrExpired):
-			types.Send(ctx, f.Out, types.LogExpired{First: answer.First})
+			types.Send(ctx, f.Out, types.LogExpired{First: response.First})
 			f.awaitSeek(ctx, maxReadWait)
 		case err != nil:
 			types.Send(ctx, f.Out, types.LogUnavailable{Err: err})
 			sleep(ctx, readRetryDelay)
 		default:
-			f.Next += models.Offset(len(answer.Entries))
-			f.atEnd = f.Next >= answer.Next
-			types.Send(ctx, f.Out, types.LogRead{StartedAt: startedAt, Entries: answer.Entries, Next: answer.Next})
+			f.Next += models.Offset(len(response.Entries))
+			f.atEnd = f.Next >= response.Next
+			types.Send(ctx, f.Out, types.LogRead{StartedAt: startedAt, Entries: response.Entries, Next: response.Next})
 		}
 	}
 	return ctx.Err()
--- a/worker/upstream/upstream.go
+++ b/worker/upstream/upstream.go
@@ -106,12 +106,12 @@
 	case err != nil:
 		return nil, errors.Join(ErrMayHaveRun, ErrNotServing, trace.Wrap(err))
 	}
-	answer := &Response{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}
-	if err := checkHeader(call, answer); err != nil {
+	response := &Response{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}
+	if err := checkHeader(call, response); err != nil {
 		resp.Body.Close()
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
 func newRequest(ctx context.Context, call Call) (*http.Request, error) {
