--- a/api/operators.go
+++ b/api/operators.go
@@ -204,7 +204,7 @@
 	_, listed := cr.view.State.Daemons[own.ID]
 	f.Daemons = append(f.Daemons, query.Daemon{Status: own, OnRoster: listed})
 	for _, p := range cr.view.Peers {
-		f.Daemons = append(f.Daemons, query.Daemon{Status: p.Status, Age: now.Sub(p.Seen), OnRoster: p.OnRoster})
+		f.Daemons = append(f.Daemons, query.Daemon{Status: p.Status, Age: now.Sub(p.LastSeen), OnRoster: p.OnRoster})
 	}
 	return f
 }
--- a/cluster/demand.go
+++ b/cluster/demand.go
@@ -13,17 +13,17 @@
 	// demandSmoothing is the weight of the previous estimate in the moving average, which is
 	// updated at each planning round, twenty times a second: it follows changes within two seconds.
 	demandSmoothing = 0.95
-	// minWork is the total work, in groups, below which the shares declared in the configuration
+	// minDemand is the total demand, in groups, below which the shares declared in the configuration
 	// are used instead of the measured demand.
-	minWork = 0.5
+	minDemand = 0.5
 )
 
-// demand returns the share of all instances that each model needs.
-func (o *owner) demand(engine *models.EngineProfile) map[models.ModelName]float64 {
-	work := o.work()
+// demandShares returns the share of all instances that each model needs.
+func (o *owner) demandShares(engine *models.EngineProfile) map[models.ModelName]float64 {
+	demand := o.clusterDemand()
 	total := 0.0
 	for _, m := range engine.Models {
-		total += work[m.Name] * float64(m.GroupSize)
+		total += demand[m.Name] * float64(m.GroupSize)
 	}
 	if total > 0 {
 		o.fleet.hasTraffic = true
@@ -31,17 +31,17 @@
 	want := map[models.ModelName]float64{}
 	for _, m := range engine.Models {
 		want[m.Name] = m.Share
-		if total > minWork {
-			want[m.Name] = work[m.Name] * float64(m.GroupSize) / total
+		if total > minDemand {
+			want[m.Name] = demand[m.Name] * float64(m.GroupSize) / total
 		}
 	}
-	if o.fleet.demand == nil || total <= minWork {
-		o.fleet.demand = want
+	if o.fleet.demandShares == nil || total <= minDemand {
+		o.fleet.demandShares = want
 	}
 	for name, w := range want {
-		o.fleet.demand[name] = demandSmoothing*o.fleet.demand[name] + (1-demandSmoothing)*w
+		o.fleet.demandShares[name] = demandSmoothing*o.fleet.demandShares[name] + (1-demandSmoothing)*w
 	}
-	return maps.Clone(o.fleet.demand)
+	return maps.Clone(o.fleet.demandShares)
 }
 
 // inFlightSmoothing is the weight of the previous average in the moving average of requests, which
@@ -103,11 +103,11 @@
 	}
 	o.fleet.supplyLoggedAt = w.Now
 	groups := o.fleet.serving(w.Now)
-	work := o.work()
+	demand := o.clusterDemand()
 	for _, m := range engine.Models {
 		busy := int(w.InFlight[m.Name])
 		o.n.log.Info().Str("model", string(m.Name)).Int("groups", len(groups[m.Name])).Int("size", m.GroupSize).Int("in-flight", busy).
-			Float64("demand", w.Demand[m.Name]).Float64("work", work[m.Name]).Int("instances", len(w.Instances)).
+			Float64("demand", w.DemandShares[m.Name]).Float64("work", demand[m.Name]).Int("instances", len(w.Instances)).
 			Int("lost", len(w.Unreachable)).Msg("supply")
 	}
 	c := o.fleet.planner.Counts()
--- a/cluster/fleet.go
+++ b/cluster/fleet.go
@@ -59,12 +59,12 @@
 	lastBroadcastAt time.Time
 	// supplyLoggedAt is when the supply was last logged.
 	supplyLoggedAt time.Time
-	// demand is the share of all instances that each model needs, inFlight the number of requests at
-	// its groups, withheld the number of their slots that rate limits and backoff withhold. All
-	// three are moving averages.
-	demand   map[models.ModelName]float64
-	inFlight map[models.ModelName]float64
-	withheld map[models.ModelName]float64
+	// demandShares is the share of all instances that each model needs, inFlight the number of
+	// requests at its groups, withheld the number of their slots that rate limits and backoff
+	// withhold. All three are moving averages.
+	demandShares map[models.ModelName]float64
+	inFlight     map[models.ModelName]float64
+	withheld     map[models.ModelName]float64
 }
 
 // knownInstance is an upstream instance, with the ages of what is known of it.
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -301,7 +301,7 @@
 // recordResponseHead records the backoff and leaving signals in an instance's response to an order
 // or a probe.
 func (n *Node) recordResponseHead(id models.InstanceID, head models.ResponseHead) {
-	n.breakers.ObserveHead(id, n.View().All[id].StartedAt, head)
+	n.breakers.ObserveHead(id, n.View().Instances[id].StartedAt, head)
 }
 
 // sendProbe asks an instance for a report in the background. It returns false if the instance's
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -172,10 +172,10 @@
 
 // updateFleetView updates the instances, groups and services of a view.
 func (o *owner) updateFleetView(v *View, now time.Time) {
-	if o.fleet.listStale || v.All == nil {
+	if o.fleet.listStale || v.Instances == nil {
 		// The fields of listed instances do not change. Copying 766 instances for each view took
 		// 1.2 ms and 1.0 MB, a dozen times a second.
-		v.All, o.fleet.listStale = o.fleet.copyInstances(), false
+		v.Instances, o.fleet.listStale = o.fleet.copyInstances(), false
 	}
 	v.stalled = o.fleet.stalledHeads(now)
 	if o.config.routing == nil {
@@ -193,7 +193,7 @@
 	if o.n.isRosterReady() || v.Topology.Size > 1 {
 		v.Daemons = v.Topology.Size
 	}
-	v.zoneWork = o.zoneWorkUpdate()
+	v.zoneDemand = o.zoneDemandUpdate()
 	v.Planner, v.Term = o.fleet.planner != nil, max(o.peers.term, o.fleet.term())
 	v.eligible, v.candidate = o.isEligible(), o.isCandidate(now)
 	v.configSource, v.configRequesters = o.peers.configSource, map[models.DaemonID]bool{}
--- a/cluster/owner_test.go
+++ b/cluster/owner_test.go
@@ -24,7 +24,7 @@
 	o.applyEntry(models.UpstreamInstance{ID: "head", Group: models.Membership{Key: key, State: models.MemberOpen}}, now)
 	o.fleetStale = true
 	o.publish()
-	shown := func() uintptr { return reflect.ValueOf(o.n.View().All).Pointer() }
+	shown := func() uintptr { return reflect.ValueOf(o.n.View().Instances).Pointer() }
 	before := shown()
 
 	o.handleHeartbeat(heartbeatReceived{heartbeat: Heartbeat{From: "d2", Addr: "127.0.0.1:9"}, receivedAt: now})
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -128,7 +128,7 @@
 	b := Heartbeat{
 		From: n.cfg.ID, Incarnation: n.started, Addr: n.cfg.Peer.String(), Zone: n.cfg.Zone, Term: v.Term,
 		IsPlanner: n.planning.Load(),
-		CPUCores:  n.cfg.CPUCores, AcceptsCompressed: true, ConfigSource: v.configSource, Work: map[models.ModelName]float32{}, Stalled: v.stalled,
+		CPUCores:  n.cfg.CPUCores, AcceptsCompressed: true, ConfigSource: v.configSource, Demand: map[models.ModelName]float32{}, Stalled: v.stalled,
 		UsesRelay: l.UsesRelay, UsesLoads: l.UsesLoads, Size: v.Daemons,
 		MissedUpdates: n.missedUpdates.pending() && n.requestsSnapshotFrom(to, l), EntriesAge: n.entriesAge(), Era: n.era.Load(),
 	}
@@ -136,7 +136,7 @@
 		b.Interval = every
 	}
 	if l.CrossZone {
-		b.ZoneWork = v.zoneWork
+		b.ZoneDemand = v.zoneDemand
 	}
 	if n.limits.Any() {
 		b.Grants = v.votes[to]
@@ -144,8 +144,8 @@
 			b.Granters = v.Topology.Granters
 		}
 	}
-	for model, work := range n.traffic.Demand() {
-		b.Work[model] = float32(work)
+	for model, demand := range n.traffic.Demand() {
+		b.Demand[model] = float32(demand)
 	}
 	if v.Routing != nil {
 		b.ConfigVersion, b.ConfigAge = v.Routing.Version, n.clock.Since(v.ConfirmedAt)
--- a/cluster/peerserver_test.go
+++ b/cluster/peerserver_test.go
@@ -66,7 +66,7 @@
 	s := &peerServer{n: n}
 	full := Heartbeat{
 		From: "front-plovdiv-a-1", Incarnation: 1_780_000_000_000_000_000, Addr: "10.1.0.40:7340", Zone: "plovdiv-a", CPUCores: 0.19,
-		ConfigVersion: 17, ConfigAge: 400 * time.Millisecond, Term: 4, Work: map[models.ModelName]float32{"sexa3699b5": 1.5, "yeti827f2c": 0.5},
+		ConfigVersion: 17, ConfigAge: 400 * time.Millisecond, Term: 4, Demand: map[models.ModelName]float32{"sexa3699b5": 1.5, "yeti827f2c": 0.5},
 	}
 	var from Heartbeat
 	for at, heartbeat := range []Heartbeat{full, full.abbreviated()} {
--- a/cluster/permits.go
+++ b/cluster/permits.go
@@ -156,7 +156,7 @@
 		share = v.Topology.ShareOf(v.shares, zone)
 	}
 	rate := func(w ratelimit.Candidate) float64 {
-		i, known := v.All[w.Instance]
+		i, known := v.Instances[w.Instance]
 		if !known {
 			i.ID = w.Instance
 		}
--- a/cluster/planning.go
+++ b/cluster/planning.go
@@ -184,11 +184,11 @@
 func (o *owner) planningSnapshot(name models.ServiceName, engine *models.EngineProfile, now time.Time) fleet.Snapshot {
 	inFlight, withheld := o.requestsInFlight(engine, now)
 	w := fleet.Snapshot{
-		Now: now, Profile: engine, Demand: o.demand(engine), InFlight: inFlight, LimitedSlots: withheld,
+		Now: now, Profile: engine, DemandShares: o.demandShares(engine), InFlight: inFlight, LimitedSlots: withheld,
 		Instances: map[models.InstanceID]models.UpstreamInstance{}, Unreachable: map[models.InstanceID]bool{},
 		Unverified: map[models.InstanceID]bool{}, Unlisted: map[models.InstanceID]bool{},
 	}
-	// demand has updated hasTraffic.
+	// demandShares has updated hasTraffic.
 	w.HasTraffic = o.fleet.hasTraffic
 	for id, i := range o.fleet.instances {
 		if i.Service != name {
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -25,10 +25,10 @@
 	Term    int64
 	// Planner is set if this node is the planner.
 	Planner bool
-	// All are all instances, as of the last time that one was added, removed or began to leave. It
-	// is valid for fields that do not change in an instance's incarnation, such as address and
+	// Instances are all instances, as of the last time that one was added, removed or began to leave.
+	// It is valid for fields that do not change in an instance's incarnation, such as address and
 	// service.
-	All map[models.InstanceID]models.UpstreamInstance
+	Instances map[models.InstanceID]models.UpstreamInstance
 	// Topology is the topology of the peers: the daemons to which this node sends, and what.
 	Topology *membership.Topology
 
@@ -38,8 +38,8 @@
 	// ask this node.
 	configSource     models.DaemonID
 	configRequesters map[models.DaemonID]bool
-	// zoneWork is the demand of this node's zone that it sends to other zones, if it is a relay.
-	zoneWork map[models.ModelName]float32
+	// zoneDemand is the demand of this node's zone that it sends to other zones, if it is a relay.
+	zoneDemand map[models.ModelName]float32
 	// hasPeers is set while heartbeats of other daemons arrive.
 	hasPeers bool
 	// configBehind is set if another daemon has had a newer configuration for longer than
--- a/cluster/wire.go
+++ b/cluster/wire.go
@@ -68,11 +68,11 @@
 	Era int64 `msgpack:"er,omitempty"`
 	// Stalled are the heads that the sender found stalled.
 	Stalled []StalledHead `msgpack:"s,omitempty"`
-	// Work is the demand of the sender's callers for each model, in group-seconds per second.
-	Work map[models.ModelName]float32 `msgpack:"w,omitempty"`
-	// ZoneWork is the total Work of all daemons in the sender's zone. Relays send it to relays of
+	// Demand is the demand of the sender's callers for each model, in group-seconds per second.
+	Demand map[models.ModelName]float32 `msgpack:"w,omitempty"`
+	// ZoneDemand is the total Demand of all daemons in the sender's zone. Relays send it to relays of
 	// other zones.
-	ZoneWork map[models.ModelName]float32 `msgpack:"zw,omitempty"`
+	ZoneDemand map[models.ModelName]float32 `msgpack:"zw,omitempty"`
 	// Grants is, by zone of the instances, the number of daemons for which the sender requests
 	// permits from the receiver. Granters are the granters of permits as the sender, a relay, knows
 	// them. Both are sent only while some instance has a rate limit.
--- a/commands/gc.go
+++ b/commands/gc.go
@@ -42,7 +42,7 @@
 			return ctx.Err()
 		case <-ticks:
 		}
-		if percent := gcPercent(len(node.View().All)); percent != current {
+		if percent := gcPercent(len(node.View().Instances)); percent != current {
 			current = percent
 			debug.SetGCPercent(percent)
 		}
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -155,7 +155,7 @@
 	first := int(d.responseCount.Add(1)) * maxGossip
 	for i := range min(maxGossip, len(v.Peers)) {
 		p := v.Peers[(first+i)%len(v.Peers)]
-		if age := now.Sub(p.Seen); age < sparsePeerTimeout && p.Status.ID != receiver {
+		if age := now.Sub(p.LastSeen); age < sparsePeerTimeout && p.Status.ID != receiver {
 			out = append(out, peer.GossipEntry{Status: p.Status, Age: age})
 		}
 	}
@@ -198,11 +198,11 @@
 		return
 	}
 	known, found := o.peers[s.ID]
-	if found && (msg.SentAt.Before(known.Seen) || s.Incarnation < known.Status.Incarnation) {
+	if found && (msg.SentAt.Before(known.LastSeen) || s.Incarnation < known.Status.Incarnation) {
 		return
 	}
 	o.needsPublish = o.needsPublish || known.Status.Applied != s.Applied
-	o.peers[s.ID] = Peer{Status: s, Seen: msg.SentAt, OnRoster: o.onRoster(s)}
+	o.peers[s.ID] = Peer{Status: s, LastSeen: msg.SentAt, OnRoster: o.onRoster(s)}
 	if !found {
 		o.updatePeerTargets()
 	}
@@ -217,7 +217,7 @@
 	for id, p := range o.peers {
 		p.OnRoster = o.onRoster(p.Status)
 		o.peers[id] = p
-		if _, listed := o.state.Daemons[id]; !listed && time.Since(p.Seen) > removeSilentAfter {
+		if _, listed := o.state.Daemons[id]; !listed && time.Since(p.LastSeen) > removeSilentAfter {
 			delete(o.peers, id)
 		}
 	}
@@ -282,7 +282,7 @@
 	}
 	var serving []models.DaemonID
 	for id, p := range o.peers {
-		if p.OnRoster && now.Sub(p.Seen) < timeout && p.Status.Serving {
+		if p.OnRoster && now.Sub(p.LastSeen) < timeout && p.Status.Serving {
 			serving = append(serving, id)
 		}
 	}
@@ -318,7 +318,7 @@
 		case id == o.d.cfg.ID && d.Incarnation == o.d.incarnation:
 			seenAt = append(seenAt, now)
 		case p.OnRoster && p.Status.Applied <= o.state.Applied:
-			seenAt = append(seenAt, p.Seen)
+			seenAt = append(seenAt, p.LastSeen)
 		}
 	}
 	majority := len(o.state.Daemons)/2 + 1
--- a/daemon/planning.go
+++ b/daemon/planning.go
@@ -139,7 +139,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(o.state.Daemons)) {
 		d := o.state.Daemons[id]
-		if id == o.d.cfg.ID || now.Sub(o.peers[id].Seen) < removeSilentAfter {
+		if id == o.d.cfg.ID || now.Sub(o.peers[id].LastSeen) < removeSilentAfter {
 			delete(o.silentSince, id)
 			continue
 		}
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -37,8 +37,8 @@
 // Peer is another daemon and its last known status.
 type Peer struct {
 	Status types.PeerStatus
-	// Seen is the latest time at which Status is known to have been true.
-	Seen time.Time
+	// LastSeen is the latest time at which Status is known to have been true.
+	LastSeen time.Time
 	// OnRoster reports whether the roster lists this incarnation of the daemon.
 	OnRoster bool
 }
@@ -53,7 +53,7 @@
 func (v *View) Serving(now time.Time) []models.DaemonID {
 	var out []models.DaemonID
 	for _, p := range v.Peers {
-		if p.OnRoster && p.Status.Serving && now.Sub(p.Seen) < v.peerTimeout() {
+		if p.OnRoster && p.Status.Serving && now.Sub(p.LastSeen) < v.peerTimeout() {
 			out = append(out, p.Status.ID)
 		}
 	}
--- a/fleet/planner.go
+++ b/fleet/planner.go
@@ -57,8 +57,8 @@
 	// Unverified holds instances that the planner has not queried in its own term. Their known state
 	// may be older than the last orders of the previous planner, so they join no new groups.
 	Unverified map[models.InstanceID]bool
-	// Demand is the fraction of all instances that each model needs.
-	Demand map[models.ModelName]float64
+	// DemandShares is the fraction of all instances that each model needs.
+	DemandShares map[models.ModelName]float64
 	// InFlight is the number of requests in flight in each model's groups.
 	InFlight map[models.ModelName]float64
 	// LimitedSlots is the number of slots of each model's groups that can't be used because their
--- a/fleet/sim_test.go
+++ b/fleet/sim_test.go
@@ -109,7 +109,7 @@
 func (s *sim) snapshot() Snapshot {
 	w := Snapshot{
 		Now: s.now, Profile: s.profile, Instances: map[models.InstanceID]models.UpstreamInstance{},
-		Unreachable: map[models.InstanceID]bool{}, Demand: s.demand, InFlight: s.requests, HasTraffic: s.traffic,
+		Unreachable: map[models.InstanceID]bool{}, DemandShares: s.demand, InFlight: s.requests, HasTraffic: s.traffic,
 	}
 	for id, i := range s.instances {
 		w.Instances[id] = i.UpstreamInstance
--- a/fleet/supply.go
+++ b/fleet/supply.go
@@ -14,7 +14,9 @@
 type supply map[models.ModelName]int
 
 // demandOf returns the fraction of all instances that the model needs.
-func (s Snapshot) demandOf(m models.ModelProfile) float64 { return max(minDemand, s.Demand[m.Name]) }
+func (s Snapshot) demandOf(m models.ModelProfile) float64 {
+	return max(minDemand, s.DemandShares[m.Name])
+}
 
 // marginalGain is the gain from one more instance: the decrease in the waiting time of a request,
 // times the number of requests.
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -28,7 +28,7 @@
 
 // signal records a backoff or leaving signal of an instance at the gateway.
 func (s *limitFixture) signal(id models.InstanceID, backoff time.Duration, leaving bool) {
-	s.node.breakers.Observe(breaker.Signal{Instance: id, StartedAt: s.node.view.All[id].StartedAt, ReceivedAt: time.Now(), Backoff: backoff, Leaving: leaving})
+	s.node.breakers.Observe(breaker.Signal{Instance: id, StartedAt: s.node.view.Instances[id].StartedAt, ReceivedAt: time.Now(), Backoff: backoff, Leaving: leaving})
 }
 
 // TestSignalAppliesToNextRequest checks that a backoff or a leaving signal in a response applies
@@ -64,9 +64,9 @@
 // taken over the address, does not mark the former one as leaving.
 func TestLeavingFromReusedAddressIgnored(t *testing.T) {
 	s := newLimitFixture(t)
-	other := s.node.view.All["p1"]
+	other := s.node.view.Instances["p1"]
 	other.ID = "p3"
-	s.node.view.All["p3"] = other
+	s.node.view.Instances["p3"] = other
 	s.status, s.headers = http.StatusMisdirectedRequest, map[string]string{"Server-Leaving": "1"}
 	s.sendUntil("p1")
 	s.c.Assert(s.node.breakers.Any(), qt.IsFalse)
@@ -116,7 +116,7 @@
 func TestBackoffCheckedBeforeSend(t *testing.T) {
 	s := newLimitFixture(t)
 	g := New(Settings{RetryWindow: time.Second}, s.node, newScheduler(), metrics.NewSet(), zerolog.Nop())
-	i := s.node.view.All["p1"]
+	i := s.node.view.Instances["p1"]
 	s.setLimit("p1")
 	p := permit{instance: "p1", granted: time.Now()}
 	r, err := http.NewRequest(http.MethodPost, "http://api.example/again/x", nil)
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -88,7 +88,7 @@
 // executing, and probes it at once. The channel is closed after the first probe. An instance that
 // was about to leave ends as planned and is not probed.
 func (cd *crashDetector) noteDisconnect(ctx context.Context, i models.UpstreamInstance, d quarantine.Digest) <-chan struct{} {
-	known, there := cd.node.View().All[i.ID]
+	known, there := cd.node.View().Instances[i.ID]
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
 	c := cd.disconnects[i.ID]
@@ -182,7 +182,7 @@
 
 // sweep looks for instances that have restarted, and drops old disconnects.
 func (cd *crashDetector) sweep(now time.Time) {
-	all := cd.node.View().All
+	all := cd.node.View().Instances
 	var restarted []*disconnect
 	cd.mu.Lock()
 	for id, c := range cd.disconnects {
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -46,9 +46,9 @@
 			if !test.listens {
 				l.Close()
 			}
-			node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{All: map[models.InstanceID]models.UpstreamInstance{}}}
+			node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{Instances: map[models.InstanceID]models.UpstreamInstance{}}}
 			if !test.unlisted {
-				node.view.All[i.ID] = i
+				node.view.Instances[i.ID] = i
 			}
 			cd := newCrashDetector(node, metrics.NewSet(), zerolog.Nop())
 			probed := cd.noteDisconnect(context.Background(), i, quarantine.Request{Target: "/x"}.Digest())
@@ -60,7 +60,7 @@
 			if test.bornAnewLater {
 				later := i
 				later.StartedAt = i.StartedAt.Add(time.Second)
-				node.view.All[i.ID] = later
+				node.view.Instances[i.ID] = later
 			}
 			cd.sweep(time.Now())
 			cd.mu.Lock()
@@ -94,7 +94,7 @@
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	i := models.UpstreamInstance{ID: "i", Addr: netip.MustParseAddrPort(l.Addr().String())}
-	node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{All: map[models.InstanceID]models.UpstreamInstance{i.ID: i}}}
+	node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{Instances: map[models.InstanceID]models.UpstreamInstance{i.ID: i}}}
 	cd := newCrashDetector(node, metrics.NewSet(), zerolog.Nop())
 	reset, guilty := quarantine.Request{Target: "/reset"}.Digest(), quarantine.Request{Target: "/guilty"}.Digest()
 	cd.noteDisconnect(context.Background(), i, reset)
@@ -114,14 +114,14 @@
 func TestRestartLongAfterReset(t *testing.T) {
 	c := qt.New(t)
 	i := models.UpstreamInstance{ID: "i", StartedAt: time.Unix(1, 0), Addr: netip.MustParseAddrPort("127.0.0.1:1")}
-	node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{All: map[models.InstanceID]models.UpstreamInstance{}}}
+	node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{Instances: map[models.InstanceID]models.UpstreamInstance{}}}
 	cd := newCrashDetector(node, metrics.NewSet(), zerolog.Nop())
 	d := quarantine.Request{Target: "/reset"}.Digest()
 	now := time.Now()
 	cd.disconnects[i.ID] = &disconnect{instance: i, at: now, requests: map[quarantine.Digest]struct{}{d: {}}}
 	cd.sweep(now.Add(restartWindow + time.Second))
 	i.StartedAt = i.StartedAt.Add(time.Minute)
-	node.view.All[i.ID] = i
+	node.view.Instances[i.ID] = i
 	cd.sweep(now.Add(restartWindow + 2*time.Second))
 	c.Assert(node.quarantine.Status(d).Crashes, qt.Equals, 0)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -125,7 +125,7 @@
 // depends on whether the upstream is in the daemon's zone.
 func (g *Gateway) connOpened(addr netip.AddrPort) h1.Meter {
 	g.stats.connsOpened.Inc()
-	for _, i := range g.node.View().All {
+	for _, i := range g.node.View().Instances {
 		if i.Addr == addr && i.Zone == g.cfg.Zone {
 			return g.stats.ownZone
 		}
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -151,7 +151,7 @@
 
 // hasRestarted reports whether an instance is known to have restarted since it was picked.
 func (g *Gateway) hasRestarted(i models.UpstreamInstance) bool {
-	now, there := g.node.View().All[i.ID]
+	now, there := g.node.View().Instances[i.ID]
 	return there && i.CompareIncarnation(now.StartedAt) == models.LaterIncarnation
 }
 
--- a/gateway/permit_test.go
+++ b/gateway/permit_test.go
@@ -78,7 +78,7 @@
 
 // setLimit records a rate limit of an instance at the gateway.
 func (s *limitFixture) setLimit(id models.InstanceID) {
-	i := s.node.view.All[id]
+	i := s.node.view.Instances[id]
 	s.node.limits.Observe(ratelimit.Observation{Instance: id, StartedAt: i.StartedAt, Rate: 2, SentAt: time.Now(), ReceivedAt: time.Now()})
 }
 
@@ -178,7 +178,7 @@
 func TestPermitCheckedBeforeSend(t *testing.T) {
 	s := newLimitFixture(t)
 	g := New(Settings{RetryWindow: time.Second}, s.node, newScheduler(), metrics.NewSet(), zerolog.Nop())
-	i := s.node.view.All["p1"]
+	i := s.node.view.Instances["p1"]
 	s.c.Assert(permit{}.allows(g, i), qt.IsTrue)
 	s.setLimit("p1")
 	s.c.Assert(permit{}.allows(g, i), qt.IsFalse)
--- a/gateway/script_test.go
+++ b/gateway/script_test.go
@@ -178,9 +178,9 @@
 		node.peerRequests[id] = requests
 	}
 	for _, line := range lines(parts["restarted"]) {
-		u := node.view.All[models.InstanceID(line)]
+		u := node.view.Instances[models.InstanceID(line)]
 		u.StartedAt = u.StartedAt.Add(time.Second)
-		node.view.All[u.ID] = u
+		node.view.Instances[u.ID] = u
 	}
 	cfg := Settings{MaxKeysProofAge: time.Minute, MaxConfigAge: time.Minute, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second}
 	if settle, given := parts["settle"]; given {
@@ -213,13 +213,13 @@
 	v := &cluster.View{
 		Routing: routing, ConfirmedAt: time.Now(), Groups: map[models.ModelName][]cluster.Group{},
 		Services: map[models.ServiceName][]models.UpstreamInstance{}, Daemons: 1,
-		All: map[models.InstanceID]models.UpstreamInstance{},
+		Instances: map[models.InstanceID]models.UpstreamInstance{},
 	}
 	for _, i := range instances {
 		u := models.UpstreamInstance{
 			ID: models.InstanceID(i.name), StartedAt: time.Unix(1, 0), Addr: netip.MustParseAddrPort(i.l.Addr().String()), Service: "plain",
 		}
-		v.All[u.ID] = u
+		v.Instances[u.ID] = u
 		if !strings.HasPrefix(i.name, "g") {
 			v.Services["plain"] = append(v.Services["plain"], u)
 			continue
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -98,7 +98,7 @@
 
 // isAddressShared reports whether another instance is known to have the same address.
 func (g *Gateway) isAddressShared(i models.UpstreamInstance) bool {
-	for id, other := range g.node.View().All {
+	for id, other := range g.node.View().Instances {
 		if id != i.ID && other.Addr == i.Addr {
 			return true
 		}
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -106,11 +106,11 @@
 			v := g.node.View()
 			g.conns.SetMaxIdle(idleConnLimits(v, g.cfg.Listen))
 			g.conns.Sweep(tick.At)
-			g.scheduler.prune(v.All)
+			g.scheduler.prune(v.Instances)
 			g.crashes.sweep(tick.At)
 			g.node.Quarantine().Prune()
-			g.node.Limits().Prune(v.All)
-			g.node.Breakers().Prune(v.All)
+			g.node.Limits().Prune(v.Instances)
+			g.node.Breakers().Prune(v.Instances)
 		}
 	}
 }
@@ -124,8 +124,8 @@
 // chosen by a hash that differs between instances, so that all daemons together stay within the
 // fraction.
 func idleConnLimits(v *cluster.View, self netip.AddrPort) map[netip.AddrPort]int {
-	limits := make(map[netip.AddrPort]int, len(v.All))
-	for _, i := range v.All {
+	limits := make(map[netip.AddrPort]int, len(v.Instances))
+	for _, i := range v.Instances {
 		limits[i.Addr] = h1.MaxIdle
 		if v.Routing == nil {
 			continue
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -21,7 +21,7 @@
 	limit := func(maxConns, daemons, self int) int {
 		v := &cluster.View{
 			Daemons: daemons, Routing: &models.Routing{Services: map[models.ServiceName]models.UpstreamService{"s": {MaxConnections: maxConns}}},
-			All: map[models.InstanceID]models.UpstreamInstance{"i": {Addr: addr, Service: "s"}},
+			Instances: map[models.InstanceID]models.UpstreamInstance{"i": {Addr: addr, Service: "s"}},
 		}
 		listen := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(self % 9), byte(self / 200), byte(self)}), 8080)
 		return idleConnLimits(v, listen)[addr]
