--- a/api/operators.go
+++ b/api/operators.go
@@ -19,8 +19,8 @@
 	"github.com/lupinkeel/lupinkeel/state"
 )
 
-// AskAnswer is the result of an operator's commands.
-type AskAnswer struct {
+// AskResponse is the result of an operator's commands.
+type AskResponse struct {
 	query.Result
 	// Change is set for commands that change the configuration.
 	Change *ChangeResult `json:"change,omitempty"`
@@ -120,12 +120,12 @@
 		return
 	}
 	runner := commandRunner{s: s, view: view, operator: operator, text: string(text), opts: readAskOptions(r.URL.Query())}
-	answer, err := runner.run(r.Context(), commands)
+	response, err := runner.run(r.Context(), commands)
 	if err != nil {
 		writeAskError(w, err)
 		return
 	}
-	writeJSON(w, statusOf(answer), answer)
+	writeJSON(w, statusOf(response), response)
 }
 
 func writeAskError(w http.ResponseWriter, err error) {
@@ -134,10 +134,10 @@
 		p.status = http.StatusBadRequest
 	}
 	detail := newErrorDetail(err, router.OutcomeNone)
-	writeJSON(w, p.status, AskAnswer{Error: &detail})
+	writeJSON(w, p.status, AskResponse{Error: &detail})
 }
 
-func statusOf(a AskAnswer) int {
+func statusOf(a AskResponse) int {
 	if a.Change == nil {
 		return http.StatusOK
 	}
@@ -165,7 +165,7 @@
 // errMixed is returned for commands that can't run together.
 var errMixed = errors.New("changes and questions can't be mixed, and only one question or plan is answered at a time")
 
-func (cr commandRunner) run(ctx context.Context, commands []*query.Command) (AskAnswer, error) {
+func (cr commandRunner) run(ctx context.Context, commands []*query.Command) (AskResponse, error) {
 	var changes []*query.Change
 	for _, c := range commands {
 		if c.Change != nil {
@@ -174,13 +174,13 @@
 	}
 	switch {
 	case len(commands) == 0:
-		return AskAnswer{}, fmt.Errorf("%w: there is no command", ErrBadBody)
+		return AskResponse{}, fmt.Errorf("%w: there is no command", ErrBadBody)
 	case len(changes) == len(commands) && cr.opts.Diff:
 		return cr.preview(changes)
 	case len(changes) == len(commands):
 		return cr.change(ctx, changes)
 	case len(commands) > 1:
-		return AskAnswer{}, errMixed
+		return AskResponse{}, errMixed
 	case commands[0].Plan != nil:
 		return cr.preview([]*query.Change{commands[0].Plan})
 	case commands[0].Where != nil:
@@ -188,8 +188,8 @@
 	case commands[0].Why != nil && commands[0].Why.What == "request":
 		return cr.whyRequest(ctx, commands[0].Why.Name)
 	default:
-		answer, err := query.Evaluate(cr.facts(), commands[0])
-		return AskAnswer{Result: answer}, err
+		result, err := query.Evaluate(cr.facts(), commands[0])
+		return AskResponse{Result: result}, err
 	}
 }
 
@@ -223,21 +223,21 @@
 }
 
 // whereRequest answers where a request ran.
-func (cr commandRunner) whereRequest(ctx context.Context, id string) (AskAnswer, error) {
+func (cr commandRunner) whereRequest(ctx context.Context, id string) (AskResponse, error) {
 	entry, err := cr.findRequest(ctx, id)
 	if err != nil {
-		return AskAnswer{}, err
+		return AskResponse{}, err
 	}
-	return AskAnswer{Result: query.WhereRequest(entry)}, nil
+	return AskResponse{Result: query.WhereRequest(entry)}, nil
 }
 
 // whyRequest answers in one sentence why a request ended as it did.
-func (cr commandRunner) whyRequest(ctx context.Context, id string) (AskAnswer, error) {
+func (cr commandRunner) whyRequest(ctx context.Context, id string) (AskResponse, error) {
 	entry, err := cr.findRequest(ctx, id)
 	if err != nil {
-		return AskAnswer{}, err
+		return AskResponse{}, err
 	}
-	return AskAnswer{Result: query.WhyRequest(entry)}, nil
+	return AskResponse{Result: query.WhyRequest(entry)}, nil
 }
 
 func (cr commandRunner) compile(changes []*query.Change) (state.ChangeConfig, error) {
@@ -264,38 +264,38 @@
 }
 
 // preview answers what a change would do, without making it.
-func (cr commandRunner) preview(changes []*query.Change) (AskAnswer, error) {
+func (cr commandRunner) preview(changes []*query.Change) (AskResponse, error) {
 	change, err := cr.compile(changes)
 	if err != nil {
-		return AskAnswer{}, err
+		return AskResponse{}, err
 	}
 	if len(change.Ops) == 0 {
 		return cr.unchanged(), nil
 	}
 	next, err := cr.view.State.Preview(change.Ops)
 	if err != nil {
-		return AskAnswer{Change: &ChangeResult{Result: ChangeWouldBeRejected, Reason: err.Error()}}, nil
+		return AskResponse{Change: &ChangeResult{Result: ChangeWouldBeRejected, Reason: err.Error()}}, nil
 	}
-	answer := query.Preview(cr.facts(), next)
-	answer.Text = query.Diff(cr.view.State, next)
-	return AskAnswer{Result: answer, Change: &ChangeResult{Result: ChangePlanned, Of: len(cr.view.State.Daemons)}}, nil
+	result := query.Preview(cr.facts(), next)
+	result.Text = query.Diff(cr.view.State, next)
+	return AskResponse{Result: result, Change: &ChangeResult{Result: ChangePlanned, Of: len(cr.view.State.Daemons)}}, nil
 }
 
-// unchanged returns the answer to changes that have no effect.
-func (cr commandRunner) unchanged() AskAnswer {
+// unchanged returns the response to changes that have no effect.
+func (cr commandRunner) unchanged() AskResponse {
 	offset := cr.view.State.ConfigOffset
 	inForce, total := cr.view.InForce(cr.s.cfg.ID, offset)
-	return AskAnswer{
+	return AskResponse{
 		Result: query.Result{Text: "Nothing to change."},
 		Change: &ChangeResult{Result: ChangeAccepted, Offset: offset, InForce: inForce, Of: total},
 	}
 }
 
 // change makes a change and answers on how many daemons it is in force.
-func (cr commandRunner) change(ctx context.Context, changes []*query.Change) (AskAnswer, error) {
+func (cr commandRunner) change(ctx context.Context, changes []*query.Change) (AskResponse, error) {
 	change, err := cr.compile(changes)
 	if err != nil {
-		return AskAnswer{}, err
+		return AskResponse{}, err
 	}
 	if len(change.Ops) == 0 {
 		return cr.unchanged(), nil
@@ -305,13 +305,13 @@
 	outcome, err := cr.s.daemon.Propose(ctx, change)
 	switch {
 	case errors.Is(err, daemon.ErrLogUnavailable):
-		return AskAnswer{Change: &ChangeResult{Result: ChangeRejected, Reason: err.Error(), RetryAfterMS: logRetryAfter.Milliseconds()}}, nil
+		return AskResponse{Change: &ChangeResult{Result: ChangeRejected, Reason: err.Error(), RetryAfterMS: logRetryAfter.Milliseconds()}}, nil
 	case err != nil:
-		return AskAnswer{Change: &ChangeResult{Result: ChangeUnknown, Reason: err.Error() + "; show audit tells whether it took effect"}}, nil
+		return AskResponse{Change: &ChangeResult{Result: ChangeUnknown, Reason: err.Error() + "; show audit tells whether it took effect"}}, nil
 	case outcome.Rejection != nil:
-		return AskAnswer{Change: &ChangeResult{Result: ChangeRejected, Offset: outcome.Offset, Reason: cr.rejectionReason(ctx, outcome)}}, nil
+		return AskResponse{Change: &ChangeResult{Result: ChangeRejected, Offset: outcome.Offset, Reason: cr.rejectionReason(ctx, outcome)}}, nil
 	}
-	return AskAnswer{Change: cr.waitInForce(ctx, outcome.Offset)}, nil
+	return AskResponse{Change: cr.waitInForce(ctx, outcome.Offset)}, nil
 }
 
 // logRetryAfter is when to retry what failed because the log was unavailable.
--- a/cluster/entries_progress_test.go
+++ b/cluster/entries_progress_test.go
@@ -27,7 +27,7 @@
 //
 // relay_cut_off guards against a fault in which requests reached an instance 3.08 s after its
 // leaving signal, all from daemons of one zone that used a relay. The relay had been planner until
-// 2.5 s before, when the store refused its calls. It missed an update of the new planner and could
+// 2.5 s before, when the store rejected its calls. It missed an update of the new planner and could
 // not read the store. The next two updates were consecutive, and it wrongly concluded from them
 // that its entries were current: at 21.0 s its lupinkeel_planner_news_age_seconds was 0.016, though
 // its last read was at 17.5 s. So it answered snapshot requests, and the receivers regarded their
--- a/cluster/lease.go
+++ b/cluster/lease.go
@@ -133,7 +133,7 @@
 }
 
 // renew asks the store for the lease and returns whether this node holds it, with the store's
-// answer.
+// response.
 func (n *Node) renew(ctx context.Context, member string, ttl time.Duration, generation int64) (bool, platform.Lease, error) {
 	n.stats.storeCalls(plannerGroup).Inc()
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
--- a/cluster/limits.go
+++ b/cluster/limits.go
@@ -111,7 +111,7 @@
 	StartedAt time.Time         `msgpack:"b,omitempty"`
 	Rate      float64           `msgpack:"r"`
 	// RequestAge is the time since the request was sent, ResponseAge the time since the head of its
-	// answer arrived.
+	// response arrived.
 	RequestAge  time.Duration `msgpack:"q"`
 	ResponseAge time.Duration `msgpack:"h"`
 	// Observer is the daemon that received the response. Seq increases with each of its observations.
--- a/commands/ask.go
+++ b/commands/ask.go
@@ -95,21 +95,21 @@
 	if err != nil {
 		return err
 	}
-	answer, err := api.Ask(c.Context, settings.Admin, settings.Token, text, opts)
+	response, err := api.Ask(c.Context, settings.Admin, settings.Token, text, opts)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	if settings.JSON {
-		if err := json.NewEncoder(c.App.Writer).Encode(answer); err != nil {
+		if err := json.NewEncoder(c.App.Writer).Encode(response); err != nil {
 			return err
 		}
 	} else {
-		printAnswer(c.App.Writer, answer)
+		printResponse(c.App.Writer, response)
 	}
-	return answerError(answer)
+	return responseError(response)
 }
 
-func answerError(a api.AskAnswer) error {
+func responseError(a api.AskResponse) error {
 	switch {
 	case a.Error != nil:
 		return fmt.Errorf("%w: %s", ErrUsage, a.Error.Message)
@@ -131,7 +131,7 @@
 	return fmt.Sprintf("; nothing was changed, try again in %d ms", r.RetryAfterMS)
 }
 
-func printAnswer(w io.Writer, a api.AskAnswer) {
+func printResponse(w io.Writer, a api.AskResponse) {
 	printTable(w, a.Columns, a.Rows)
 	if a.Text != "" {
 		fmt.Fprintln(w, strings.TrimRight(a.Text, "\n"))
--- a/commands/demo.go
+++ b/commands/demo.go
@@ -96,11 +96,11 @@
 	if err := s.WaitFor(ctx, "all daemons on the roster", ready); err != nil {
 		return err
 	}
-	answer, err := s.Ask(ctx, 0, demoConfig)
+	response, err := s.Ask(ctx, 0, demoConfig)
 	if err != nil {
 		return err
 	}
-	if err := answerError(answer); err != nil {
+	if err := responseError(response); err != nil {
 		return err
 	}
 	return s.WaitFor(ctx, "three groups serving", func(v *daemon.View) bool { return servingGroups(v) == 3 })
--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -26,7 +26,7 @@
 // scriptCommands are the commands that scripts have in addition to those of testscript:
 //
 //	site [flags]            start a site and wait for its engines; see cmdSite
-//	ask DAEMON COMMAND      run an operator's command; stdout is the answer
+//	ask DAEMON COMMAND      run an operator's command; stdout is the response
 //	await DAEMON ROWS TABLE wait until the table has this number of rows
 //	chat DAEMON MODEL [stream] [tokens=N] [key=K]
 //	                        send a request and check that its response is complete
@@ -187,29 +187,29 @@
 	ts.Check(testSiteOf(ts).awaitEngines())
 }
 
-func (s *testSite) ask(daemon, text string) (api.AskAnswer, error) {
+func (s *testSite) ask(daemon, text string) (api.AskResponse, error) {
 	d, err := s.daemon(daemon)
 	if err != nil {
-		return api.AskAnswer{}, err
+		return api.AskResponse{}, err
 	}
 	return api.Ask(context.Background(), d.admin, operatorToken, text, api.AskOptions{})
 }
 
 func cmdAsk(ts *testscript.TestScript, neg bool, args []string) {
 	requireArgs(ts, args, 2, "ask DAEMON COMMAND")
-	var answer api.AskAnswer
+	var response api.AskResponse
 	text := strings.ReplaceAll(strings.Join(args[1:], " "), "$CALLER", api.HashToken(callerToken))
 	text = strings.ReplaceAll(text, "$ID", ts.Getenv("ID"))
 	// A daemon that is starting doesn't respond yet.
 	err := retryFor(awaitTimeout, func() (err error) {
-		answer, err = testSiteOf(ts).ask(args[0], text)
+		response, err = testSiteOf(ts).ask(args[0], text)
 		return err
 	})
 	ts.Check(err)
-	data, err := json.MarshalIndent(answer, "", " ")
+	data, err := json.MarshalIndent(response, "", " ")
 	ts.Check(err)
 	fmt.Fprintln(ts.Stdout(), string(data))
-	failed := answer.Error != nil || (answer.Change != nil && (answer.Change.Result == api.ChangeRejected || answer.Change.Result == api.ChangeUnknown))
+	failed := response.Error != nil || (response.Change != nil && (response.Change.Result == api.ChangeRejected || response.Change.Result == api.ChangeUnknown))
 	if failed != neg {
 		ts.Fatalf("ask %s: %s", args[0], data)
 	}
@@ -219,12 +219,12 @@
 	requireArgs(ts, args, 3, "await DAEMON ROWS TABLE")
 	want, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	var last api.AskAnswer
+	var last api.AskResponse
 	err = retryFor(awaitTimeout, func() error {
-		answer, err := testSiteOf(ts).ask(args[0], strings.Join(args[2:], " "))
-		last = answer
-		if err == nil && len(answer.Rows) != want {
-			err = fmt.Errorf("%s: %d rows instead of %d", args[2], len(answer.Rows), want)
+		response, err := testSiteOf(ts).ask(args[0], strings.Join(args[2:], " "))
+		last = response
+		if err == nil && len(response.Rows) != want {
+			err = fmt.Errorf("%s: %d rows instead of %d", args[2], len(response.Rows), want)
 		}
 		return err
 	})
--- a/e2e/site_test.go
+++ b/e2e/site_test.go
@@ -254,9 +254,9 @@
 func (s *testSite) awaitEngines() error {
 	for _, d := range s.daemons {
 		err := retryFor(awaitTimeout, func() error {
-			answer, err := s.ask(d.name, "show instances where state = alive")
-			if err == nil && len(answer.Rows) != len(s.engines) {
-				err = fmt.Errorf("%s sees %d of %d engines", d.name, len(answer.Rows), len(s.engines))
+			response, err := s.ask(d.name, "show instances where state = alive")
+			if err == nil && len(response.Rows) != len(s.engines) {
+				err = fmt.Errorf("%s sees %d of %d engines", d.name, len(response.Rows), len(s.engines))
 			}
 			return err
 		})
--- a/e2e/state_test.go
+++ b/e2e/state_test.go
@@ -32,16 +32,16 @@
 
 // askResult returns the result of a change, with the reason.
 func (s *testSite) askResult(daemon, text string) string {
-	answer, err := s.ask(daemon, text)
+	response, err := s.ask(daemon, text)
 	switch {
 	case err != nil:
 		return "silent: " + err.Error()
-	case answer.Error != nil:
-		return "error: " + answer.Error.Message
-	case answer.Change == nil:
+	case response.Error != nil:
+		return "error: " + response.Error.Message
+	case response.Change == nil:
 		return "answered"
 	default:
-		return string(answer.Change.Result) + ": " + answer.Change.Reason
+		return string(response.Change.Result) + ": " + response.Change.Reason
 	}
 }
 
@@ -73,14 +73,14 @@
 	seen := map[string]string{}
 	var first string
 	for _, d := range daemons {
-		answer, err := s.ask(d, "show state")
+		response, err := s.ask(d, "show state")
 		if err != nil {
 			return err
 		}
-		if len(answer.Rows) != 1 {
-			return fmt.Errorf("%w: %s answered %v", errDiffer, d, answer.Error)
+		if len(response.Rows) != 1 {
+			return fmt.Errorf("%w: %s answered %v", errDiffer, d, response.Error)
 		}
-		row := answer.Rows[0]
+		row := response.Rows[0]
 		if other, ok := seen[row[applied]]; ok && other != row[digest] {
 			panic(fmt.Sprintf("at offset %s daemons hold %s and %s", row[applied], other, row[digest]))
 		}
@@ -113,10 +113,10 @@
 	ts.Check(err)
 	for i := range n {
 		text := strings.ReplaceAll(args[2], "%d", strconv.Itoa(i))
-		answer, err := testSiteOf(ts).ask(args[1], text)
+		response, err := testSiteOf(ts).ask(args[1], text)
 		ts.Check(err)
-		if answer.Change == nil || answer.Change.Result != api.ChangeAccepted {
-			ts.Fatalf("%s: %+v %+v", text, answer.Change, answer.Error)
+		if response.Change == nil || response.Change.Result != api.ChangeAccepted {
+			ts.Fatalf("%s: %+v %+v", text, response.Change, response.Error)
 		}
 	}
 }
--- a/measure/config.go
+++ b/measure/config.go
@@ -282,8 +282,8 @@
 }
 
 func (r *realConfig) change(ctx context.Context, daemon, value int) bool {
-	answer, err := r.site.Ask(ctx, daemon, fmt.Sprintf("set model %s replicas %d", modelName, value))
-	return err == nil && answer.Change != nil && (answer.Change.Result == api.ChangeAccepted || answer.Change.Result == api.ChangeRecorded)
+	response, err := r.site.Ask(ctx, daemon, fmt.Sprintf("set model %s replicas %d", modelName, value))
+	return err == nil && response.Change != nil && (response.Change.Result == api.ChangeAccepted || response.Change.Result == api.ChangeRecorded)
 }
 
 func (r *realConfig) values() []int {
--- a/site/site.go
+++ b/site/site.go
@@ -268,6 +268,6 @@
 }
 
 // Ask sends an operator's command to one daemon.
-func (s *Site) Ask(ctx context.Context, node int, text string) (api.AskAnswer, error) {
+func (s *Site) Ask(ctx context.Context, node int, text string) (api.AskResponse, error) {
 	return api.Ask(ctx, s.Nodes[node].Server.AdminAddr(), OperatorToken, text, api.AskOptions{})
 }
--- a/worker/platform/client.go
+++ b/worker/platform/client.go
@@ -75,7 +75,7 @@
 
 // Read reads the stream from the offset on. If there are no entries yet, it waits for the given
 // time. For an offset that the log no longer holds it returns ErrExpired and sets First in the
-// answer.
+// response.
 func (c *Client) Read(ctx context.Context, stream string, from models.Offset, wait time.Duration) (ReadResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
--- a/worker/upstream/upstream.go
+++ b/worker/upstream/upstream.go
@@ -30,7 +30,7 @@
 	// ErrMayHaveRun: the call may have run.
 	ErrMayHaveRun = errors.New("the request may have been run")
 	// ErrNotServing accompanies ErrNotRun or ErrMayHaveRun: the upstream can't be reached, closed
-	// the connection, or refuses to serve its group.
+	// the connection, or rejects requests for its group.
 	ErrNotServing = errors.New("the upstream does not serve")
 	// ErrTooLong: the response is longer than the limit.
 	ErrTooLong = errors.New("the answer is too long")
@@ -155,9 +155,9 @@
 
 // ReadAll reads the rest of the body and closes it. For a body that ends early, or is longer than
 // limit, it returns an error that wraps ErrMayHaveRun.
-func (a *Response) ReadAll(limit int64) ([]byte, error) {
-	defer a.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(a.Body, limit+1))
+func (r *Response) ReadAll(limit int64) ([]byte, error) {
+	defer r.Body.Close()
+	data, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
 		return nil, errors.Join(ErrMayHaveRun, trace.Wrap(err))
 	}
