--- a/api/chat.go
+++ b/api/chat.go
@@ -155,7 +155,7 @@
 }
 
 const (
-	maxResumeTries = 5
+	maxResumeAttempts = 5
 	resumeDelay    = 200 * time.Millisecond
 )
 
@@ -165,7 +165,7 @@
 	if after == 0 {
 		return nil, upstream.Event{}, cause
 	}
-	for try := range maxResumeTries {
+	for try := range maxResumeAttempts {
 		resp, err := e.s.upstream.Do(ctx, upstream.Call{
 			Addr: target.Addr, Method: http.MethodGet, Path: fmt.Sprintf("/v1/runs/%s?after=%d", e.req.ID, after),
 			Request: e.req.ID, Group: target.Group.ID, Fence: target.Group.Fence, NewConn: true,
--- a/api/exchange.go
+++ b/api/exchange.go
@@ -106,7 +106,7 @@
 		if e.req.Attempts() > 0 {
 			e.s.stats.retries.Inc()
 		}
-		if lastErr = e.try(ctx, target); lastErr == nil {
+		if lastErr = e.attempt(ctx, target); lastErr == nil {
 			return nil
 		}
 	}
@@ -141,8 +141,8 @@
 	}
 }
 
-// try sends the request to one upstream and forwards the response.
-func (e *exchange) try(ctx context.Context, target router.Target) error {
+// attempt sends the request to one upstream and forwards the response.
+func (e *exchange) attempt(ctx context.Context, target router.Target) error {
 	e.triedAddrs = append(e.triedAddrs, target.Addr)
 	e.s.inFlight.startTry(target.Addr)
 	defer e.s.inFlight.endTry(target.Addr)
