--- a/api/chat.go
+++ b/api/chat.go
@@ -156,7 +156,7 @@
 
 const (
 	maxResumeAttempts = 5
-	resumeDelay    = 200 * time.Millisecond
+	resumeDelay       = 200 * time.Millisecond
 )
 
 // resume requests the rest of the same run, after the last event that the caller received. It
--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -268,7 +268,7 @@
 	var res result
 	ts.Check(retryFor(awaitTimeout, func() error {
 		res = r.send(context.Background(), d.callers)
-		if !neg && res.outcome == outcomeNotRun && strings.Contains(res.detail, `"code":"overloaded"`) {
+		if !neg && res.end == outcomeNotRun && strings.Contains(res.detail, `"code":"overloaded"`) {
 			// A daemon under load may reject a request for lack of capacity; a caller retries then.
 			return fmt.Errorf("%s is overloaded: %s", args[0], res.detail)
 		}
@@ -276,7 +276,7 @@
 	}))
 	fmt.Fprintf(ts.Stdout(), "%+v\n", res)
 	testSiteOf(ts).lastRequest = res.request
-	if (res.outcome == outcomeComplete) == neg {
+	if (res.end == outcomeComplete) == neg {
 		ts.Fatalf("chat %s %s: %+v", args[0], args[1], res)
 	}
 }
@@ -301,7 +301,7 @@
 		}()
 	}
 	for range n {
-		if res := <-results; res.outcome != outcomeComplete {
+		if res := <-results; res.end != outcomeComplete {
 			ts.Fatalf("chats %s: %+v", args[1], res)
 		}
 	}
@@ -438,7 +438,7 @@
 
 func cmdBackgroundChatEnd(ts *testscript.TestScript, _ bool, args []string) {
 	requireArgs(ts, args, 1, "bgchatend NAME")
-	if res := <-testSiteOf(ts).backgroundChats[args[0]]; res.outcome != outcomeComplete {
+	if res := <-testSiteOf(ts).backgroundChats[args[0]]; res.end != outcomeComplete {
 		ts.Fatalf("%s: %+v", args[0], res)
 	}
 }
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -51,7 +51,7 @@
 }
 
 type result struct {
-	outcome outcome
+	end     outcome
 	key     string
 	request string
 	status  int
@@ -81,18 +81,18 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return result{outcome: outcomeNoResponse, key: c.key, detail: err.Error()}
+		return result{end: outcomeNoResponse, key: c.key, detail: err.Error()}
 	}
 	defer resp.Body.Close()
 	res := result{status: resp.StatusCode, key: c.key, request: resp.Header.Get(api.HeaderRequest)}
 	switch {
 	case resp.StatusCode != http.StatusOK:
 		text, _ := io.ReadAll(resp.Body)
-		res.outcome, res.detail = outcome(resp.Header.Get(api.HeaderOutcome)), string(text)
+		res.end, res.detail = outcome(resp.Header.Get(api.HeaderOutcome)), string(text)
 	case c.stream:
-		res.outcome, res.detail = c.readStream(resp.Body)
+		res.end, res.detail = c.readStream(resp.Body)
 	default:
-		res.outcome, res.detail = c.readCompletion(resp.Body)
+		res.end, res.detail = c.readCompletion(resp.Body)
 	}
 	return res
 }
@@ -217,9 +217,9 @@
 	errs := []error{checkKeys(l.results, ran)}
 	for _, r := range l.results {
 		switch {
-		case r.outcome == outcomeWrong:
+		case r.end == outcomeWrong:
 			errs = append(errs, fmt.Errorf("request %s: %s", r.request, r.detail))
-		case r.outcome == outcomeNotRun && ran[r.request] > 0:
+		case r.end == outcomeNotRun && ran[r.request] > 0:
 			errs = append(errs, fmt.Errorf("request %s was reported as not run, but ran %d times", r.request, ran[r.request]))
 		}
 	}
@@ -237,7 +237,7 @@
 func countOutcomes(results []result) map[outcome]int {
 	counts := map[outcome]int{}
 	for _, r := range results {
-		counts[r.outcome]++
+		counts[r.end]++
 	}
 	return counts
 }
