--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -51,6 +51,7 @@
 }
 
 type result struct {
+	// end is printed under its name, which scripts match.
 	end     outcome
 	key     string
 	request string
