--- a/api/chat.go
+++ b/api/chat.go
@@ -92,7 +92,7 @@
 		}
 	}()
 	forward := e.forward
-	e.forward = func(ctx context.Context, t router.Target, resp *upstream.Answer) error {
+	e.forward = func(ctx context.Context, t router.Target, resp *upstream.Response) error {
 		lastTarget = t.Addr
 		return forward(ctx, t, resp)
 	}
@@ -116,7 +116,7 @@
 
 // forwardStream forwards complete events until the [DONE] event. It sends the caller nothing
 // before the first event.
-func (e *exchange) forwardStream(ctx context.Context, target router.Target, resp *upstream.Answer) error {
+func (e *exchange) forwardStream(ctx context.Context, target router.Target, resp *upstream.Response) error {
 	if resp.Status != http.StatusOK {
 		return e.forwardBuffered(ctx, target, resp)
 	}
@@ -155,8 +155,8 @@
 }
 
 const (
-	maxResumeTries = 5
-	resumeDelay    = 200 * time.Millisecond
+	maxResumeAttempts = 5
+	resumeDelay       = 200 * time.Millisecond
 )
 
 // resume requests the rest of the same run, after the last event that the caller received. It
@@ -165,7 +165,7 @@
 	if after == 0 {
 		return nil, upstream.Event{}, cause
 	}
-	for try := range maxResumeTries {
+	for try := range maxResumeAttempts {
 		resp, err := e.s.upstream.Do(ctx, upstream.Call{
 			Addr: target.Addr, Method: http.MethodGet, Path: fmt.Sprintf("/v1/runs/%s?after=%d", e.req.ID, after),
 			Request: e.req.ID, Group: target.Group.ID, Fence: target.Group.Fence, NewConn: true,
--- a/api/exchange.go
+++ b/api/exchange.go
@@ -43,7 +43,7 @@
 	// newCall returns the call of an attempt at the target.
 	newCall func(router.Target) upstream.Call
 	// forward forwards an upstream's response. It returns an error for an incomplete response.
-	forward func(context.Context, router.Target, *upstream.Answer) error
+	forward func(context.Context, router.Target, *upstream.Response) error
 }
 
 // run processes the request to its end.
@@ -54,11 +54,11 @@
 	}
 	responseStarted := e.req.Phase() == router.PhaseResponding
 	end := e.req.Finish(err == nil)
-	e.s.stats.byEnd[end].Inc()
+	e.s.stats.byOutcome[end].Inc()
 	if e.keyClaimed && end == router.OutcomeNotRun {
 		e.s.release(e.keyHash, e.req.ID)
 	}
-	e.recordEnd(end, err)
+	e.recordOutcome(end, err)
 	log := e.s.log.Info()
 	if err != nil {
 		log = e.s.log.Warn().Err(err)
@@ -76,8 +76,8 @@
 	}
 }
 
-// recordEnd records the end of the request on the trail.
-func (e *exchange) recordEnd(end router.Outcome, err error) {
+// recordOutcome records the outcome of the request on the trail.
+func (e *exchange) recordOutcome(end router.Outcome, err error) {
 	e.entry.Outcome, e.entry.Attempts, e.entry.Elapsed = string(end), e.req.Attempts(), time.Since(e.started)
 	if err != nil {
 		e.entry.Reason = err.Error()
@@ -106,7 +106,7 @@
 		if e.req.Attempts() > 0 {
 			e.s.stats.retries.Inc()
 		}
-		if lastErr = e.try(ctx, target); lastErr == nil {
+		if lastErr = e.attempt(ctx, target); lastErr == nil {
 			return nil
 		}
 	}
@@ -141,8 +141,8 @@
 	}
 }
 
-// try sends the request to one upstream and forwards the response.
-func (e *exchange) try(ctx context.Context, target router.Target) error {
+// attempt sends the request to one upstream and forwards the response.
+func (e *exchange) attempt(ctx context.Context, target router.Target) error {
 	e.triedAddrs = append(e.triedAddrs, target.Addr)
 	e.s.inFlight.startTry(target.Addr)
 	defer e.s.inFlight.endTry(target.Addr)
@@ -166,7 +166,7 @@
 
 // writeHeader sends the response header, with where the request ran, and marks the response as
 // started.
-func (e *exchange) writeHeader(target router.Target, resp *upstream.Answer) error {
+func (e *exchange) writeHeader(target router.Target, resp *upstream.Response) error {
 	if err := e.req.Respond(); err != nil {
 		return err
 	}
--- a/cluster/breakers.go
+++ b/cluster/breakers.go
@@ -13,12 +13,12 @@
 	"github.com/lupinkeel/lupinkeel/models"
 )
 
-// Breakers holds the circuit breakers of instances. They follow the signals in the answers that any
-// daemon receives: requests to back off (Rest) and notices that the instance leaves. It is safe for
+// Breakers holds the circuit breakers of instances. They follow the signals in the responses that
+// any daemon receives: requests to back off and notices that the instance leaves. It is safe for
 // concurrent use.
 type Breakers struct {
-	log           zerolog.Logger
-	rests, leaves *metrics.Counter
+	log              zerolog.Logger
+	backoffs, leaves *metrics.Counter
 	// nonEmpty is set if any signal is recorded.
 	nonEmpty atomic.Bool
 	// onChange is called when there is a change to send to other daemons.
@@ -32,7 +32,7 @@
 // other daemons.
 func NewBreakers(found func(), set *metrics.Set, log zerolog.Logger) *Breakers {
 	b := &Breakers{
-		log: log, onChange: found, rests: set.NewCounter("lupinkeel_instance_rests_total"),
+		log: log, onChange: found, backoffs: set.NewCounter("lupinkeel_instance_rests_total"),
 		leaves:   set.NewCounter("lupinkeel_instances_leaving_total"),
 		breakers: breaker.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 	}
@@ -44,21 +44,21 @@
 	return b
 }
 
-// Heard records a signal from an answer that this daemon received.
-func (b *Breakers) Heard(s breaker.Signal) {
-	if b.Note(s, "") {
+// Observe records a signal from a response that this daemon received.
+func (b *Breakers) Observe(s breaker.Signal) {
+	if b.Record(s, "") {
 		b.onChange()
 	}
 }
 
-// HeardHead records the signals in the head of an answer that this daemon received.
-func (b *Breakers) HeardHead(id models.InstanceID, born time.Time, head models.ResponseHead) {
-	b.Heard(breaker.Signal{Instance: id, StartedAt: born, ReceivedAt: time.Now(), Backoff: head.Backoff, Leaving: head.Leaving})
+// ObserveHead records the signals in the head of a response that this daemon received.
+func (b *Breakers) ObserveHead(id models.InstanceID, startedAt time.Time, head models.ResponseHead) {
+	b.Observe(breaker.Signal{Instance: id, StartedAt: startedAt, ReceivedAt: time.Now(), Backoff: head.Backoff, Leaving: head.Leaving})
 }
 
-// Note records a signal that the daemon from received, this one if from is empty. It logs the
+// Record records a signal that the daemon from received, this one if from is empty. It logs the
 // change and reports whether there is a change to send to other daemons.
-func (b *Breakers) Note(s breaker.Signal, from breaker.Source) bool {
+func (b *Breakers) Record(s breaker.Signal, from breaker.Source) bool {
 	if s.IsEmpty() {
 		return false
 	}
@@ -71,7 +71,7 @@
 	}
 	switch {
 	case change.Started:
-		b.rests.Inc()
+		b.backoffs.Inc()
 		event().Dur("for", s.Backoff).Msg("rest-begun")
 	case change.Extended:
 		event().Dur("for", s.Backoff).Msg("rest-lengthened")
@@ -188,11 +188,11 @@
 
 // SignalUpdate is an instance's signal as daemons send it to each other.
 type SignalUpdate struct {
-	Instance models.InstanceID `msgpack:"i"`
-	Born     time.Time         `msgpack:"b,omitempty"`
-	// Age is the time since the answer with the signal was received.
+	Instance  models.InstanceID `msgpack:"i"`
+	StartedAt time.Time         `msgpack:"b,omitempty"`
+	// Age is the time since the response with the signal was received.
 	Age     time.Duration `msgpack:"a"`
-	Rest    time.Duration `msgpack:"r,omitempty"`
+	Backoff time.Duration `msgpack:"r,omitempty"`
 	Leaving bool          `msgpack:"l,omitempty"`
 }
 
@@ -208,7 +208,7 @@
 	signals, last := b.breakers.Since(seen, include, now)
 	out := make([]SignalUpdate, len(signals))
 	for n, s := range signals {
-		out[n] = SignalUpdate{Instance: s.Instance, Born: s.StartedAt, Age: now.Sub(s.ReceivedAt), Rest: s.Backoff, Leaving: s.Leaving}
+		out[n] = SignalUpdate{Instance: s.Instance, StartedAt: s.StartedAt, Age: now.Sub(s.ReceivedAt), Backoff: s.Backoff, Leaving: s.Leaving}
 	}
 	return out, last
 }
@@ -217,8 +217,8 @@
 func (n *Node) handleSignals(updates []SignalUpdate, from models.DaemonID) {
 	now, changed := time.Now(), false
 	for _, u := range updates {
-		changed = n.breakers.Note(breaker.Signal{
-			Instance: u.Instance, StartedAt: u.Born, ReceivedAt: now.Add(-u.Age), Backoff: u.Rest, Leaving: u.Leaving,
+		changed = n.breakers.Record(breaker.Signal{
+			Instance: u.Instance, StartedAt: u.StartedAt, ReceivedAt: now.Add(-u.Age), Backoff: u.Backoff, Leaving: u.Leaving,
 		}, from) || changed
 	}
 	if changed {
@@ -239,7 +239,7 @@
 // Breakers returns the circuit breakers of instances.
 func (n *Node) Breakers() *Breakers { return n.breakers }
 
-// applyLeavingSignals marks instances as leaving that signaled it in answers. Their entries may
+// applyLeavingSignals marks instances as leaving that signaled it in responses. Their entries may
 // show it later, never, or may contradict it.
 func (o *owner) applyLeavingSignals(now time.Time) {
 	for _, signal := range o.n.breakers.leavingInstances() {
--- a/cluster/config.go
+++ b/cluster/config.go
@@ -21,7 +21,7 @@
 
 // configFetchDelay is how long a peer must have had a newer configuration before a daemon that
 // reads the store itself asks the peer for it; usually the store answers first. A daemon that uses
-// a relay asks at once, and reads the store if it has no answer within this time.
+// a relay asks at once, and reads the store if it has no response within this time.
 const configFetchDelay = 500 * time.Millisecond
 
 // applyConfig puts a configuration in force. If data is nil or the configuration in force, it
@@ -89,7 +89,7 @@
 	case o.peers.configBehindSince.IsZero():
 		o.peers.configBehindSince = now
 	}
-	// A daemon that uses a relay has no read of its own to wait for.
+	// A daemon that uses a relay does not read the store itself, so there is no read to wait for.
 	patience := configFetchDelay
 	if !o.peers.topology.IsMesh && !o.peers.topology.IsRelay {
 		patience = 0
--- a/cluster/config_watch.go
+++ b/cluster/config_watch.go
@@ -16,9 +16,9 @@
 // has a newer version or no confirmation arrives.
 
 const (
-	// configHoldTime is how long the store holds a long poll for the configuration. Each answer
+	// configHoldTime is how long the store holds a long poll for the configuration. Each response
 	// confirms that the configuration in force is the newest, so it must stay well below the time
-	// within which revoked keys must be refused.
+	// within which revoked keys must be rejected.
 	configHoldTime = 1200 * time.Millisecond
 	// idleHoldTime is how long the store holds the long poll of a daemon that gets its confirmation
 	// from a peer. If none arrives for confirmationTimeout, which is checked every
@@ -39,7 +39,7 @@
 // usesRelay reports whether the node gets data from a relay instead of reading the store.
 func (n *Node) usesRelay() bool {
 	v := n.View()
-	return !v.mesh() && !v.Arranged.IsRelay
+	return !v.mesh() && !v.Topology.IsRelay
 }
 
 // followConfig reads the configuration from the store.
@@ -98,7 +98,7 @@
 			return false
 		}
 	}
-	return n.planning.Load() || n.clock.Since(v.Proven) > bound
+	return n.planning.Load() || n.clock.Since(v.ConfirmedAt) > bound
 }
 
 // errConfirmationLate cancels a long poll because a confirmation is due.
--- a/cluster/config_watch_test.go
+++ b/cluster/config_watch_test.go
@@ -18,7 +18,7 @@
 func addPeersWithInterval(o *owner, n int, version int64, interval time.Duration) {
 	for i := range n {
 		heartbeat := Heartbeat{
-			From: models.DaemonID(fmt.Sprintf("peer-%d", i)), Addr: "127.0.0.1:9", Power: 1, ConfigVersion: version, ConfigAge: time.Hour, Interval: interval,
+			From: models.DaemonID(fmt.Sprintf("peer-%d", i)), Addr: "127.0.0.1:9", CPUCores: 1, ConfigVersion: version, ConfigAge: time.Hour, Interval: interval,
 		}
 		o.handleHeartbeat(heartbeatReceived{heartbeat: heartbeat, receivedAt: time.Now()})
 	}
@@ -56,7 +56,7 @@
 	c.Assert(o.n.View().configBehind, qt.IsFalse)
 	c.Assert(o.n.mustReadConfig(), qt.IsTrue)
 
-	o.n.cfg.Power = 2
+	o.n.cfg.CPUCores = 2
 	o.peers.roster = membership.NewRoster(membership.Daemon{ID: "d1", CPUCores: 2}, membership.DefaultPolicy())
 	addPeers(o, meshLimit+1, 7)
 	c.Assert(o.n.usesRelay(), qt.IsFalse, qt.Commentf("it is eligible as planner"))
--- a/cluster/demand.go
+++ b/cluster/demand.go
@@ -13,17 +13,17 @@
 	// demandSmoothing is the weight of the previous estimate in the moving average, which is
 	// updated at each planning round, twenty times a second: it follows changes within two seconds.
 	demandSmoothing = 0.95
-	// minWork is the total work, in groups, below which the shares declared in the configuration
+	// minDemand is the total demand, in groups, below which the shares declared in the configuration
 	// are used instead of the measured demand.
-	minWork = 0.5
+	minDemand = 0.5
 )
 
-// demand returns the share of all instances that each model needs.
-func (o *owner) demand(engine *models.EngineProfile) map[models.ModelName]float64 {
-	work := o.work()
+// demandShares returns the share of all instances that each model needs.
+func (o *owner) demandShares(engine *models.EngineProfile) map[models.ModelName]float64 {
+	demand := o.clusterDemand()
 	total := 0.0
 	for _, m := range engine.Models {
-		total += work[m.Name] * float64(m.GroupSize)
+		total += demand[m.Name] * float64(m.GroupSize)
 	}
 	if total > 0 {
 		o.fleet.hasTraffic = true
@@ -31,28 +31,28 @@
 	want := map[models.ModelName]float64{}
 	for _, m := range engine.Models {
 		want[m.Name] = m.Share
-		if total > minWork {
-			want[m.Name] = work[m.Name] * float64(m.GroupSize) / total
+		if total > minDemand {
+			want[m.Name] = demand[m.Name] * float64(m.GroupSize) / total
 		}
 	}
-	if o.fleet.demand == nil || total <= minWork {
-		o.fleet.demand = want
+	if o.fleet.demandShares == nil || total <= minDemand {
+		o.fleet.demandShares = want
 	}
 	for name, w := range want {
-		o.fleet.demand[name] = demandSmoothing*o.fleet.demand[name] + (1-demandSmoothing)*w
+		o.fleet.demandShares[name] = demandSmoothing*o.fleet.demandShares[name] + (1-demandSmoothing)*w
 	}
-	return maps.Clone(o.fleet.demand)
+	return maps.Clone(o.fleet.demandShares)
 }
 
-// busySmoothing is the weight of the previous average in the moving average of requests, which is
-// updated at each planning round, twenty times a second: it follows changes within two seconds.
-const busySmoothing = 0.97
+// inFlightSmoothing is the weight of the previous average in the moving average of requests, which
+// is updated at each planning round, twenty times a second: it follows changes within two seconds.
+const inFlightSmoothing = 0.97
 
-// busy returns, by model, moving averages of the requests in flight at its groups and of the slots
-// that rate limits and backoff withhold.
-func (o *owner) busy(engine *models.EngineProfile, now time.Time) (busy, withheld map[models.ModelName]float64) {
-	if o.fleet.busy == nil {
-		o.fleet.busy, o.fleet.withheld = map[models.ModelName]float64{}, map[models.ModelName]float64{}
+// requestsInFlight returns, by model, moving averages of the requests in flight at its groups and
+// of the slots that rate limits and backoff withhold.
+func (o *owner) requestsInFlight(engine *models.EngineProfile, now time.Time) (inFlight, withheld map[models.ModelName]float64) {
+	if o.fleet.inFlight == nil {
+		o.fleet.inFlight, o.fleet.withheld = map[models.ModelName]float64{}, map[models.ModelName]float64{}
 	}
 	groups := o.fleet.serving(now)
 	own := o.n.traffic.Loads()
@@ -67,10 +67,10 @@
 			}
 			unusable += engine.Slots - usableSlots(engine, rate, requests)
 		}
-		updateAverage(o.fleet.busy, m.Name, sum)
+		updateAverage(o.fleet.inFlight, m.Name, sum)
 		updateAverage(o.fleet.withheld, m.Name, unusable)
 	}
-	return maps.Clone(o.fleet.busy), maps.Clone(o.fleet.withheld)
+	return maps.Clone(o.fleet.inFlight), maps.Clone(o.fleet.withheld)
 }
 
 // typicalRequestTime is roughly how long a request occupies a slot.
@@ -90,7 +90,7 @@
 	if _, known := averages[model]; !known {
 		averages[model] = float64(count)
 	}
-	averages[model] = busySmoothing*averages[model] + (1-busySmoothing)*float64(count)
+	averages[model] = inFlightSmoothing*averages[model] + (1-inFlightSmoothing)*float64(count)
 }
 
 // supplyLogInterval is how often the planner logs supply and demand.
@@ -103,14 +103,14 @@
 	}
 	o.fleet.supplyLoggedAt = w.Now
 	groups := o.fleet.serving(w.Now)
-	work := o.work()
+	demand := o.clusterDemand()
 	for _, m := range engine.Models {
 		busy := int(w.InFlight[m.Name])
 		o.n.log.Info().Str("model", string(m.Name)).Int("groups", len(groups[m.Name])).Int("size", m.GroupSize).Int("in-flight", busy).
-			Float64("demand", w.Demand[m.Name]).Float64("work", work[m.Name]).Int("instances", len(w.Instances)).
+			Float64("demand", w.DemandShares[m.Name]).Float64("work", demand[m.Name]).Int("instances", len(w.Instances)).
 			Int("lost", len(w.Unreachable)).Msg("supply")
 	}
 	c := o.fleet.planner.Counts()
 	o.n.log.Info().Int("forming", c.Forming).Int("ending", c.Ending).Int("staging", c.Staging).Int("loading", c.Loading).
-		Int("free", c.Free).Int("orders", o.fleet.ordersInFlight).Int("questions", o.fleet.probesInFlight).Int("calls-most", o.fleet.callLimit.Most()).Msg("plan")
+		Int("free", c.Free).Int("orders", o.fleet.ordersInFlight).Int("questions", o.fleet.probesInFlight).Int("calls-most", o.fleet.callLimit.Max()).Msg("plan")
 }
--- a/cluster/entries_progress_test.go
+++ b/cluster/entries_progress_test.go
@@ -27,7 +27,7 @@
 //
 // relay_cut_off guards against a fault in which requests reached an instance 3.08 s after its
 // leaving signal, all from daemons of one zone that used a relay. The relay had been planner until
-// 2.5 s before, when the store refused its calls. It missed an update of the new planner and could
+// 2.5 s before, when the store rejected its calls. It missed an update of the new planner and could
 // not read the store. The next two updates were consecutive, and it wrongly concluded from them
 // that its entries were current: at 21.0 s its lupinkeel_planner_news_age_seconds was 0.016, though
 // its last read was at 17.5 s. So it answered snapshot requests, and the receivers regarded their
@@ -51,7 +51,7 @@
 //	hold DAEMON               updates to the daemon are delayed until release
 //	release DAEMON
 //	wait DURATION
-//	signal DAEMON ID          an instance's answer to the daemon has a leaving signal
+//	signal DAEMON ID          an instance's response to the daemon has a leaving signal
 //	forward DAEMON OTHER      the daemon sends its signals to another one
 //	heartbeat DAEMON OTHER    the daemon sends a heartbeat to another one
 //	tick DAEMON               the daemon runs its periodic checks
@@ -196,7 +196,7 @@
 // another one.
 func (s *progressScript) signalLeaving(verb string, o *owner, of string) {
 	if verb == "signal" {
-		o.n.breakers.Heard(breaker.Signal{Instance: models.InstanceID(of), ReceivedAt: time.Now(), Leaving: true})
+		o.n.breakers.Observe(breaker.Signal{Instance: models.InstanceID(of), ReceivedAt: time.Now(), Leaving: true})
 		o.drainInbox()
 		return
 	}
--- a/cluster/fleet.go
+++ b/cluster/fleet.go
@@ -59,26 +59,26 @@
 	lastBroadcastAt time.Time
 	// supplyLoggedAt is when the supply was last logged.
 	supplyLoggedAt time.Time
-	// demand is the share of all instances that each model needs, busy the number of requests at
-	// its groups, withheld the number of their slots that rate limits and backoff withhold. All
-	// three are moving averages.
-	demand   map[models.ModelName]float64
-	busy     map[models.ModelName]float64
-	withheld map[models.ModelName]float64
+	// demandShares is the share of all instances that each model needs, inFlight the number of
+	// requests at its groups, withheld the number of their slots that rate limits and backoff
+	// withhold. All three are moving averages.
+	demandShares map[models.ModelName]float64
+	inFlight     map[models.ModelName]float64
+	withheld     map[models.ModelName]float64
 }
 
 // knownInstance is an upstream instance, with the ages of what is known of it.
 type knownInstance struct {
 	models.UpstreamInstance
-	// bornKnownAt is when the entry or report was requested that contained Born.
-	bornKnownAt time.Time
+	// incarnationKnownAt is when the entry or report was requested that contained StartedAt.
+	incarnationKnownAt time.Time
 	// stateAt is when the newest entry or report was requested.
 	stateAt time.Time
 	// entrySeenAt is when a new entry was last read.
 	entrySeenAt time.Time
 	// lostSince is since when the instance has not answered; zero while it does.
 	lostSince time.Time
-	// probeFailedAt is when the first of the failed probes since the last answer failed.
+	// probeFailedAt is when the first of the failed probes since the last response failed.
 	probeFailedAt time.Time
 	// unlisted is set if the entry is gone but the instance is a member of a serving group.
 	unlisted bool
--- a/cluster/limits.go
+++ b/cluster/limits.go
@@ -12,8 +12,8 @@
 	"github.com/lupinkeel/lupinkeel/ratelimit"
 )
 
-// Limits holds the rate limits, in requests per second, that instances named in answers to any
-// daemon. It is safe for concurrent use.
+// Limits holds the rate limits, in requests per second, that instances announced in responses to
+// any daemon. It is safe for concurrent use.
 type Limits struct {
 	self models.DaemonID
 	// began is when the daemon started.
@@ -41,8 +41,8 @@
 	return l
 }
 
-// Heard records the limit in an answer that this daemon received.
-func (l *Limits) Heard(s ratelimit.Observation) {
+// Observe records the limit in a response that this daemon received.
+func (l *Limits) Observe(s ratelimit.Observation) {
 	if s.Rate == models.NoRateLimit && !l.Any() {
 		return
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-// Any reports whether any limit is known. If not, no answer or instance needs to be looked up.
+// Any reports whether any limit is known. If not, no response or instance needs to be looked up.
 func (l *Limits) Any() bool { return l.nonEmpty.Load() }
 
 // Rate returns the requests per second that an instance may get from all daemons together.
@@ -107,14 +107,14 @@
 
 // LimitUpdate is an observation of an instance's limit as daemons send it to each other.
 type LimitUpdate struct {
-	Instance models.InstanceID `msgpack:"i"`
-	Born     time.Time         `msgpack:"b,omitempty"`
-	Rate     float64           `msgpack:"r"`
-	// RequestAge is the time since the request was sent, AnswerAge the time since the head of its
-	// answer arrived.
-	RequestAge time.Duration `msgpack:"q"`
-	AnswerAge  time.Duration `msgpack:"h"`
-	// Observer is the daemon that received the answer. Seq increases with each of its observations.
+	Instance  models.InstanceID `msgpack:"i"`
+	StartedAt time.Time         `msgpack:"b,omitempty"`
+	Rate      float64           `msgpack:"r"`
+	// RequestAge is the time since the request was sent, ResponseAge the time since the head of its
+	// response arrived.
+	RequestAge  time.Duration `msgpack:"q"`
+	ResponseAge time.Duration `msgpack:"h"`
+	// Observer is the daemon that received the response. Seq increases with each of its observations.
 	Observer models.DaemonID `msgpack:"d"`
 	Seq      int64           `msgpack:"n"`
 }
@@ -122,7 +122,7 @@
 // toSighting converts an update received at a time.
 func (n LimitUpdate) toSighting(at time.Time) ratelimit.Observation {
 	return ratelimit.Observation{
-		Instance: n.Instance, StartedAt: n.Born, Rate: n.Rate, SentAt: at.Add(-n.RequestAge), ReceivedAt: at.Add(-n.AnswerAge), Receiver: n.Observer, Seq: n.Seq,
+		Instance: n.Instance, StartedAt: n.StartedAt, Rate: n.Rate, SentAt: at.Add(-n.RequestAge), ReceivedAt: at.Add(-n.ResponseAge), Receiver: n.Observer, Seq: n.Seq,
 	}
 }
 
@@ -141,7 +141,7 @@
 	out := make([]LimitUpdate, len(sightings))
 	for n, s := range sightings {
 		out[n] = LimitUpdate{
-			Instance: s.Instance, Born: s.StartedAt, Rate: s.Rate, RequestAge: now.Sub(s.SentAt), AnswerAge: now.Sub(s.ReceivedAt), Observer: s.Receiver, Seq: s.Seq,
+			Instance: s.Instance, StartedAt: s.StartedAt, Rate: s.Rate, RequestAge: now.Sub(s.SentAt), ResponseAge: now.Sub(s.ReceivedAt), Observer: s.Receiver, Seq: s.Seq,
 		}
 	}
 	return out, last
--- a/cluster/loads.go
+++ b/cluster/loads.go
@@ -18,7 +18,7 @@
 // daemonLoads are the loads that one daemon sent, its own or the total over several daemons.
 type daemonLoads struct {
 	loads map[models.InstanceID]Load
-	// scope tells whose loads these are, zone is the zone of the sender.
+	// scope is the set of daemons whose loads these are, zone is the zone of the sender.
 	scope loadScope
 	zone  models.Zone
 	// incarnation is the incarnation of the sender, version the number of its last change.
@@ -86,14 +86,14 @@
 
 // without subtracts a part of the load, which may have changed since the total was taken.
 func (l Load) without(part Load) Load {
-	return Load{Requests: max(0, l.Requests-part.Requests), Unread: max(0, l.Unread-part.Unread)}
+	return Load{Requests: max(0, l.Requests-part.Requests), PrefillTokens: max(0, l.PrefillTokens-part.PrefillTokens)}
 }
 
 // set replaces a sender's load on one instance. The caller must hold the lock.
 func (p *peerLoads) set(from *daemonLoads, id models.InstanceID, load Load) {
 	sum, before := p.sum[id], from.loads[id]
 	sum.Requests += load.Requests - before.Requests
-	sum.Unread += load.Unread - before.Unread
+	sum.PrefillTokens += load.PrefillTokens - before.PrefillTokens
 	p.sum[id], from.loads[id] = sum, load
 	if load == (Load{}) {
 		delete(from.loads, id)
@@ -123,7 +123,7 @@
 }
 
 // removeTotals removes the totals of several daemons from any sender, because this daemon has
-// another primary relay now.
+// another load relay now.
 func (p *peerLoads) removeTotals() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,7 +195,7 @@
 func addLoads(sum, loads map[models.InstanceID]Load) {
 	for id, load := range loads {
 		s := sum[id]
-		sum[id] = Load{Requests: s.Requests + load.Requests, Unread: s.Unread + load.Unread}
+		sum[id] = Load{Requests: s.Requests + load.Requests, PrefillTokens: s.PrefillTokens + load.PrefillTokens}
 	}
 }
 
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -55,7 +55,7 @@
 }
 
 func newPeersState(cfg Settings) peersState {
-	self := membership.Daemon{ID: cfg.ID, Zone: cfg.Zone, CPUCores: cfg.Power}
+	self := membership.Daemon{ID: cfg.ID, Zone: cfg.Zone, CPUCores: cfg.CPUCores}
 	roster := membership.NewRoster(self, membership.DefaultPolicy())
 	return peersState{
 		seen: map[models.DaemonID]peerStatus{}, addrs: map[models.DaemonID]peerAddr{}, roster: roster, topology: roster.Topology(time.Now()),
@@ -74,7 +74,7 @@
 		o.n.log.Info().Str("peer", string(b.From)).Int64("incarnation", b.Incarnation).Msg("peer-seen")
 	}
 	if !known || before.heartbeat.Addr != b.Addr || before.heartbeat.Incarnation != b.Incarnation {
-		err := o.addPeer(b.From, rosterEntry{Zone: b.Zone, Addr: b.Addr, Incarnation: b.Incarnation, Power: b.Power, AcceptsCompressed: b.AcceptsCompressed})
+		err := o.addPeer(b.From, rosterEntry{Zone: b.Zone, Addr: b.Addr, Incarnation: b.Incarnation, CPUCores: b.CPUCores, AcceptsCompressed: b.AcceptsCompressed})
 		if err != nil {
 			o.n.log.Error().Err(err).Str("peer", string(b.From)).Msg("heartbeat-unreadable")
 		}
@@ -128,33 +128,33 @@
 	b := Heartbeat{
 		From: n.cfg.ID, Incarnation: n.started, Addr: n.cfg.Peer.String(), Zone: n.cfg.Zone, Term: v.Term,
 		IsPlanner: n.planning.Load(),
-		Power:     n.cfg.Power, AcceptsCompressed: true, ConfigSource: v.configSource, Work: map[models.ModelName]float32{}, Stalled: v.stalled,
-		UsesRelay: l.UsesRelay, UsesPrimaryRelay: l.UsesLoads, Size: v.Daemons,
+		CPUCores:  n.cfg.CPUCores, AcceptsCompressed: true, ConfigSource: v.configSource, Demand: map[models.ModelName]float32{}, Stalled: v.stalled,
+		UsesRelay: l.UsesRelay, UsesLoads: l.UsesLoads, Size: v.Daemons,
 		MissedUpdates: n.missedUpdates.pending() && n.requestsSnapshotFrom(to, l), EntriesAge: n.entriesAge(), Era: n.era.Load(),
 	}
 	if every := n.heartbeatIntervalFor(l); every != heartbeatInterval {
 		b.Interval = every
 	}
 	if l.CrossZone {
-		b.ZoneWork = v.zoneWork
+		b.ZoneDemand = v.zoneDemand
 	}
 	if n.limits.Any() {
 		b.Grants = v.votes[to]
 		if l.Forwards {
-			b.Granters = v.Arranged.Granters
+			b.Granters = v.Topology.Granters
 		}
 	}
-	for model, work := range n.traffic.Work() {
-		b.Work[model] = float32(work)
+	for model, demand := range n.traffic.Demand() {
+		b.Demand[model] = float32(demand)
 	}
 	if v.Routing != nil {
-		b.ConfigVersion, b.ConfigAge = v.Routing.Version, n.clock.Since(v.Proven)
+		b.ConfigVersion, b.ConfigAge = v.Routing.Version, n.clock.Since(v.ConfirmedAt)
 	}
 	return b
 }
 
 // requestsSnapshotFrom reports whether a peer is the relay that is asked for a snapshot; at the
-// start, the primary relay.
+// start, the load relay.
 func (n *Node) requestsSnapshotFrom(to models.DaemonID, l membership.Link) bool {
 	relay := *n.snapshotRelay.Load()
 	return to == relay || (relay == anyRelay && l.UsesLoads)
--- a/cluster/planner_calls_test.go
+++ b/cluster/planner_calls_test.go
@@ -26,7 +26,7 @@
 		c := qt.New(t)
 		o := newTestOwner(t)
 		fill(o)
-		o.probeUnconfirmed("s", time.Now())
+		o.probeUnverified("s", time.Now())
 		c.Assert(int(o.n.stats.reports.Get()) <= maxCalls, qt.IsTrue, qt.Commentf("%d at once", o.n.stats.reports.Get()))
 	})
 	t.Run("orders_are_answered_late", func(t *testing.T) {
@@ -40,7 +40,7 @@
 		o.sendOrders()
 		took := 5 * time.Millisecond
 		for n := range 1000 {
-			// The more calls queue for the processor, the later answers arrive.
+			// The more calls queue for the processor, the later responses arrive.
 			took = time.Duration(5+3*o.fleet.ordersInFlight) * time.Millisecond
 			o.handleOrderResult(orderFinished{order: types.GroupOrder{Instance: models.InstanceID(fmt.Sprint("i", n))}, outcome: types.OrderDone, finishedAt: time.Now(), took: took})
 		}
--- a/cluster/planning.go
+++ b/cluster/planning.go
@@ -36,7 +36,7 @@
 		return
 	}
 	f.termBegan = time.Now()
-	f.planner, f.heldTerm, f.busy, f.updateSeq = fleet.NewPlanner(m.term, f.termBegan), m.term, nil, 0
+	f.planner, f.heldTerm, f.inFlight, f.updateSeq = fleet.NewPlanner(m.term, f.termBegan), m.term, nil, 0
 	// Updates pending from an earlier term are outdated.
 	f.pendingUpdates, f.broadcastEnd = nil, f.entries.end
 	for _, i := range f.instances {
@@ -50,7 +50,7 @@
 	o.n.log.Info().Int64("term", m.term).Msg("planning-begun")
 }
 
-// stopPlanning ends the term for good: its fences must not be used again.
+// stopPlanning ends the term permanently: its fences must not be used again.
 func (o *owner) stopPlanning(reason string) {
 	if o.fleet.planner == nil {
 		return
@@ -77,7 +77,7 @@
 	started := time.Now()
 	f.lastPlan = throttle{started: now}
 	if o.leaseExpired(now) {
-		o.stopPlanning("the lease expired")
+		o.stopPlanning("the lease ended")
 		return
 	}
 	if f.planner.Superseded() {
@@ -92,8 +92,8 @@
 	f.lastPlan.took = time.Since(started)
 }
 
-// leaseExpired reports whether another daemon may have become planner. Time in which the machine was
-// suspended counts: a planner that resumes would send orders in parallel to its successor.
+// leaseExpired reports whether another daemon may have become planner. Time in which the machine
+// was suspended counts: a planner that resumes would send orders in parallel to its successor.
 func (o *owner) leaseExpired(now time.Time) bool {
 	// The lease may have been renewed during the last round, which can take long.
 	if l := o.n.lease.Load(); l != nil && l.term == o.fleet.heldTerm {
@@ -132,18 +132,18 @@
 // planService plans one service's instances and sends the orders that are due.
 func (o *owner) planService(name models.ServiceName, engine *models.EngineProfile, now time.Time) {
 	f := &o.fleet
-	o.probeUnconfirmed(name, now)
-	world := o.world(name, engine, now)
+	o.probeUnverified(name, now)
+	snapshot := o.planningSnapshot(name, engine, now)
 	o.n.stats.plans.Inc()
-	o.logSupply(engine, world)
-	f.orders = append(f.orders, f.planner.Step(world)...)
+	o.logSupply(engine, snapshot)
+	f.orders = append(f.orders, f.planner.Step(snapshot)...)
 	o.sendOrders()
 }
 
 // sendOrders sends queued orders, unless the lease has ended.
 func (o *owner) sendOrders() {
 	if o.fleet.planner != nil && o.leaseExpired(time.Now()) {
-		o.stopPlanning("the lease expired")
+		o.stopPlanning("the lease ended")
 	}
 	o.startCalls()
 }
@@ -164,9 +164,9 @@
 	o.n.sendOrder(o.ctx, k.Addr, order)
 }
 
-// probeUnconfirmed probes the service's instances that have not been seen in this term, and those
+// probeUnverified probes the service's instances that have not been seen in this term, and those
 // whose entries are overdue although the store is up.
-func (o *owner) probeUnconfirmed(name models.ServiceName, now time.Time) {
+func (o *owner) probeUnverified(name models.ServiceName, now time.Time) {
 	_, storeDown := o.storeFailingSince[platform.InstancesTopic]
 	overdue := time.Duration(overdueFactor * float64(o.n.cfg.InstanceHeartbeat))
 	for _, i := range o.fleet.instances {
@@ -174,21 +174,21 @@
 			continue
 		}
 		overdueEntry := !storeDown && now.Sub(i.entrySeenAt) > overdue && now.Sub(i.stateAt) > overdue
-		if overdueEntry || o.fleet.unconfirmed(i) {
+		if overdueEntry || o.fleet.unverified(i) {
 			o.probe(i, now, probeTimeout)
 		}
 	}
 }
 
-// world returns the planner's input for one service.
-func (o *owner) world(name models.ServiceName, engine *models.EngineProfile, now time.Time) fleet.Snapshot {
-	busy, withheld := o.busy(engine, now)
+// planningSnapshot returns the planner's input for one service.
+func (o *owner) planningSnapshot(name models.ServiceName, engine *models.EngineProfile, now time.Time) fleet.Snapshot {
+	inFlight, withheld := o.requestsInFlight(engine, now)
 	w := fleet.Snapshot{
-		Now: now, Profile: engine, Demand: o.demand(engine), InFlight: busy, LimitedSlots: withheld,
+		Now: now, Profile: engine, DemandShares: o.demandShares(engine), InFlight: inFlight, LimitedSlots: withheld,
 		Instances: map[models.InstanceID]models.UpstreamInstance{}, Unreachable: map[models.InstanceID]bool{},
 		Unverified: map[models.InstanceID]bool{}, Unlisted: map[models.InstanceID]bool{},
 	}
-	// demand has updated hasTraffic.
+	// demandShares has updated hasTraffic.
 	w.HasTraffic = o.fleet.hasTraffic
 	for id, i := range o.fleet.instances {
 		if i.Service != name {
@@ -201,7 +201,7 @@
 		if i.unlisted {
 			w.Unlisted[id] = true
 		}
-		if o.fleet.unconfirmed(i) {
+		if o.fleet.unverified(i) {
 			w.Unverified[id] = true
 		}
 	}
@@ -211,9 +211,9 @@
 // firstTerm is the term of the first planner in a new store.
 const firstTerm = 1
 
-// unconfirmed reports whether the instance's state is older than this term. In the first term
+// unverified reports whether the instance's state is older than this term. In the first term
 // entries are current, because no planner has sent orders before.
-func (f *fleetState) unconfirmed(i *knownInstance) bool {
+func (f *fleetState) unverified(i *knownInstance) bool {
 	return f.heldTerm != firstTerm && !i.stateAt.After(f.termBegan)
 }
 
@@ -227,13 +227,13 @@
 	event.Str("order", string(m.order.Kind)).Str("instance", string(m.order.Instance)).Str("group", string(m.order.Group.Name)).
 		Int64("fence", m.order.Fence).Str("outcome", string(m.outcome)).Dur("took", m.took).Msg("order-ended")
 	o.fleet.ordersInFlight--
-	o.fleet.callLimit.Note(m.took)
+	o.fleet.callLimit.Observe(m.took)
 	o.sendOrders()
 	if p := o.fleet.planner; p != nil && fleet.TermOf(m.order.Fence) == o.fleet.heldTerm {
 		p.RecordOutcome(m.order, m.outcome, m.finishedAt)
 	}
 	k := o.fleet.instances[m.order.Instance]
-	if k == nil || k.CompareIncarnation(m.order.Born) != models.SameIncarnation {
+	if k == nil || k.CompareIncarnation(m.order.StartedAt) != models.SameIncarnation {
 		// The order was for an earlier incarnation.
 		return
 	}
--- a/cluster/planning_test.go
+++ b/cluster/planning_test.go
@@ -75,11 +75,11 @@
 	}{{3, true}, {60, false}} {
 		o := newTestOwner(t)
 		t.Cleanup(func() { c.Check(o.n.links.stopAndWait(), qt.IsNil) })
-		o.n.cfg.Power = 1
+		o.n.cfg.CPUCores = 1
 		o.peers.roster = membership.NewRoster(membership.Daemon{ID: "d1", Zone: "z", CPUCores: 1}, membership.DefaultPolicy())
 		started := time.Unix(0, o.n.started)
 		for n := range test.daemons {
-			c.Assert(o.addPeer(models.DaemonID(fmt.Sprint("e", n)), rosterEntry{Zone: "z", Addr: "127.0.0.1:1", Incarnation: 1, Power: 0.1}), qt.IsNil)
+			c.Assert(o.addPeer(models.DaemonID(fmt.Sprint("e", n)), rosterEntry{Zone: "z", Addr: "127.0.0.1:1", Incarnation: 1, CPUCores: 0.1}), qt.IsNil)
 		}
 		o.peers.topology = o.peers.roster.Topology(started)
 		o.peers.lastJoinAt = started.Add(peerDiscoveryDelay)
@@ -121,7 +121,7 @@
 		o := newTestOwner(t)
 		o.handleLease(leaseHeld{term: term, until: time.Now().Add(time.Minute)})
 		o.applyEntry(models.UpstreamInstance{ID: "i1", Service: "s"}, time.Now())
-		o.probeUnconfirmed("s", time.Now())
+		o.probeUnverified("s", time.Now())
 		qt.Check(t, o.n.stats.reports.Get() > 0, qt.Equals, probed, qt.Commentf("term %d", term))
 	}
 }
--- a/cluster/quarantine_store.go
+++ b/cluster/quarantine_store.go
@@ -12,11 +12,11 @@
 	"github.com/lupinkeel/lupinkeel/quarantine"
 )
 
-// Refused requests are also kept in the store, each under its digest. After a power failure of all
-// daemons nothing else has them, and each such request would crash three more instances. Requests
-// that are only suspected are not stored.
+// Quarantined requests are also kept in the store, each under its digest. After a power failure of
+// all daemons nothing else has them, and each such request would crash three more instances.
+// Requests that are only suspected are not stored.
 
-// quarantineTopic is the store's topic of refused requests.
+// quarantineTopic is the store's topic of quarantined requests.
 const quarantineTopic = "quarantine"
 
 // writeQueueLen is how many records can queue to be written.
@@ -28,9 +28,9 @@
 // storedCrash is a crash attributed to a request, as the store keeps it. The time is wall-clock
 // time, the only clock that processes before and after a restart have in common.
 type storedCrash struct {
-	Instance models.InstanceID `msgpack:"i"`
-	Born     time.Time         `msgpack:"b,omitempty"`
-	At       time.Time         `msgpack:"a"`
+	Instance  models.InstanceID `msgpack:"i"`
+	StartedAt time.Time         `msgpack:"b,omitempty"`
+	At        time.Time         `msgpack:"a"`
 }
 
 // enqueueOwnWrite queues the rewrite of a request's record if this daemon found any of its crashes.
@@ -50,16 +50,16 @@
 	}
 }
 
-// encodeRecord returns a request's record, empty if the request is not refused.
+// encodeRecord returns a request's record, empty if the request is not quarantined.
 func (q *Quarantine) encodeRecord(d quarantine.Digest) ([]byte, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if _, refused := q.refused[d]; !refused {
+	if _, refused := q.quarantined[d]; !refused {
 		return nil, nil
 	}
 	var out []storedCrash
 	for _, c := range q.list.CrashesOf(d) {
-		out = append(out, storedCrash{Instance: c.Instance, Born: c.StartedAt, At: c.At})
+		out = append(out, storedCrash{Instance: c.Instance, StartedAt: c.StartedAt, At: c.At})
 	}
 	return pack.Marshal(out)
 }
@@ -80,9 +80,9 @@
 	for _, c := range crashes {
 		// The clocks of two daemons differ; a time in the future is set to now.
 		at := now.Add(-max(0, now.Sub(c.At)))
-		q.record(quarantine.Crash{Instance: c.Instance, StartedAt: c.Born, At: at, Requests: map[quarantine.Digest]bool{d: false}}, storeSource)
+		q.record(quarantine.Crash{Instance: c.Instance, StartedAt: c.StartedAt, At: at, Requests: map[quarantine.Digest]bool{d: false}}, storeSource)
 	}
-	if q.Standing(d).Crashes == 0 {
+	if q.Status(d).Crashes == 0 {
 		// All its crashes have expired: an empty record is written.
 		q.enqueueWrite(d)
 	}
@@ -92,8 +92,8 @@
 // errBadDigestKey: the key of a record is no digest.
 var errBadDigestKey = errors.New("the key is no digest of a request")
 
-// syncQuarantine reads the refused requests, unless a relay sends them, and then writes the changes
-// that this daemon finds.
+// syncQuarantine reads the quarantined requests, unless a relay sends them, and then writes the
+// changes that this daemon finds.
 func (n *Node) syncQuarantine(ctx context.Context) error {
 	if err := n.awaitRoster(ctx); err != nil {
 		return err
--- a/cluster/reports.go
+++ b/cluster/reports.go
@@ -16,13 +16,13 @@
 // handleProbeResult applies the report of an instance, or the failure of the probe.
 func (o *owner) handleProbeResult(m probeFinished) {
 	o.fleet.probesInFlight--
-	o.fleet.callLimit.Note(m.took)
+	o.fleet.callLimit.Observe(m.took)
 	defer o.sendOrders()
 	k, known := o.fleet.instances[m.instance.ID]
 	switch {
 	case !known || m.sentAt.Before(k.stateAt):
-		// A newer state is known: answers on different connections may arrive out of order.
-	case m.err != nil && m.sentAt.Before(k.bornKnownAt) && k.CompareIncarnation(m.instance.StartedAt) != models.SameIncarnation:
+		// A newer state is known: responses on different connections may arrive out of order.
+	case m.err != nil && m.sentAt.Before(k.incarnationKnownAt) && k.CompareIncarnation(m.instance.StartedAt) != models.SameIncarnation:
 		// The probe was for an earlier incarnation.
 	case m.err != nil:
 		o.handleProbeFailure(k, m)
--- a/cluster/updates.go
+++ b/cluster/updates.go
@@ -63,7 +63,7 @@
 		o.handleSnapshot(m)
 		return
 	case m.term == p.updateTerm && m.seq <= p.updateSeq:
-		// The update already came by way of another relay.
+		// The update was already received from another relay.
 		return
 	}
 	missed := m.term != p.updateTerm || m.seq != p.updateSeq+1
@@ -112,7 +112,7 @@
 	case !known && o.fleet.hasEnded(u.Instance):
 	case !known:
 		// The instance was not known, so that its loss applies whenever it was found.
-		k = &knownInstance{UpstreamInstance: u.Instance, stateAt: at, bornKnownAt: at}
+		k = &knownInstance{UpstreamInstance: u.Instance, stateAt: at, incarnationKnownAt: at}
 		if u.Lost {
 			k.lostSince = now
 		}
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -11,8 +11,8 @@
 // View is an immutable snapshot of a node's state.
 type View struct {
 	Routing *models.Routing
-	// Proven is the time as of which Routing was last confirmed to be the newest.
-	Proven time.Time
+	// ConfirmedAt is the time as of which Routing was last confirmed to be the newest.
+	ConfirmedAt time.Time
 	// Groups are the replica groups that accept requests, by model.
 	Groups map[models.ModelName][]Group
 	// Services are the instances of plain services that accept requests.
@@ -25,11 +25,12 @@
 	Term    int64
 	// Planner is set if this node is the planner.
 	Planner bool
-	// All are all instances, as of the last time that one was added, removed or began to leave. It
-	// is valid for fields that do not change in an instance's life, such as address and service.
-	All map[models.InstanceID]models.UpstreamInstance
-	// Arranged is the topology: the daemons to which this node sends, and what.
-	Arranged *membership.Topology
+	// Instances are all instances, as of the last time that one was added, removed or began to leave.
+	// It is valid for fields that do not change in an instance's incarnation, such as address and
+	// service.
+	Instances map[models.InstanceID]models.UpstreamInstance
+	// Topology is the topology of the peers: the daemons to which this node sends, and what.
+	Topology *membership.Topology
 
 	// config is the encoded routing as the store holds it.
 	config []byte
@@ -37,8 +38,8 @@
 	// ask this node.
 	configSource     models.DaemonID
 	configRequesters map[models.DaemonID]bool
-	// zoneWork is the demand of this node's zone that it sends to other zones, if it is a relay.
-	zoneWork map[models.ModelName]float32
+	// zoneDemand is the demand of this node's zone that it sends to other zones, if it is a relay.
+	zoneDemand map[models.ModelName]float32
 	// hasPeers is set while heartbeats of other daemons arrive.
 	hasPeers bool
 	// configBehind is set if another daemon has had a newer configuration for longer than
@@ -65,15 +66,15 @@
 }
 
 // mesh reports whether each daemon sends to every other one directly, without relays.
-func (v *View) mesh() bool { return v.Arranged == nil || v.Arranged.IsMesh }
+func (v *View) mesh() bool { return v.Topology == nil || v.Topology.IsMesh }
 
-// Sharers returns the number of daemons that choose groups by the same load totals, including this
-// one.
-func (v *View) Sharers() int {
+// LoadSharers returns the number of daemons that choose groups by the same load totals, including
+// this one.
+func (v *View) LoadSharers() int {
 	if v.mesh() {
 		return 1
 	}
-	return v.Arranged.ZoneSize
+	return v.Topology.ZoneSize
 }
 
 // LoadsAge returns the typical age of other daemons' loads.
--- a/cluster/wire.go
+++ b/cluster/wire.go
@@ -34,8 +34,8 @@
 	// that does not know it yet can connect.
 	Addr string      `msgpack:"ad,omitempty"`
 	Zone models.Zone `msgpack:"z,omitempty"`
-	// Power is the number of processor cores that the daemon may use.
-	Power float64 `msgpack:"p,omitempty"`
+	// CPUCores is the number of processor cores that the daemon may use.
+	CPUCores float64 `msgpack:"p,omitempty"`
 	// AcceptsCompressed is set if the daemon reads compressed frames.
 	AcceptsCompressed bool `msgpack:"up,omitempty"`
 	// ConfigVersion is the version of the configuration in force, ConfigAge the time since it was
@@ -50,12 +50,12 @@
 	// ConfigSource is the daemon that is asked to send its configuration because it has a newer
 	// one.
 	ConfigSource models.DaemonID `msgpack:"w2,omitempty"`
-	// Interval is the sender's heartbeat interval to the receiver; 0 stands for heartbeatInterval.
+	// Interval is the sender's heartbeat interval to the receiver; 0 means heartbeatInterval.
 	Interval time.Duration `msgpack:"ev,omitempty"`
-	// UsesRelay is set if the sender uses the receiver as a relay, UsesPrimaryRelay if it uses the
-	// receiver as its primary relay, whose load totals it applies.
-	UsesRelay        bool `msgpack:"rl,omitempty"`
-	UsesPrimaryRelay bool `msgpack:"rf,omitempty"`
+	// UsesRelay is set if the sender uses the receiver as a relay, UsesLoads if it uses the
+	// receiver as its load relay, whose load totals it applies.
+	UsesRelay bool `msgpack:"rl,omitempty"`
+	UsesLoads bool `msgpack:"rf,omitempty"`
 	// Size is the number of daemons that the sender knows of, including itself.
 	Size int `msgpack:"sz,omitempty"`
 	// MissedUpdates is set if the sender missed updates of the planner and asks the receiver, its
@@ -68,11 +68,11 @@
 	Era int64 `msgpack:"er,omitempty"`
 	// Stalled are the heads that the sender found stalled.
 	Stalled []StalledHead `msgpack:"s,omitempty"`
-	// Work is the demand of the sender's callers for each model, in group-seconds per second.
-	Work map[models.ModelName]float32 `msgpack:"w,omitempty"`
-	// ZoneWork is the total Work of all daemons in the sender's zone. Relays send it to relays of
+	// Demand is the demand of the sender's callers for each model, in group-seconds per second.
+	Demand map[models.ModelName]float32 `msgpack:"w,omitempty"`
+	// ZoneDemand is the total Demand of all daemons in the sender's zone. Relays send it to relays of
 	// other zones.
-	ZoneWork map[models.ModelName]float32 `msgpack:"zw,omitempty"`
+	ZoneDemand map[models.ModelName]float32 `msgpack:"zw,omitempty"`
 	// Grants is, by zone of the instances, the number of daemons for which the sender requests
 	// permits from the receiver. Granters are the granters of permits as the sender, a relay, knows
 	// them. Both are sent only while some instance has a rate limit.
@@ -82,7 +82,7 @@
 
 // abbreviated omits the fields that the first heartbeat on a connection has sent.
 func (b Heartbeat) abbreviated() Heartbeat {
-	b.From, b.Incarnation, b.Addr, b.Zone, b.Power, b.AcceptsCompressed = "", 0, "", "", 0, false
+	b.From, b.Incarnation, b.Addr, b.Zone, b.CPUCores, b.AcceptsCompressed = "", 0, "", "", 0, false
 	return b
 }
 
@@ -90,7 +90,7 @@
 func (b Heartbeat) completed(first Heartbeat) Heartbeat {
 	if b.From == "" {
 		b.From, b.Incarnation, b.Addr, b.Zone = first.From, first.Incarnation, first.Addr, first.Zone
-		b.Power, b.AcceptsCompressed = first.Power, first.AcceptsCompressed
+		b.CPUCores, b.AcceptsCompressed = first.CPUCores, first.AcceptsCompressed
 	}
 	return b
 }
@@ -113,8 +113,8 @@
 	Zone        models.Zone `msgpack:"z"`
 	Addr        string      `msgpack:"a"`
 	Incarnation int64       `msgpack:"i"`
-	// Power is the number of processor cores that the daemon may use.
-	Power float64 `msgpack:"p"`
+	// CPUCores is the number of processor cores that the daemon may use.
+	CPUCores float64 `msgpack:"p"`
 	// AcceptsCompressed is set if the daemon reads compressed frames.
 	AcceptsCompressed bool `msgpack:"up,omitempty"`
 }
@@ -133,10 +133,10 @@
 
 // Load is the load of one or several daemons on an instance.
 type Load struct {
-	// Requests is the number of requests in flight, Unread the number of prompt tokens of requests
-	// that have no answer yet.
-	Requests int `msgpack:"r,omitempty"`
-	Unread   int `msgpack:"u,omitempty"`
+	// Requests is the number of requests in flight, PrefillTokens the number of prompt tokens of
+	// requests that have no response yet.
+	Requests      int `msgpack:"r,omitempty"`
+	PrefillTokens int `msgpack:"u,omitempty"`
 }
 
 // Update is any message between daemons that is not a heartbeat. Each one holds one of: loads,
@@ -152,7 +152,8 @@
 	// Forward asks the receiver, a relay, to forward the update to its zone and to the relays of
 	// other zones. Senders that are no relays set it.
 	Forward bool `msgpack:"sp,omitempty"`
-	// Full is set if loads that are not listed are zero. Scope tells whose loads they are.
+	// Full is set if loads that are not listed are zero. Scope is the set of daemons whose loads they
+	// are.
 	Full  bool                       `msgpack:"a,omitempty"`
 	Scope loadScope                  `msgpack:"of,omitempty"`
 	Loads map[models.InstanceID]Load `msgpack:"l,omitempty"`
@@ -173,9 +174,9 @@
 	TermEnded bool `msgpack:"e,omitempty"`
 	// Crashes are instances that crashed with requests in flight.
 	Crashes []CrashUpdate `msgpack:"cr,omitempty"`
-	// Limits are rate limits that instances named in answers.
+	// Limits are rate limits that instances announced in responses.
 	Limits []LimitUpdate `msgpack:"lm,omitempty"`
-	// Signals are backoff and leaving signals from instances' answers.
+	// Signals are backoff and leaving signals from instances' responses.
 	Signals []SignalUpdate `msgpack:"sg,omitempty"`
 }
 
--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -26,7 +26,7 @@
 // scriptCommands are the commands that scripts have in addition to those of testscript:
 //
 //	site [flags]            start a site and wait for its engines; see cmdSite
-//	ask DAEMON COMMAND      run an operator's command; stdout is the answer
+//	ask DAEMON COMMAND      run an operator's command; stdout is the response
 //	await DAEMON ROWS TABLE wait until the table has this number of rows
 //	chat DAEMON MODEL [stream] [tokens=N] [key=K]
 //	                        send a request and check that its response is complete
@@ -187,29 +187,29 @@
 	ts.Check(testSiteOf(ts).awaitEngines())
 }
 
-func (s *testSite) ask(daemon, text string) (api.AskAnswer, error) {
+func (s *testSite) ask(daemon, text string) (api.AskResponse, error) {
 	d, err := s.daemon(daemon)
 	if err != nil {
-		return api.AskAnswer{}, err
+		return api.AskResponse{}, err
 	}
 	return api.Ask(context.Background(), d.admin, operatorToken, text, api.AskOptions{})
 }
 
 func cmdAsk(ts *testscript.TestScript, neg bool, args []string) {
 	requireArgs(ts, args, 2, "ask DAEMON COMMAND")
-	var answer api.AskAnswer
+	var response api.AskResponse
 	text := strings.ReplaceAll(strings.Join(args[1:], " "), "$CALLER", api.HashToken(callerToken))
 	text = strings.ReplaceAll(text, "$ID", ts.Getenv("ID"))
 	// A daemon that is starting doesn't respond yet.
 	err := retryFor(awaitTimeout, func() (err error) {
-		answer, err = testSiteOf(ts).ask(args[0], text)
+		response, err = testSiteOf(ts).ask(args[0], text)
 		return err
 	})
 	ts.Check(err)
-	data, err := json.MarshalIndent(answer, "", " ")
+	data, err := json.MarshalIndent(response, "", " ")
 	ts.Check(err)
 	fmt.Fprintln(ts.Stdout(), string(data))
-	failed := answer.Error != nil || (answer.Change != nil && (answer.Change.Result == api.ChangeRefused || answer.Change.Result == api.ChangeUnknown))
+	failed := response.Error != nil || (response.Change != nil && (response.Change.Result == api.ChangeRejected || response.Change.Result == api.ChangeUnknown))
 	if failed != neg {
 		ts.Fatalf("ask %s: %s", args[0], data)
 	}
@@ -219,12 +219,12 @@
 	requireArgs(ts, args, 3, "await DAEMON ROWS TABLE")
 	want, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	var last api.AskAnswer
+	var last api.AskResponse
 	err = retryFor(awaitTimeout, func() error {
-		answer, err := testSiteOf(ts).ask(args[0], strings.Join(args[2:], " "))
-		last = answer
-		if err == nil && len(answer.Rows) != want {
-			err = fmt.Errorf("%s: %d rows instead of %d", args[2], len(answer.Rows), want)
+		response, err := testSiteOf(ts).ask(args[0], strings.Join(args[2:], " "))
+		last = response
+		if err == nil && len(response.Rows) != want {
+			err = fmt.Errorf("%s: %d rows instead of %d", args[2], len(response.Rows), want)
 		}
 		return err
 	})
@@ -268,15 +268,15 @@
 	var res result
 	ts.Check(retryFor(awaitTimeout, func() error {
 		res = r.send(context.Background(), d.callers)
-		if !neg && res.end == endNotRun && strings.Contains(res.detail, `"code":"overloaded"`) {
-			// A daemon under load may refuse a request for lack of capacity; a caller retries then.
+		if !neg && res.end == outcomeNotRun && strings.Contains(res.detail, `"code":"overloaded"`) {
+			// A daemon under load may reject a request for lack of capacity; a caller retries then.
 			return fmt.Errorf("%s is overloaded: %s", args[0], res.detail)
 		}
 		return nil
 	}))
 	fmt.Fprintf(ts.Stdout(), "%+v\n", res)
 	testSiteOf(ts).lastRequest = res.request
-	if (res.end == endWhole) == neg {
+	if (res.end == outcomeComplete) == neg {
 		ts.Fatalf("chat %s %s: %+v", args[0], args[1], res)
 	}
 }
@@ -290,18 +290,18 @@
 	ts.Check(err)
 	r := parseChat(ts, args[2:])
 	results := make(chan result, n)
-	const atOnce = 4
-	for worker := range atOnce {
+	const concurrency = 4
+	for worker := range concurrency {
 		go func() {
-			for i := worker; i < n; i += atOnce {
-				asked := r
-				asked.prompt = fmt.Sprintf("%s, number %d", r.prompt, i)
-				results <- asked.send(context.Background(), d.callers)
+			for i := worker; i < n; i += concurrency {
+				req := r
+				req.prompt = fmt.Sprintf("%s, number %d", r.prompt, i)
+				results <- req.send(context.Background(), d.callers)
 			}
 		}()
 	}
 	for range n {
-		if res := <-results; res.end != endWhole {
+		if res := <-results; res.end != outcomeComplete {
 			ts.Fatalf("chats %s: %+v", args[1], res)
 		}
 	}
@@ -327,8 +327,8 @@
 	for range n {
 		results = append(results, <-ends)
 	}
-	if whole := countEnds(results)[endWhole]; whole != 1 {
-		ts.Fatalf("%d of %d got a complete response", whole, n)
+	if complete := countOutcomes(results)[outcomeComplete]; complete != 1 {
+		ts.Fatalf("%d of %d got a complete response", complete, n)
 	}
 	ts.Check(checkKeys(results, runCounts(site.runs())))
 }
@@ -438,7 +438,7 @@
 
 func cmdBackgroundChatEnd(ts *testscript.TestScript, _ bool, args []string) {
 	requireArgs(ts, args, 1, "bgchatend NAME")
-	if res := <-testSiteOf(ts).backgroundChats[args[0]]; res.end != endWhole {
+	if res := <-testSiteOf(ts).backgroundChats[args[0]]; res.end != outcomeComplete {
 		ts.Fatalf("%s: %+v", args[0], res)
 	}
 }
--- a/fleet/convert.go
+++ b/fleet/convert.go
@@ -51,7 +51,7 @@
 	return minRepairGain
 }
 
-// isShift reports whether most members come from serving groups rather than from what is left of a
+// isShift reports whether most members come from serving groups rather than from the remains of a
 // broken group.
 func (c *conversion) isShift() bool { return 2*c.freeCount < c.model.GroupSize }
 
@@ -240,7 +240,7 @@
 		}
 		free = false
 		if g := r.groups[r.Instances[id].Group.Key]; g != nil {
-			r.endGroup(g.Key, g.Head, types.GroupFinish)
+			r.endGroup(g.Key, g.Head, types.GroupDrain)
 		}
 	}
 	if !free {
--- a/fleet/ending.go
+++ b/fleet/ending.go
@@ -40,15 +40,15 @@
 	}
 }
 
-// endGroup starts to dissolve a group. If the group is already finishing its requests, a cut
-// replaces that.
+// endGroup starts to dissolve a group. If the group is already draining, an immediate
+// stop replaces the drain.
 func (r *round) endGroup(key models.GroupKey, head models.InstanceID, kind types.GroupOrderKind) {
 	e := r.ending[key]
 	if e == nil {
 		r.ending[key] = &ending{key: key, head: head, kind: kind}
 		return
 	}
-	if kind == types.GroupCut && e.kind == types.GroupFinish {
+	if kind == types.GroupStop && e.kind == types.GroupDrain {
 		e.kind = kind
 	}
 }
--- a/fleet/planner.go
+++ b/fleet/planner.go
@@ -31,12 +31,12 @@
 	// RejoinTime is how long an instance takes to join a group of the model that it ran last, as
 	// specified by the engines' vendors.
 	RejoinTime = 200 * time.Millisecond
-	// cutRetryInterval is how soon a head that began to close receives the order again: its response
-	// tells when it has closed.
-	cutRetryInterval = 30 * time.Millisecond
-	// finishRetryInterval is the same for a head that finishes its requests, which takes about a
+	// stopRetryInterval is how soon a head that began to close receives the order again: its response
+	// reports when it has closed.
+	stopRetryInterval = 30 * time.Millisecond
+	// drainRetryInterval is the same for a head that finishes its requests, which takes about a
 	// second.
-	finishRetryInterval = 250 * time.Millisecond
+	drainRetryInterval = 250 * time.Millisecond
 	// loadWindow is the window over which load starts are limited, and loadRateFraction the
 	// fraction of the weight store's rate that may be used in it.
 	loadWindow       = 5 * time.Second
@@ -57,8 +57,8 @@
 	// Unverified holds instances that the planner has not queried in its own term. Their known state
 	// may be older than the last orders of the previous planner, so they join no new groups.
 	Unverified map[models.InstanceID]bool
-	// Demand is the fraction of all instances that each model needs.
-	Demand map[models.ModelName]float64
+	// DemandShares is the fraction of all instances that each model needs.
+	DemandShares map[models.ModelName]float64
 	// InFlight is the number of requests in flight in each model's groups.
 	InFlight map[models.ModelName]float64
 	// LimitedSlots is the number of slots of each model's groups that can't be used because their
@@ -85,7 +85,7 @@
 	// forming holds the groups that are being formed, ending the groups that are being dissolved.
 	forming map[models.GroupKey]*formation
 	ending  map[models.GroupKey]*ending
-	// unansweredOpens is when an order to open a group last went unanswered.
+	// unansweredOpens is when an order to open a group last got no response.
 	unansweredOpens map[models.GroupKey]time.Time
 	// sent holds the last order to each instance.
 	sent map[models.InstanceID]*sentOrder
@@ -194,7 +194,7 @@
 // OrderInProgress returns the kind of the order that the instance is executing, empty if there is
 // none.
 func (p *Planner) OrderInProgress(id models.InstanceID) types.GroupOrderKind {
-	if s := p.sent[id]; s != nil && s.outcome == types.OrderBegun {
+	if s := p.sent[id]; s != nil && s.outcome == types.OrderStarted {
 		return s.order.Kind
 	}
 	return ""
@@ -212,7 +212,7 @@
 
 // RecordOutcome records the outcome of an order.
 func (p *Planner) RecordOutcome(o types.GroupOrder, outcome types.OrderOutcome, now time.Time) {
-	if (models.UpstreamInstance{StartedAt: p.startTimes[o.Instance]}).CompareIncarnation(o.Born) != models.SameIncarnation {
+	if (models.UpstreamInstance{StartedAt: p.startTimes[o.Instance]}).CompareIncarnation(o.StartedAt) != models.SameIncarnation {
 		// The instance has restarted since the order.
 		return
 	}
@@ -222,11 +222,11 @@
 	switch outcome {
 	case types.OrderFenced:
 		p.handleFenced(o)
-	case types.OrderUnfit, types.OrderOtherInstance:
+	case types.OrderRejected, types.OrderOtherInstance:
 		if o.Kind == types.GroupJoin || outcome == types.OrderOtherInstance {
 			p.backoffUntil[o.Instance] = now.Add(unfitBackoff)
 		}
-	case types.OrderDone, types.OrderBegun:
+	case types.OrderDone, types.OrderStarted:
 		p.handleAccepted(o, outcome, now)
 	case types.OrderUnknown:
 		if o.Kind == types.GroupOpen {
--- a/fleet/round.go
+++ b/fleet/round.go
@@ -92,18 +92,18 @@
 	if s.order.Kind != kind || s.order.Group != key {
 		return true
 	}
-	if s.outcome == types.OrderBegun && kind == types.GroupCut {
-		return r.Now.Sub(s.at) >= cutRetryInterval
+	if s.outcome == types.OrderStarted && kind == types.GroupStop {
+		return r.Now.Sub(s.at) >= stopRetryInterval
 	}
-	if s.outcome == types.OrderBegun && kind == types.GroupFinish {
-		return r.Now.Sub(s.at) >= finishRetryInterval
+	if s.outcome == types.OrderStarted && kind == types.GroupDrain {
+		return r.Now.Sub(s.at) >= drainRetryInterval
 	}
 	return r.Now.Sub(s.at) >= orderRetryInterval
 }
 
 // issue queues an order under a new fence.
 func (r *round) issue(o types.GroupOrder) {
-	o.Fence, o.Born = r.nextFence(), r.Instances[o.Instance].StartedAt
+	o.Fence, o.StartedAt = r.nextFence(), r.Instances[o.Instance].StartedAt
 	r.sent[o.Instance] = &sentOrder{order: o, at: r.Now, outcome: pending}
 	r.orders = append(r.orders, o)
 }
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -26,12 +26,12 @@
 	s.received = nil
 }
 
-// signal records a backoff or leaving notice of an instance at the gateway.
+// signal records a backoff or leaving signal of an instance at the gateway.
 func (s *limitFixture) signal(id models.InstanceID, backoff time.Duration, leaving bool) {
-	s.node.breakers.Heard(breaker.Signal{Instance: id, StartedAt: s.node.view.All[id].StartedAt, ReceivedAt: time.Now(), Backoff: backoff, Leaving: leaving})
+	s.node.breakers.Observe(breaker.Signal{Instance: id, StartedAt: s.node.view.Instances[id].StartedAt, ReceivedAt: time.Now(), Backoff: backoff, Leaving: leaving})
 }
 
-// TestSignalAppliesToNextRequest checks that a backoff or a leaving notice in a response applies
+// TestSignalAppliesToNextRequest checks that a backoff or a leaving signal in a response applies
 // from the next request on, whatever the status of the response.
 func TestSignalAppliesToNextRequest(t *testing.T) {
 	for _, test := range []struct {
@@ -64,9 +64,9 @@
 // taken over the address, does not mark the former one as leaving.
 func TestLeavingFromReusedAddressIgnored(t *testing.T) {
 	s := newLimitFixture(t)
-	other := s.node.view.All["p1"]
+	other := s.node.view.Instances["p1"]
 	other.ID = "p3"
-	s.node.view.All["p3"] = other
+	s.node.view.Instances["p3"] = other
 	s.status, s.headers = http.StatusMisdirectedRequest, map[string]string{"Server-Leaving": "1"}
 	s.sendUntil("p1")
 	s.c.Assert(s.node.breakers.Any(), qt.IsFalse)
@@ -116,7 +116,7 @@
 func TestBackoffCheckedBeforeSend(t *testing.T) {
 	s := newLimitFixture(t)
 	g := New(Settings{RetryWindow: time.Second}, s.node, newScheduler(), metrics.NewSet(), zerolog.Nop())
-	i := s.node.view.All["p1"]
+	i := s.node.view.Instances["p1"]
 	s.setLimit("p1")
 	p := permit{instance: "p1", granted: time.Now()}
 	r, err := http.NewRequest(http.MethodPost, "http://api.example/again/x", nil)
@@ -133,16 +133,16 @@
 	s.c.Assert(s.received, qt.HasLen, 0)
 }
 
-// TestIsolatedRequestAvoidsBackingOffInstance checks that an isolated request, which has an instance
-// of its own, is sent to the other one while that instance backs off.
+// TestIsolatedRequestAvoidsBackingOffInstance checks that an isolated request, which has an
+// instance of its own, is sent to the other one while that instance backs off.
 func TestIsolatedRequestAvoidsBackingOffInstance(t *testing.T) {
 	s := newLimitFixture(t)
 	d := quarantine.Request{Workspace: "ws", Method: http.MethodPost, Host: "api.example", Target: "/again/x", Body: []byte("body")}.Digest()
 	for _, id := range []models.InstanceID{"i1", "i2"} {
-		s.node.quarantine.Crashed(quarantine.Crash{Instance: id, At: time.Now().Add(-time.Minute), Requests: map[quarantine.Digest]bool{d: false}})
+		s.node.quarantine.RecordCrash(quarantine.Crash{Instance: id, At: time.Now().Add(-time.Minute), Requests: map[quarantine.Digest]bool{d: false}})
 	}
-	s.c.Assert(s.node.quarantine.Standing(d).NeedsIsolation(), qt.IsTrue)
-	own := []string{"p1", "p2"}[s.node.quarantine.Place(d, 2)]
+	s.c.Assert(s.node.quarantine.Status(d).NeedsIsolation(), qt.IsTrue)
+	own := []string{"p1", "p2"}[s.node.quarantine.IsolationIndex(d, 2)]
 	s.signal(models.InstanceID(own), time.Minute, false)
 	s.send("a")
 	s.c.Assert(s.received, qt.HasLen, 1)
@@ -175,7 +175,7 @@
 		return i.ID
 	}
 	c.Assert(pick(), qt.Equals, models.InstanceID("b"))
-	node.breakers.Note(breaker.Signal{Instance: "b", ReceivedAt: time.Now(), Backoff: time.Minute}, "d2")
+	node.breakers.Record(breaker.Signal{Instance: "b", ReceivedAt: time.Now(), Backoff: time.Minute}, "d2")
 	for range 20 {
 		c.Assert(pick(), qt.Not(qt.Equals), models.InstanceID("b"))
 	}
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -66,7 +66,7 @@
 	requests map[quarantine.Digest]struct{}
 	// evidence is empty until there is some.
 	evidence evidence
-	// probed is closed after the first probe. probeEnded tells that no further probe follows.
+	// probed is closed after the first probe. probeEnded is set if no further probe follows.
 	probed     chan struct{}
 	probeEnded bool
 }
@@ -88,7 +88,7 @@
 // executing, and probes it at once. The channel is closed after the first probe. An instance that
 // was about to leave ends as planned and is not probed.
 func (cd *crashDetector) noteDisconnect(ctx context.Context, i models.UpstreamInstance, d quarantine.Digest) <-chan struct{} {
-	known, there := cd.node.View().All[i.ID]
+	known, there := cd.node.View().Instances[i.ID]
 	cd.mu.Lock()
 	defer cd.mu.Unlock()
 	c := cd.disconnects[i.ID]
@@ -111,14 +111,14 @@
 // one.
 func (c *disconnect) isAlive() bool { return c.probeEnded && c.evidence == "" }
 
-// report tells all daemons which requests a crashed instance was running. The detector must be
+// report informs all daemons of which requests a crashed instance was running. The detector must be
 // locked.
 func (cd *crashDetector) report(c *disconnect, requests ...quarantine.Digest) {
 	crash := quarantine.Crash{Instance: c.instance.ID, StartedAt: c.instance.StartedAt, At: c.at, Requests: map[quarantine.Digest]bool{}}
 	for _, d := range requests {
 		crash.Requests[d] = false
 	}
-	cd.node.Quarantine().Crashed(crash)
+	cd.node.Quarantine().RecordCrash(crash)
 }
 
 // probe finds out whether an instance still accepts connections.
@@ -182,7 +182,7 @@
 
 // sweep looks for instances that have restarted, and drops old disconnects.
 func (cd *crashDetector) sweep(now time.Time) {
-	all := cd.node.View().All
+	all := cd.node.View().Instances
 	var restarted []*disconnect
 	cd.mu.Lock()
 	for id, c := range cd.disconnects {
@@ -203,7 +203,7 @@
 // isDisconnect reports whether an error means that the instance closed the connection before the
 // response was complete.
 func isDisconnect(err error) bool {
-	for _, end := range []error{io.ErrUnexpectedEOF, sse.ErrCut, errEmptyStream, syscall.ECONNRESET, syscall.EPIPE} {
+	for _, end := range []error{io.ErrUnexpectedEOF, sse.ErrTruncated, errEmptyStream, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, end) {
 			return !errors.Is(err, errNotRun) && !errors.Is(err, h1.ErrStalled)
 		}
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -46,9 +46,9 @@
 			if !test.listens {
 				l.Close()
 			}
-			node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{All: map[models.InstanceID]models.UpstreamInstance{}}}
+			node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{Instances: map[models.InstanceID]models.UpstreamInstance{}}}
 			if !test.unlisted {
-				node.view.All[i.ID] = i
+				node.view.Instances[i.ID] = i
 			}
 			cd := newCrashDetector(node, metrics.NewSet(), zerolog.Nop())
 			probed := cd.noteDisconnect(context.Background(), i, quarantine.Request{Target: "/x"}.Digest())
@@ -60,7 +60,7 @@
 			if test.bornAnewLater {
 				later := i
 				later.StartedAt = i.StartedAt.Add(time.Second)
-				node.view.All[i.ID] = later
+				node.view.Instances[i.ID] = later
 			}
 			cd.sweep(time.Now())
 			cd.mu.Lock()
@@ -74,8 +74,8 @@
 // a crash: not a stall, nor a request that was not sent, nor an invalid response.
 func TestDisconnectErrors(t *testing.T) {
 	c := qt.New(t)
-	mayHaveRun := func(err error) error { return errors.Join(errMayHaveRun, fmt.Errorf("%w: %w", h1.ErrNoAnswer, err)) }
-	for _, cut := range []error{mayHaveRun(io.ErrUnexpectedEOF), mayHaveRun(syscall.ECONNRESET), errors.Join(errMayHaveRun, sse.ErrCut), errors.Join(errMayHaveRun, errEmptyStream)} {
+	mayHaveRun := func(err error) error { return errors.Join(errMayHaveRun, fmt.Errorf("%w: %w", h1.ErrNoResponse, err)) }
+	for _, cut := range []error{mayHaveRun(io.ErrUnexpectedEOF), mayHaveRun(syscall.ECONNRESET), errors.Join(errMayHaveRun, sse.ErrTruncated), errors.Join(errMayHaveRun, errEmptyStream)} {
 		c.Check(isDisconnect(cut), qt.IsTrue, qt.Commentf("%v", cut))
 	}
 	for _, other := range []error{
@@ -94,7 +94,7 @@
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	i := models.UpstreamInstance{ID: "i", Addr: netip.MustParseAddrPort(l.Addr().String())}
-	node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{All: map[models.InstanceID]models.UpstreamInstance{i.ID: i}}}
+	node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{Instances: map[models.InstanceID]models.UpstreamInstance{i.ID: i}}}
 	cd := newCrashDetector(node, metrics.NewSet(), zerolog.Nop())
 	reset, guilty := quarantine.Request{Target: "/reset"}.Digest(), quarantine.Request{Target: "/guilty"}.Digest()
 	cd.noteDisconnect(context.Background(), i, reset)
@@ -105,8 +105,8 @@
 	time.Sleep(probing + 100*time.Millisecond)
 	c.Assert(l.Close(), qt.IsNil)
 	<-cd.noteDisconnect(context.Background(), i, guilty)
-	c.Assert(node.quarantine.Standing(guilty).Crashes, qt.Equals, 1)
-	c.Assert(node.quarantine.Standing(reset).Crashes, qt.Equals, 0)
+	c.Assert(node.quarantine.Status(guilty).Crashes, qt.Equals, 1)
+	c.Assert(node.quarantine.Status(reset).Crashes, qt.Equals, 0)
 }
 
 // TestRestartLongAfterReset checks that a restart long after a reset connection does not count as a
@@ -114,14 +114,14 @@
 func TestRestartLongAfterReset(t *testing.T) {
 	c := qt.New(t)
 	i := models.UpstreamInstance{ID: "i", StartedAt: time.Unix(1, 0), Addr: netip.MustParseAddrPort("127.0.0.1:1")}
-	node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{All: map[models.InstanceID]models.UpstreamInstance{}}}
+	node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{Instances: map[models.InstanceID]models.UpstreamInstance{}}}
 	cd := newCrashDetector(node, metrics.NewSet(), zerolog.Nop())
 	d := quarantine.Request{Target: "/reset"}.Digest()
 	now := time.Now()
 	cd.disconnects[i.ID] = &disconnect{instance: i, at: now, requests: map[quarantine.Digest]struct{}{d: {}}}
 	cd.sweep(now.Add(restartWindow + time.Second))
 	i.StartedAt = i.StartedAt.Add(time.Minute)
-	node.view.All[i.ID] = i
+	node.view.Instances[i.ID] = i
 	cd.sweep(now.Add(restartWindow + 2*time.Second))
-	c.Assert(node.quarantine.Standing(d).Crashes, qt.Equals, 0)
+	c.Assert(node.quarantine.Status(d).Crashes, qt.Equals, 0)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -58,11 +58,11 @@
 	Quarantine() *cluster.Quarantine
 	// Limits tracks the rate limits that instances announce.
 	Limits() *cluster.Limits
-	// Breakers tracks the backoffs and leaving notices that instances send in responses.
+	// Breakers tracks the backoffs and leaving signals that instances send in responses.
 	Breakers() *cluster.Breakers
-	// AskPermit asks for a permit to send a request to one of several rate-limited instances of a
+	// RequestPermit requests a permit to send a request to one of several rate-limited instances of a
 	// zone.
-	AskPermit(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error)
+	RequestPermit(ctx context.Context, zone models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error)
 	Clock() *timer.Service
 }
 
@@ -88,7 +88,7 @@
 	// quarantineRejections counts requests rejected because they crash instances.
 	quarantineRejections *metrics.Counter
 	// limitRejections counts requests rejected because all instances have rate limits and no permit
-	// came in time.
+	// was granted in time.
 	limitRejections *metrics.Counter
 	// backoffRejections counts requests rejected because all instances asked for a backoff.
 	backoffRejections *metrics.Counter
@@ -125,7 +125,7 @@
 // depends on whether the upstream is in the daemon's zone.
 func (g *Gateway) connOpened(addr netip.AddrPort) h1.Meter {
 	g.stats.connsOpened.Inc()
-	for _, i := range g.node.View().All {
+	for _, i := range g.node.View().Instances {
 		if i.Addr == addr && i.Zone == g.cfg.Zone {
 			return g.stats.ownZone
 		}
--- a/gateway/permit_test.go
+++ b/gateway/permit_test.go
@@ -78,8 +78,8 @@
 
 // setLimit records a rate limit of an instance at the gateway.
 func (s *limitFixture) setLimit(id models.InstanceID) {
-	i := s.node.view.All[id]
-	s.node.limits.Heard(ratelimit.Observation{Instance: id, StartedAt: i.StartedAt, Rate: 2, SentAt: time.Now(), ReceivedAt: time.Now()})
+	i := s.node.view.Instances[id]
+	s.node.limits.Observe(ratelimit.Observation{Instance: id, StartedAt: i.StartedAt, Rate: 2, SentAt: time.Now(), ReceivedAt: time.Now()})
 }
 
 // TestLimitedInstanceNeedsPermit checks that a rate limit announced in a response applies from the
@@ -114,8 +114,9 @@
 	s.c.Assert(s.received[len(s.received)-1], qt.Equals, "p1")
 }
 
-// TestAllLimitedRejectsImmediately checks that a request is rejected without a send if all instances
-// have rate limits and no permit comes in time. Retry-After follows the wait, with a jitter.
+// TestAllLimitedRejectsImmediately checks that a request is rejected without a send if all
+// instances have rate limits and no permit comes in time. Retry-After follows the wait, with a
+// jitter.
 func TestAllLimitedRejectsImmediately(t *testing.T) {
 	s := newLimitFixture(t)
 	s.setLimit("p1")
@@ -177,7 +178,7 @@
 func TestPermitCheckedBeforeSend(t *testing.T) {
 	s := newLimitFixture(t)
 	g := New(Settings{RetryWindow: time.Second}, s.node, newScheduler(), metrics.NewSet(), zerolog.Nop())
-	i := s.node.view.All["p1"]
+	i := s.node.view.Instances["p1"]
 	s.c.Assert(permit{}.allows(g, i), qt.IsTrue)
 	s.setLimit("p1")
 	s.c.Assert(permit{}.allows(g, i), qt.IsFalse)
--- a/gateway/scheduler.go
+++ b/gateway/scheduler.go
@@ -89,8 +89,8 @@
 // Changed yields after loads have changed.
 func (s *scheduler) Changed() <-chan struct{} { return s.changed }
 
-// Work returns the demand for each model, in seconds of a replica group per second.
-func (s *scheduler) Work() map[models.ModelName]float64 {
+// Demand returns the demand for each model, in seconds of a replica group per second.
+func (s *scheduler) Demand() map[models.ModelName]float64 {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +124,7 @@
 	s.mu.Lock()
 	load := s.loads[id]
 	load.Requests += requests
-	load.Unread += prefillTokens
+	load.PrefillTokens += prefillTokens
 	s.loads[id] = load
 	if load == (cluster.Load{}) {
 		delete(s.loads, id)
@@ -171,7 +171,7 @@
 // totalLoadLocked returns the load of an instance from all daemons. The scheduler must be locked.
 func (s *scheduler) totalLoadLocked(node Node, id models.InstanceID) cluster.Load {
 	own, peers := s.loads[id], node.PeersLoad(id)
-	return cluster.Load{Requests: own.Requests + peers.Requests, Unread: own.Unread + peers.Unread}
+	return cluster.Load{Requests: own.Requests + peers.Requests, PrefillTokens: own.PrefillTokens + peers.PrefillTokens}
 }
 
 // totalLoad is totalLoadLocked for a scheduler that is not locked.
--- a/gateway/script_test.go
+++ b/gateway/script_test.go
@@ -67,7 +67,7 @@
 	// peerRequests holds how many requests other daemons have at instances.
 	peerRequests map[models.InstanceID]int
 	quarantine   *cluster.Quarantine
-	// limits are empty if nil; permit answers AskPermit.
+	// limits are empty if nil; permit answers RequestPermit.
 	limits *cluster.Limits
 	// breakers are closed if nil.
 	breakers *cluster.Breakers
@@ -114,8 +114,8 @@
 	return cluster.NewBreakers(func() {}, metrics.NewSet(), zerolog.Nop())
 }
 
-// AskPermit calls the test's permit function; without one there is no granter.
-func (f *fakeNode) AskPermit(_ context.Context, _ models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
+// RequestPermit calls the test's permit function; without one there is no granter.
+func (f *fakeNode) RequestPermit(_ context.Context, _ models.Zone, ask ratelimit.PermitRequest) (ratelimit.Grant, error) {
 	if f.permit == nil {
 		return ratelimit.Grant{}, cluster.ErrNoGranter
 	}
@@ -132,7 +132,7 @@
 func (f *fakeNode) PeersLoad(id models.InstanceID) cluster.Load {
 	const tokens = 1_000_000
 	nth := int(id[len(id)-1] - '1')
-	return cluster.Load{Requests: nth + f.peerRequests[id], Unread: nth * tokens}
+	return cluster.Load{Requests: nth + f.peerRequests[id], PrefillTokens: nth * tokens}
 }
 
 func (f *fakeNode) ReportStalled(_ models.GroupKey, h models.InstanceID) {
@@ -178,9 +178,9 @@
 		node.peerRequests[id] = requests
 	}
 	for _, line := range lines(parts["restarted"]) {
-		u := node.view.All[models.InstanceID(line)]
+		u := node.view.Instances[models.InstanceID(line)]
 		u.StartedAt = u.StartedAt.Add(time.Second)
-		node.view.All[u.ID] = u
+		node.view.Instances[u.ID] = u
 	}
 	cfg := Settings{MaxKeysProofAge: time.Minute, MaxConfigAge: time.Minute, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second}
 	if settle, given := parts["settle"]; given {
@@ -211,15 +211,15 @@
 	routing, err := platform.DecodeRouting([]byte(config))
 	c.Assert(err, qt.IsNil)
 	v := &cluster.View{
-		Routing: routing, Proven: time.Now(), Groups: map[models.ModelName][]cluster.Group{},
+		Routing: routing, ConfirmedAt: time.Now(), Groups: map[models.ModelName][]cluster.Group{},
 		Services: map[models.ServiceName][]models.UpstreamInstance{}, Daemons: 1,
-		All: map[models.InstanceID]models.UpstreamInstance{},
+		Instances: map[models.InstanceID]models.UpstreamInstance{},
 	}
 	for _, i := range instances {
 		u := models.UpstreamInstance{
 			ID: models.InstanceID(i.name), StartedAt: time.Unix(1, 0), Addr: netip.MustParseAddrPort(i.l.Addr().String()), Service: "plain",
 		}
-		v.All[u.ID] = u
+		v.Instances[u.ID] = u
 		if !strings.HasPrefix(i.name, "g") {
 			v.Services["plain"] = append(v.Services["plain"], u)
 			continue
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -104,13 +104,13 @@
 			return ctx.Err()
 		case tick := <-ticks:
 			v := g.node.View()
-			g.conns.Allow(idleConnLimits(v, g.cfg.Listen))
+			g.conns.SetMaxIdle(idleConnLimits(v, g.cfg.Listen))
 			g.conns.Sweep(tick.At)
-			g.scheduler.prune(v.All)
+			g.scheduler.prune(v.Instances)
 			g.crashes.sweep(tick.At)
 			g.node.Quarantine().Prune()
-			g.node.Limits().Prune(v.All)
-			g.node.Breakers().Prune(v.All)
+			g.node.Limits().Prune(v.Instances)
+			g.node.Breakers().Prune(v.Instances)
 		}
 	}
 }
@@ -124,8 +124,8 @@
 // chosen by a hash that differs between instances, so that all daemons together stay within the
 // fraction.
 func idleConnLimits(v *cluster.View, self netip.AddrPort) map[netip.AddrPort]int {
-	limits := make(map[netip.AddrPort]int, len(v.All))
-	for _, i := range v.All {
+	limits := make(map[netip.AddrPort]int, len(v.Instances))
+	for _, i := range v.Instances {
 		limits[i.Addr] = h1.MaxIdle
 		if v.Routing == nil {
 			continue
@@ -173,5 +173,5 @@
 
 // isCurrent reports whether the configuration was proven to be the newest within the bound.
 func (g *Gateway) isCurrent(v *cluster.View, bound time.Duration) bool {
-	return v.Routing != nil && g.node.Clock().Since(v.Proven) < bound
+	return v.Routing != nil && g.node.Clock().Since(v.ConfirmedAt) < bound
 }
--- a/load/load.go
+++ b/load/load.go
@@ -40,10 +40,10 @@
 	// Rate is the number of requests a second.
 	Rate     float64
 	Duration time.Duration
-	// Prompt and Answer are the mean lengths of prompts in bytes and of completions in tokens; the
-	// length of a single request is between half and one and a half times the mean.
-	Prompt int
-	Answer int
+	// Prompt and OutputTokens are the mean lengths of prompts in bytes and of completions in tokens;
+	// the length of a single request is between half and one and a half times the mean.
+	Prompt       int
+	OutputTokens int
 	// Prefixes is how many different shared prefixes the prompts have; a prefix is three quarters
 	// of the mean prompt length. 0 means that prompts share no prefix.
 	Prefixes int
@@ -54,23 +54,23 @@
 	HeaderFor func(netip.AddrPort) http.Header
 }
 
-// The outcomes of a request as its caller sees them, in addition to those of router.End.
+// The outcomes of a request as its caller sees them, in addition to those of router.Outcome.
 const (
-	// EndBroken: the stream was aborted, or ended in an error event.
-	EndBroken router.Outcome = "broken"
-	// EndShort: the stream ended cleanly without its end mark.
-	EndShort router.Outcome = "short"
-	// EndDoubled: more events followed the end mark.
-	EndDoubled router.Outcome = "doubled"
-	// EndSilent: there was no response at all.
-	EndSilent router.Outcome = "silent"
+	// OutcomeBroken: the stream was aborted, or ended in an error event.
+	OutcomeBroken router.Outcome = "broken"
+	// OutcomeTruncated: the stream ended cleanly without its end mark.
+	OutcomeTruncated router.Outcome = "short"
+	// OutcomeExtraEvents: more events followed the end mark.
+	OutcomeExtraEvents router.Outcome = "doubled"
+	// OutcomeNoResponse: there was no response.
+	OutcomeNoResponse router.Outcome = "silent"
 )
 
 // Report holds the results of a load.
 type Report struct {
-	Sent   int                    `json:"sent"`
-	Ends   map[router.Outcome]int `json:"ends"`
-	Tokens int                    `json:"tokens"`
+	Sent     int                    `json:"sent"`
+	Outcomes map[router.Outcome]int `json:"ends"`
+	Tokens   int                    `json:"tokens"`
 	// Seconds is the time until the last response, SendingSeconds the time in which requests were
 	// sent.
 	Seconds        float64 `json:"seconds"`
@@ -79,7 +79,7 @@
 	Goodput    float64             `json:"goodput_per_second"`
 	FirstToken latency.Percentiles `json:"first_token"`
 	InterToken latency.Percentiles `json:"inter_token"`
-	Refusal    latency.Percentiles `json:"refusal"`
+	Rejection  latency.Percentiles `json:"refusal"`
 }
 
 // Run sends the load and waits for the last response. progress, if not nil, is called once a
@@ -114,7 +114,7 @@
 	report := r.report()
 	// Requests that were sent within the duration may complete much later, so goodput is relative
 	// to the time until the last response.
-	report.Goodput = float64(report.Ends[router.OutcomeComplete]) / report.Seconds
+	report.Goodput = float64(report.Outcomes[router.OutcomeComplete]) / report.Seconds
 	report.SendingSeconds = sending.Seconds()
 	return report, nil
 }
@@ -130,7 +130,7 @@
 		return fmt.Errorf("%w: no token", ErrOptions)
 	case o.Rate <= 0 || o.Duration <= 0:
 		return fmt.Errorf("%w: rate and duration must be more than 0", ErrOptions)
-	case o.Prompt <= 0 || o.Answer <= 0:
+	case o.Prompt <= 0 || o.OutputTokens <= 0:
 		return fmt.Errorf("%w: prompt and answer must be more than 0", ErrOptions)
 	}
 	for _, t := range o.Targets {
@@ -151,21 +151,21 @@
 	rng        *rand.Rand
 	sent       int
 	tokens     int
-	ends       map[router.Outcome]int
-	firstToken latency.Times
-	interToken latency.Times
-	refusal    latency.Times
+	outcomes   map[router.Outcome]int
+	firstToken latency.Histogram
+	interToken latency.Histogram
+	rejection  latency.Histogram
 }
 
 const maxIdleConnsPerHost = 1024
 
 func newRunner(opts Options) *runner {
 	return &runner{
-		opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 0)), ends: map[router.Outcome]int{},
+		opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 0)), outcomes: map[router.Outcome]int{},
 		http:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, DisableCompression: true}},
 		firstToken: latency.New(),
 		interToken: latency.New(),
-		refusal:    latency.New(),
+		rejection:  latency.New(),
 	}
 }
 
@@ -219,7 +219,7 @@
 		prompt += strings.Repeat("x", missing)
 	}
 	body, err := json.Marshal(map[string]any{
-		"model": r.opts.Model, "stream": true, "max_tokens": vary(r.opts.Answer),
+		"model": r.opts.Model, "stream": true, "max_tokens": vary(r.opts.OutputTokens),
 		"messages": []map[string]string{{"role": "user", "content": prompt}},
 	})
 	if err != nil {
@@ -230,7 +230,7 @@
 
 // result is the outcome of one request.
 type result struct {
-	end        router.Outcome
+	outcome    router.Outcome
 	firstToken time.Duration
 	tokenGaps  []time.Duration
 	duration   time.Duration
@@ -239,9 +239,9 @@
 func (r *runner) record(res result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ends[res.end]++
-	if res.end == router.OutcomeNotRun {
-		r.refusal.Add(res.duration)
+	r.outcomes[res.outcome]++
+	if res.outcome == router.OutcomeNotRun {
+		r.rejection.Add(res.duration)
 		return
 	}
 	if res.firstToken > 0 {
@@ -257,12 +257,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ends := map[router.Outcome]int{}
-	for end, n := range r.ends {
+	for end, n := range r.outcomes {
 		ends[end] = n
 	}
 	return Report{
-		Sent: r.sent, Ends: ends, Tokens: r.tokens, Seconds: time.Since(r.started).Seconds(),
-		FirstToken: r.firstToken.Percentiles(), InterToken: r.interToken.Percentiles(), Refusal: r.refusal.Percentiles(),
+		Sent: r.sent, Outcomes: ends, Tokens: r.tokens, Seconds: time.Since(r.started).Seconds(),
+		FirstToken: r.firstToken.Percentiles(), InterToken: r.interToken.Percentiles(), Rejection: r.rejection.Percentiles(),
 	}
 }
 
@@ -275,7 +275,7 @@
 	started := time.Now()
 	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/chat/completions", req.target), bytes.NewReader(req.body))
 	if err != nil {
-		return result{end: EndSilent}
+		return result{outcome: OutcomeNoResponse}
 	}
 	if r.opts.HeaderFor != nil {
 		for k, v := range r.opts.HeaderFor(req.target) {
@@ -285,35 +285,35 @@
 	httpReq.Header.Set("Authorization", "Bearer "+req.token)
 	resp, err := r.http.Do(httpReq)
 	if err != nil {
-		return result{end: EndSilent, duration: time.Since(started)}
+		return result{outcome: OutcomeNoResponse, duration: time.Since(started)}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, resp.Body)
-		end := router.Outcome(resp.Header.Get(api.HeaderEnd))
+		end := router.Outcome(resp.Header.Get(api.HeaderOutcome))
 		if end == router.OutcomeNone {
-			end = EndBroken
+			end = OutcomeBroken
 		}
-		return result{end: end, duration: time.Since(started)}
+		return result{outcome: end, duration: time.Since(started)}
 	}
 	return readStream(resp.Body, started)
 }
 
 // readStream measures the times between the events of a stream and determines its outcome.
 func readStream(body io.Reader, started time.Time) result {
-	res := result{end: EndShort}
+	res := result{outcome: OutcomeTruncated}
 	last := started
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		line := lines.Text()
 		switch {
-		case res.end == router.OutcomeComplete && line != "":
-			res.end = EndDoubled
+		case res.outcome == router.OutcomeComplete && line != "":
+			res.outcome = OutcomeExtraEvents
 		case strings.HasPrefix(line, "event: error"):
-			res.end = EndBroken
+			res.outcome = OutcomeBroken
 			return res
 		case line == "data: [DONE]":
-			res.end = router.OutcomeComplete
+			res.outcome = router.OutcomeComplete
 		case strings.HasPrefix(line, "data: ") && strings.Contains(line, `"content"`):
 			now := time.Now()
 			if res.firstToken == 0 {
@@ -325,7 +325,7 @@
 		}
 	}
 	if lines.Err() != nil {
-		res.end = EndBroken
+		res.outcome = OutcomeBroken
 	}
 	res.duration = time.Since(started)
 	return res
--- a/measure/config.go
+++ b/measure/config.go
@@ -30,7 +30,7 @@
 type ConfigFigures struct {
 	Changes  int `json:"changes"`
 	Accepted int `json:"accepted"`
-	Refused  int `json:"refused"`
+	Rejected int `json:"refused"`
 	// Late counts accepted changes that were not in force everywhere within
 	// lateAfter.
 	Late int `json:"late"`
@@ -92,7 +92,7 @@
 		f    ConfigFigures
 	}{{"lupinkeel", realFigures}, {"naive", naiveFigures}} {
 		table.Rows = append(table.Rows, []string{
-			r.name, fmt.Sprint(r.f.Changes), fmt.Sprint(r.f.Accepted), fmt.Sprint(r.f.Refused), fmt.Sprint(r.f.Late),
+			r.name, fmt.Sprint(r.f.Changes), fmt.Sprint(r.f.Accepted), fmt.Sprint(r.f.Rejected), fmt.Sprint(r.f.Late),
 			ms(r.f.InForce.P50), ms(r.f.InForce.P99), ms(r.f.InForce.Max), fmt.Sprint(r.f.Reverts),
 			fmt.Sprintf("%.2f", r.f.AppendsPerSecond), fmt.Sprintf("%.0f", r.f.BytesPerSecond),
 		})
@@ -126,7 +126,7 @@
 			figures.Accepted++
 			t.add(n, requested)
 		} else {
-			figures.Refused++
+			figures.Rejected++
 		}
 		if n%10 == 7 {
 			faultErr = firstError(faultErr, s.reappendOld(ctx))
@@ -147,7 +147,7 @@
 type inForceTracker struct {
 	mu      sync.Mutex
 	pending []pendingChange
-	inForce latency.Times
+	inForce latency.Histogram
 	late    int
 	newest  []int
 	reverts int
@@ -158,10 +158,10 @@
 	requested time.Time
 }
 
-func (t *inForceTracker) add(value int, asked time.Time) {
+func (t *inForceTracker) add(value int, sentAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.pending = append(t.pending, pendingChange{value, asked})
+	t.pending = append(t.pending, pendingChange{value, sentAt})
 }
 
 func (t *inForceTracker) run(ctx context.Context, s configSystem) error {
@@ -282,8 +282,8 @@
 }
 
 func (r *realConfig) change(ctx context.Context, daemon, value int) bool {
-	answer, err := r.site.Ask(ctx, daemon, fmt.Sprintf("set model %s replicas %d", modelName, value))
-	return err == nil && answer.Change != nil && (answer.Change.Result == api.ChangeAccepted || answer.Change.Result == api.ChangeRecorded)
+	response, err := r.site.Ask(ctx, daemon, fmt.Sprintf("set model %s replicas %d", modelName, value))
+	return err == nil && response.Change != nil && (response.Change.Result == api.ChangeAccepted || response.Change.Result == api.ChangeRecorded)
 }
 
 func (r *realConfig) values() []int {
--- a/measure/naive_config.go
+++ b/measure/naive_config.go
@@ -29,14 +29,14 @@
 func reappend(ctx context.Context, addr netip.AddrPort, stream string) error {
 	c := platform.NewClient(addr, addr, dial.Dialer{})
 	entries, err := c.ReadTail(ctx, stream, staleDistance)
-	if errors.Is(err, platform.ErrRefused) || len(entries) == 0 {
+	if errors.Is(err, platform.ErrRejected) || len(entries) == 0 {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	_, err = c.Append(ctx, stream, entries[0].Data)
-	if errors.Is(err, platform.ErrRefused) || errors.Is(err, platform.ErrUnknown) {
+	if errors.Is(err, platform.ErrRejected) || errors.Is(err, platform.ErrUnknown) {
 		return nil
 	}
 	return err
@@ -99,9 +99,9 @@
 	tick := time.NewTicker(naivePoll)
 	defer tick.Stop()
 	for {
-		answer, err := d.client.Read(ctx, naiveStream, next, 0)
+		response, err := d.client.Read(ctx, naiveStream, next, 0)
 		if err == nil {
-			for _, e := range answer.Entries {
+			for _, e := range response.Entries {
 				v, _ := strconv.Atoi(string(e.Data))
 				d.value.Store(int64(v))
 				next = e.Offset + 1
--- a/router/request.go
+++ b/router/request.go
@@ -79,7 +79,7 @@
 // request never reached an upstream. The request may be sent again.
 func (r *Request) NotRun() error {
 	if r.phase != PhaseSent {
-		return r.phaseError("requeue")
+		return r.phaseError("take back")
 	}
 	r.phase = PhaseQueued
 	return nil
@@ -103,7 +103,7 @@
 // may have run, so that this request must not be sent.
 func (r *Request) KeyInUse() error {
 	if r.phase != PhaseQueued {
-		return r.phaseError("hold")
+		return r.phaseError("hold back")
 	}
 	r.mayHaveRun = true
 	r.phase = PhaseSent
@@ -122,7 +122,7 @@
 // MayRetry reports whether the request may be sent, for the first time or again.
 func (r *Request) MayRetry() bool { return r.phase == PhaseQueued }
 
-// Finish sets the outcome of the request and returns it. complete tells whether the caller
+// Finish sets the outcome of the request and returns it. complete reports whether the caller
 // received the complete response.
 func (r *Request) Finish(complete bool) Outcome {
 	switch {
--- a/soak/crash_test.go
+++ b/soak/crash_test.go
@@ -35,14 +35,14 @@
 )
 
 // TestCrashingRequest guards against a request that crashes every instance that runs it. If each
-// daemon retries the request and then forgets it, a caller that comes back with a new id at another
+// daemon retries the request and then forgets it, a caller that retries with a new id at another
 // daemon crashes one instance after the other (nineteen in one incident). Other callers' requests
 // on these instances fail with 'unexpected EOF', and requests that other instances could serve are
-// refused with 'too many requests are being repeated'.
+// rejected with 'too many requests are being repeated'.
 //
 // Here a caller retries such a request every 0.3 s, each time at another daemon, while others send
 // their requests as usual. The request crashes an instance 40 ms after the instance begins to run
-// it. Once it has crashed three instances and the daemons had 3 s to tell each other, it may be
+// it. Once it has crashed three instances and the daemons had 3 s to inform each other, it may be
 // sent at most three more times.
 func TestCrashingRequest(t *testing.T) {
 	bin := binary(t)
--- a/soak/outage_test.go
+++ b/soak/outage_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestKeysInOutage checks API keys during an outage of the store that lasts longer than the bound
-// for revoked keys. A key is revoked during the outage. With strict keys, daemons refuse every key
+// for revoked keys. A key is revoked during the outage. With strict keys, daemons reject every key
 // once the bound has passed. Otherwise they go on serving, also with the revoked key, until the
 // store is back or their proof of the keys is older than --stale-keys allows.
 func TestKeysInOutage(t *testing.T) {
@@ -38,14 +38,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			s := startSite(t, bin, t.TempDir(), test.flags...)
 			s.waitServing()
-			s.store.Misbehave(store.Faults{Busy: true})
+			s.store.SetFaults(store.Faults{Busy: true})
 			time.Sleep(inFlight)
 			if test.revoked {
 				s.configureKeys("k2")
 			}
 			time.Sleep(outage - inFlight)
 			s.expectStatus("during the outage", test.during)
-			s.store.Misbehave(store.Faults{})
+			s.store.SetFaults(store.Faults{})
 			time.Sleep(2 * time.Second)
 			if test.after == http.StatusUnauthorized {
 				s.expectKeyRejected("after the outage")
@@ -60,7 +60,7 @@
 // daemons' bound in this test is shorter.
 const proofRenewalTime = 1500 * time.Millisecond
 
-// expectKeyRejected sends requests with the first key to every daemon: each must be refused, and
+// expectKeyRejected sends requests with the first key to every daemon: each must be rejected, and
 // before long with status 401. Until then a daemon that is renewing its proof may respond with 503.
 func (s *site) expectKeyRejected(when string) {
 	client := &http.Client{Timeout: 2 * time.Second}
--- a/soak/signals_test.go
+++ b/soak/signals_test.go
@@ -33,7 +33,7 @@
 	fraction float64
 	shedding replica.Shedding
 	// leaving makes the instances announce that they are leaving; limit, unless it is 0, is a rate
-	// limit that they advertise in addition.
+	// limit that they announce in addition.
 	leaving bool
 	limit   float64
 	// disturb, if set, injects faults that affect the daemons.
@@ -47,7 +47,9 @@
 // that instances that announce in a response that they are leaving receive no more requests.
 func TestRetryAfterAndLeavingAreHonoured(t *testing.T) {
 	const all = 1
-	shed := func(rest time.Duration) replica.Shedding { return replica.Shedding{Fraction: all, RetryAfter: rest} }
+	shed := func(backoff time.Duration) replica.Shedding {
+		return replica.Shedding{Fraction: all, RetryAfter: backoff}
+	}
 	bin := binary(t)
 	for _, test := range []signalCase{
 		{name: "half_of_plain", service: "plain", fraction: 0.5, shedding: shed(3 * time.Second)},
@@ -101,7 +103,7 @@
 		i.AnnounceLeaving()
 	}
 	if test.limit > 0 {
-		i.AdvertiseLimit(test.limit)
+		i.AnnounceLimit(test.limit)
 	}
 }
 
@@ -183,7 +185,7 @@
 
 // makeStoreUnavailable makes the store unavailable for most of the test.
 func makeStoreUnavailable(s *site, _ *disruptions) {
-	s.store.Misbehave(store.Faults{Busy: true})
+	s.store.SetFaults(store.Faults{Busy: true})
 	time.Sleep(signalDuration - time.Second)
-	s.store.Misbehave(store.Faults{})
+	s.store.SetFaults(store.Faults{})
 }
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -30,8 +30,8 @@
 type Faults struct {
 	// Busy makes every call fail with status 503.
 	Busy bool
-	// LoseAnswers is the fraction of POST calls that take effect but get no response.
-	LoseAnswers float64
+	// LoseResponses is the fraction of POST calls that take effect but get no response.
+	LoseResponses float64
 	// Delay is added to every call.
 	Delay time.Duration
 }
@@ -52,8 +52,8 @@
 	return &Store{partitions: map[string]*partition{}, groups: map[string]*group{}, now: time.Now}
 }
 
-// Misbehave sets the faults.
-func (s *Store) Misbehave(f Faults) {
+// SetFaults sets the faults.
+func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
@@ -73,8 +73,9 @@
 	return era != strconv.FormatInt(s.era, 10)
 }
 
-// Forget drops all records of a topic, as if they had expired. The newest value of each key stays.
-func (s *Store) Forget(topic string) {
+// ExpireRecords drops all records of a topic, as if they had expired. The newest value of each key
+// stays.
+func (s *Store) ExpireRecords(topic string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partition(topic, 0)
@@ -115,7 +116,7 @@
 		return
 	}
 	out := http.ResponseWriter(w)
-	lost := r.Method == http.MethodPost && rand.Float64() < f.LoseAnswers
+	lost := r.Method == http.MethodPost && rand.Float64() < f.LoseResponses
 	if lost {
 		out = discardWriter{http.Header{}}
 	}
--- a/worker/platform/client.go
+++ b/worker/platform/client.go
@@ -19,8 +19,8 @@
 
 // Errors of calls to the platform.
 var (
-	// ErrRefused: the platform reported that it did not carry out the call.
-	ErrRefused = errors.New("the platform refused")
+	// ErrRejected: the platform reported that it did not carry out the call.
+	ErrRejected = errors.New("the platform refused")
 	// ErrUnknown: the platform's response was lost; the call may have taken effect.
 	ErrUnknown = errors.New("no answer from the platform")
 	// ErrExpired: the log no longer holds the offset.
@@ -45,7 +45,7 @@
 	return &Client{log: log, list: list, http: &http.Client{Transport: transport}}
 }
 
-// Append appends one record to a stream. It returns ErrRefused if the log did not accept the
+// Append appends one record to a stream. It returns ErrRejected if the log did not accept the
 // record, and ErrUnknown if it may have.
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (models.Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -62,42 +62,42 @@
 	defer resp.Body.Close()
 	switch {
 	case resp.StatusCode == http.StatusTooManyRequests, resp.StatusCode == http.StatusServiceUnavailable:
-		return 0, trace.Wrap(fmt.Errorf("%w: append: %s", ErrRefused, resp.Status))
+		return 0, trace.Wrap(fmt.Errorf("%w: append: %s", ErrRejected, resp.Status))
 	case resp.StatusCode != http.StatusOK:
 		return 0, trace.Wrap(fmt.Errorf("%w: append: %s", ErrUnknown, resp.Status))
 	}
-	var answer AppendAnswer
-	if err := decodeJSON(resp.Body, &answer); err != nil {
+	var response AppendResponse
+	if err := decodeJSON(resp.Body, &response); err != nil {
 		return 0, trace.Wrap(errors.Join(ErrUnknown, err))
 	}
-	return answer.Offset, nil
+	return response.Offset, nil
 }
 
 // Read reads the stream from the offset on. If there are no entries yet, it waits for the given
 // time. For an offset that the log no longer holds it returns ErrExpired and sets First in the
-// answer.
-func (c *Client) Read(ctx context.Context, stream string, from models.Offset, wait time.Duration) (ReadAnswer, error) {
+// response.
+func (c *Client) Read(ctx context.Context, stream string, from models.Offset, wait time.Duration) (ReadResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
-	var answer ReadAnswer
+	var response ReadResponse
 	url := fmt.Sprintf("http://%s/log/%s?from=%d&wait=%s", c.log, stream, from, wait)
-	status, err := c.getJSON(ctx, url, &answer)
+	status, err := c.getJSON(ctx, url, &response)
 	if err != nil {
-		return ReadAnswer{}, err
+		return ReadResponse{}, err
 	}
 	if status == http.StatusGone {
-		return answer, trace.Wrap(fmt.Errorf("%w: offset %d, first is %d", ErrExpired, from, answer.First))
+		return response, trace.Wrap(fmt.Errorf("%w: offset %d, first is %d", ErrExpired, from, response.First))
 	}
-	return answer, nil
+	return response, nil
 }
 
 // Instances returns the platform's list of instances.
 func (c *Client) Instances(ctx context.Context) ([]models.Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var answer ListAnswer
-	_, err := c.getJSON(ctx, fmt.Sprintf("http://%s/instances", c.list), &answer)
-	return answer.Instances, err
+	var response ListResponse
+	_, err := c.getJSON(ctx, fmt.Sprintf("http://%s/instances", c.list), &response)
+	return response.Instances, err
 }
 
 func (c *Client) getJSON(ctx context.Context, url string, out any) (int, error) {
@@ -111,7 +111,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusGone {
-		return resp.StatusCode, trace.Wrap(fmt.Errorf("%w: %s", ErrRefused, resp.Status))
+		return resp.StatusCode, trace.Wrap(fmt.Errorf("%w: %s", ErrRejected, resp.Status))
 	}
 	return resp.StatusCode, trace.Wrap(decodeJSON(resp.Body, out))
 }
--- a/worker/platform/wire.go
+++ b/worker/platform/wire.go
@@ -17,20 +17,20 @@
 	StreamTrail = "trail"
 )
 
-// AppendAnswer is the log's response to an append.
-type AppendAnswer struct {
+// AppendResponse is the log's response to an append.
+type AppendResponse struct {
 	Offset models.Offset `json:"offset"`
 }
 
-// ReadAnswer is the log's response to a read. With status 410 only First is set: older records
+// ReadResponse is the log's response to a read. With status 410 only First is set: older records
 // have expired.
-type ReadAnswer struct {
+type ReadResponse struct {
 	First   models.Offset `json:"first"`
 	Next    models.Offset `json:"next"`
 	Entries []types.Entry `json:"entries,omitempty"`
 }
 
-// ListAnswer is the platform's list of instances.
-type ListAnswer struct {
+// ListResponse is the platform's list of instances.
+type ListResponse struct {
 	Instances []models.Instance `json:"instances"`
 }
