--- a/cluster/config.go
+++ b/cluster/config.go
@@ -90,11 +90,11 @@
 		o.peers.configBehindSince = now
 	}
 	// A daemon that uses a relay does not read the store itself, so there is no read to wait for.
-	patience := configFetchDelay
+	delay := configFetchDelay
 	if !o.peers.topology.IsMesh && !o.peers.topology.IsRelay {
-		patience = 0
+		delay = 0
 	}
-	if now.Sub(o.peers.configBehindSince) >= patience && !slices.Contains(newer, o.peers.configSource) {
+	if now.Sub(o.peers.configBehindSince) >= delay && !slices.Contains(newer, o.peers.configSource) {
 		o.peers.configSource = newer[rand.IntN(len(newer))]
 		o.publish()
 		o.n.links.sendHeartbeat(o.peers.configSource)
--- a/cluster/links_test.go
+++ b/cluster/links_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// manyNews are updates of instances in groups of four.
+// manyInstances returns updates of n instances in groups of four.
 func manyInstances(n int) []InstanceUpdate {
 	r := rand.New(rand.NewSource(int64(n)))
 	updates := make([]InstanceUpdate, 0, n)
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -103,8 +103,8 @@
 	r := o.config.routing
 	switch {
 	case r != nil && r.Version == m.heartbeat.ConfigVersion:
-		if proven := m.receivedAt.Add(-m.heartbeat.ConfigAge); proven.After(o.config.confirmedAt) {
-			o.config.confirmedAt = proven
+		if confirmedAt := m.receivedAt.Add(-m.heartbeat.ConfigAge); confirmedAt.After(o.config.confirmedAt) {
+			o.config.confirmedAt = confirmedAt
 		}
 	case m.heartbeat.ConfigVersion > 0 && (r == nil || r.Version < m.heartbeat.ConfigVersion):
 		o.requestNewerConfig(m.receivedAt)
--- a/cluster/quarantine_test.go
+++ b/cluster/quarantine_test.go
@@ -125,21 +125,21 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			peers := startPeers(t, test.daemons, test.zones)
-			guilty, other := quarantine.Request{Target: "/crashes"}.Digest(), quarantine.Request{Target: "/other"}.Digest()
-
-			peers[0].quarantine.RecordCrash(crashed("i1", guilty, other))
-			peers[1].quarantine.RecordCrash(crashed("i1", guilty))
-			waitAll(c, peers, propagationTimeout, "aware of one crash", func(p *testPeer) bool { return p.hasCrashes(guilty, 1) && p.hasCrashes(other, 1) })
-			peers[test.daemons-1].quarantine.RecordCrash(crashed("i2", guilty))
-			waitAll(c, peers, propagationTimeout, "aware of two crashes", func(p *testPeer) bool { return p.hasCrashes(guilty, 2) })
-			peers[test.daemons/2].quarantine.RecordCrash(crashed("i3", guilty))
-			took := waitAll(c, peers, propagationTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Status(guilty).Quarantined })
+			crashing, other := quarantine.Request{Target: "/crashes"}.Digest(), quarantine.Request{Target: "/other"}.Digest()
+
+			peers[0].quarantine.RecordCrash(crashed("i1", crashing, other))
+			peers[1].quarantine.RecordCrash(crashed("i1", crashing))
+			waitAll(c, peers, propagationTimeout, "aware of one crash", func(p *testPeer) bool { return p.hasCrashes(crashing, 1) && p.hasCrashes(other, 1) })
+			peers[test.daemons-1].quarantine.RecordCrash(crashed("i2", crashing))
+			waitAll(c, peers, propagationTimeout, "aware of two crashes", func(p *testPeer) bool { return p.hasCrashes(crashing, 2) })
+			peers[test.daemons/2].quarantine.RecordCrash(crashed("i3", crashing))
+			took := waitAll(c, peers, propagationTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Status(crashing).Quarantined })
 			t.Logf("all %d refuse the request after %v", test.daemons, took.Round(time.Millisecond))
 			peers[1].quarantine.Clear(other)
 			waitAll(c, peers, propagationTimeout, "aware of the cleared request", func(p *testPeer) bool { return p.hasCrashes(other, 0) })
 
 			late := startNth(t, test.daemons, test.zones, peers)
-			took = waitAll(c, []*testPeer{late}, discoveryTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Status(guilty).Quarantined })
+			took = waitAll(c, []*testPeer{late}, discoveryTimeout, "refusing", func(p *testPeer) bool { return p.quarantine.Status(crashing).Quarantined })
 			t.Logf("a starting daemon refuses it after %v", took.Round(time.Millisecond))
 			c.Assert(late.hasCrashes(other, 0), qt.IsTrue)
 		})
@@ -151,10 +151,10 @@
 func TestCrashUpdateRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
-	guilty, other := quarantine.Request{Target: "/crashes"}.Digest(), quarantine.Request{Target: "/other"}.Digest()
+	crashing, other := quarantine.Request{Target: "/crashes"}.Digest(), quarantine.Request{Target: "/other"}.Digest()
 	crash := quarantine.Crash{
 		Instance: "i-1e5e60a8b1", StartedAt: time.UnixMilli(1_780_000_000_000), At: now.Add(-time.Second),
-		Requests: map[quarantine.Digest]bool{guilty: false, other: true},
+		Requests: map[quarantine.Digest]bool{crashing: false, other: true},
 	}
 	body, err := pack.Marshal(Update{Crashes: []CrashUpdate{crashUpdateOf(crash, now)}})
 	c.Assert(err, qt.IsNil)
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -28,12 +28,12 @@
 func TestCrashNeedsEvidence(t *testing.T) {
 	for _, test := range []struct {
 		name                                       string
-		listens, draining, unlisted, bornAnewLater bool
+		listens, draining, unlisted, restartsLater bool
 		want                                       evidence
 	}{
 		{name: "gone", want: evidenceRefused},
 		{name: "closed_a_connection", listens: true},
-		{name: "born_anew", listens: true, bornAnewLater: true, want: evidenceRestarted},
+		{name: "born_anew", listens: true, restartsLater: true, want: evidenceRestarted},
 		{name: "leaving", draining: true},
 		{name: "unlisted", unlisted: true},
 	} {
@@ -57,7 +57,7 @@
 				c.Assert(cd.disconnects, qt.HasLen, 0)
 				return
 			}
-			if test.bornAnewLater {
+			if test.restartsLater {
 				later := i
 				later.StartedAt = i.StartedAt.Add(time.Second)
 				node.view.Instances[i.ID] = later
@@ -96,7 +96,7 @@
 	i := models.UpstreamInstance{ID: "i", Addr: netip.MustParseAddrPort(l.Addr().String())}
 	node := &fakeNode{quarantine: emptyQuarantine(), view: &cluster.View{Instances: map[models.InstanceID]models.UpstreamInstance{i.ID: i}}}
 	cd := newCrashDetector(node, metrics.NewSet(), zerolog.Nop())
-	reset, guilty := quarantine.Request{Target: "/reset"}.Digest(), quarantine.Request{Target: "/guilty"}.Digest()
+	reset, crashing := quarantine.Request{Target: "/reset"}.Digest(), quarantine.Request{Target: "/guilty"}.Digest()
 	cd.noteDisconnect(context.Background(), i, reset)
 	probing := time.Duration(0)
 	for _, pause := range probeDelays {
@@ -104,8 +104,8 @@
 	}
 	time.Sleep(probing + 100*time.Millisecond)
 	c.Assert(l.Close(), qt.IsNil)
-	<-cd.noteDisconnect(context.Background(), i, guilty)
-	c.Assert(node.quarantine.Status(guilty).Crashes, qt.Equals, 1)
+	<-cd.noteDisconnect(context.Background(), i, crashing)
+	c.Assert(node.quarantine.Status(crashing).Crashes, qt.Equals, 1)
 	c.Assert(node.quarantine.Status(reset).Crashes, qt.Equals, 0)
 }
 
--- a/lib/h1/conn.go
+++ b/lib/h1/conn.go
@@ -23,7 +23,7 @@
 type StallPolicy func(silence time.Duration) time.Duration
 
 // ErrStalled is returned by reads that a StallPolicy aborted.
-var ErrStalled = errors.New("the response stalled")
+var ErrStalled = errors.New("the answer stands still")
 
 type conn struct {
 	pool *Pool
--- a/membership/script_test.go
+++ b/membership/script_test.go
@@ -329,25 +329,26 @@
 }
 
 // broadcast forwards a message as daemons do: from a daemon that is not a relay to the relay that
-// it uses, and from relays to their zones and to the other relays.
-func (s *simulation) broadcast(from *daemon, heard map[models.DaemonID]bool) {
+// it uses, and from relays to their zones and to the other relays. It adds the daemons that get the
+// message to received.
+func (s *simulation) broadcast(from *daemon, received map[models.DaemonID]bool) {
 	relayed := from.topology.IsMesh || from.topology.IsRelay
 	for id, link := range from.links() {
 		if to := s.byID[id]; s.reaches(from, to) && (relayed || link.UsesLoads) {
-			heard[id] = true
-			s.forward(from, to, !relayed, heard)
+			received[id] = true
+			s.forward(from, to, !relayed, received)
 		}
 	}
 }
 
-func (s *simulation) forward(from, by *daemon, allZones bool, heard map[models.DaemonID]bool) {
+func (s *simulation) forward(from, by *daemon, allZones bool, received map[models.DaemonID]bool) {
 	if by.topology.IsMesh || (from.Zone == by.Zone && !allZones) {
 		return
 	}
 	for id, link := range by.links() {
 		if to := s.byID[id]; s.reaches(by, to) && (link.Forwards || (allZones && link.CrossZone)) {
-			heard[id] = true
-			s.forward(by, to, false, heard)
+			received[id] = true
+			s.forward(by, to, false, received)
 		}
 	}
 }
