--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -14,15 +14,15 @@
 	// for at a head about which nothing else is known.
 	firstEventFraction = 0.75
 	// fullFraction is the part of a group's slots above which a request may be queued there: the
-	// loads that other daemons report are up to a second old. An estimate: requests queued from
-	// 0.95 of the slots on.
+	// loads that other daemons report are up to a second old, and requests are queued from 0.95 of
+	// the slots on.
 	fullFraction = 0.9
 	// minWatchers is how many requests a group must have for them to detect a stall sooner than a
-	// request that waits for its first event could. An estimate: groups had 8 to 14 requests when
-	// their streams detected a stall within 0.25 s.
+	// request that waits for its first event could. The streams of groups with 8 to 14 requests
+	// detect a stall within 0.25 s.
 	minWatchers = 4
 	// watchedWaitFactor is how many times its latency target a request waits for its first event at
-	// a watched group. It is late by then, and may still be answered. An estimate.
+	// a watched group. It is late by then, and may still be answered.
 	watchedWaitFactor = 1.5
 	// stallPollInterval is how often a silent attempt is checked, idlePollInterval how often one
 	// that can be neither hedged nor moved.
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -90,7 +90,7 @@
 	// minRetryAfter and retryAfterJitter set when a caller should retry if all groups are full. A
 	// group of 20 slots with requests of 1.2 s finishes one about every 60 ms, but an overload of
 	// all groups lasts longer, and most callers retry only once. The jitter keeps callers from
-	// retrying at the same time. An estimate.
+	// retrying at the same time.
 	minRetryAfter    = 300 * time.Millisecond
 	retryAfterJitter = 500 * time.Millisecond
 )
--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -20,7 +20,7 @@
 	tailFraction = 0.003
 	// minPauseCount is how many pauses must have been counted for the histogram to be used.
 	minPauseCount = 300
-	// defaultPauseRatio is the ratio used before that; measured ratios were 1.1 to 1.3.
+	// defaultPauseRatio is the ratio used before that; the ratio is usually 1.1 to 1.3.
 	defaultPauseRatio = 1.6
 	// defaultStallTimeout is the stall timeout if the engine has no profile. minStallTimeout and
 	// maxStallTimeout bound it otherwise.
--- a/gateway/pauses_test.go
+++ b/gateway/pauses_test.go
@@ -65,7 +65,7 @@
 
 // TestFailoverSlack checks that a stream waits for its group as long as it can still continue
 // elsewhere in time, and that this is shorter for longer prompts. Daemons that did not know of each
-// other's prompts once took seventeen healthy groups for stalled within two seconds, at a stall
+// other's prompts took seventeen healthy groups for stalled within two seconds, at a stall
 // timeout of 56 ms where the caller tolerates 200.
 func TestFailoverSlack(t *testing.T) {
 	c := qt.New(t)
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -116,7 +116,7 @@
 }
 
 // idleConnFraction is the fraction of the connections accepted by an instance that may be idle,
-// over all daemons, so that there is room for those in use. An estimate.
+// over all daemons, so that there is room for those in use.
 const idleConnFraction = 0.5
 
 // idleConnLimits returns how many idle connections to keep per instance address: this daemon's
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -51,15 +51,14 @@
 		// An instance that resets connections at once has no requests, and would attract all: this
 		// caused 761 responses with status 502 in one day.
 		FailureFraction: 0.25,
-		// A daemon whose loads have not been received may have sent another request. An estimate.
+		// A daemon whose loads have not been received may have sent another request.
 		MinConcurrent: 2,
 		// Requests arrive unevenly, and requests sent shortly afterwards are placed by nearly the
 		// same loads. With 1 instead of 2, 3.6 % rather than 2.8 % of requests were late in a
 		// burst, 3.7 % rather than 3.2 % with long prompts, and 2.4 % rather than 0.6 % with loads
 		// that are a second old (TestReplays).
 		UnreportedFactor: 2,
-		// The engine queues some requests itself and starts them as soon as a slot is free. An
-		// estimate.
+		// The engine queues some requests itself and starts them as soon as a slot is free.
 		ExtraSlots: 2,
 	}
 }
--- a/soak/crash_test.go
+++ b/soak/crash_test.go
@@ -36,9 +36,9 @@
 
 // TestCrashingRequest guards against a request that crashes every instance that runs it. If each
 // daemon retries the request and then forgets it, a caller that retries with a new id at another
-// daemon crashes one instance after the other (nineteen in one incident). Other callers' requests
-// on these instances fail with 'unexpected EOF', and requests that other instances could serve are
-// rejected with 'too many requests are being repeated'.
+// daemon crashes one instance after the other (up to nineteen). Other callers' requests on these
+// instances fail with 'unexpected EOF', and requests that other instances could serve are rejected
+// with 'too many requests are being repeated'.
 //
 // Here a caller retries such a request every 0.3 s, each time at another daemon, while others send
 // their requests as usual. The request crashes an instance 40 ms after the instance begins to run
